--- a/internal/admit/door_test.go
+++ b/internal/admit/door_test.go
@@ -7,99 +7,103 @@
 	"pgregory.net/rapid"
 )
 
-func TestCostIsLearnt(t *testing.T) {
+func TestSetUpCostEstimate(t *testing.T) {
 	var d Door
 	if got := d.Most(500); got != 1166 {
-		t.Errorf("at first a round holds %d", got)
+		t.Errorf("a round holds %d before any measurement, want 1166", got)
 	}
 	for range 200 {
 		d.Took(100, 0, 1_000)
 	}
 	if c := d.Cost(); c < 9.5 || c > 10.5 {
-		t.Errorf("a set-up at 10 us is taken to cost %.2f", c)
+		t.Errorf("a set-up of 10 us has an estimated cost of %.2f", c)
 	}
-	if a, b, c := d.Most(2000), d.Most(4000), d.Most(100_000); a < 1996 || a > 2000 || b < 1329 || b > 1334 || c != leastRound {
+	if a, b, c := d.Most(2000), d.Most(4000), d.Most(100_000); a < 1996 || a > 2000 ||
+		b < 1329 || b > 1334 || c != minRoundSetUps {
 		t.Errorf("at 10 us a round holds %d of 2000, %d of 4000, %d of 100000", a, b, c)
 	}
-	d.Took(100, 400, 2_000) // refusals at a quarter of the price
+	d.Took(100, 400, 2_000) // a refusal costs a quarter of a set-up
 	if c := d.Cost(); c < 9.5 || c > 10.5 {
-		t.Errorf("with refusals a set-up at 10 us is taken to cost %.2f", c)
+		t.Errorf("with refusals, a set-up of 10 us has an estimated cost of %.2f", c)
 	}
-	d.Took(countsFrom-1, 0, 1_000_000) // tells nothing
+	d.Took(minMeasuredSetUps-1, 0, 1_000_000) // too few to be measured
 	d.Took(100, 0, 0)
 	before := d.Cost()
-	d.Took(100, 0, 50_000_000) // the process stood still
+	d.Took(100, 0, 50_000_000) // the process was stalled
 	if c := d.Cost(); c <= before || c > 1.5*before {
-		t.Errorf("one round of 50 s moves the cost from %.2f to %.2f", before, c)
+		t.Errorf("one round of 50 s changes the cost from %.2f to %.2f", before, c)
 	}
 	for range 50 {
 		d.Took(100, 0, 4_000)
 	}
 	if c := d.Cost(); c < 38 || c > 41 {
-		t.Errorf("at 40 us it is taken to cost %.2f", c)
+		t.Errorf("a set-up of 40 us has an estimated cost of %.2f", c)
 	}
 	for range 400 {
 		d.Took(16, 0, 16_000_000)
 	}
-	if got := d.Most(100); got != leastRound {
-		t.Errorf("however dear, a round holds %d", got)
+	if got := d.Most(100); got != minRoundSetUps {
+		t.Errorf("at a very high cost a round holds %d, want the minimum", got)
 	}
 }
 
-// Whatever is offered: nobody is taken twice, none whose time is up, no more than a round holds, as many as it holds if there
-// are; and nobody is refused who is worth more, or as much and newer, than one that is taken.
+// For any offers: none is accepted twice or after its deadline, no more than the maximum of a round are accepted, and
+// as many as that if there are enough; no refused offer has a higher worth than an accepted one, or the same worth and
+// a later arrival.
 func TestJudge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Door{cost: rapid.SampledFrom([]float64{0, 15, 150, 1000}).Draw(t, "cost")}
 		const now = 10_000_000
 		n := rapid.IntRange(0, 900).Draw(t, "offers")
 		kinds := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Offer {
-			return Offer{At: now - rapid.Int64Range(0, 3_000_000).Draw(t, "age"), Deadline: now + rapid.Int64Range(-1_000_000, 5_000_000).Draw(t, "left"),
-				Aim: rapid.Int64Range(100_000, 2_000_000).Draw(t, "aim"), Worth: float64(rapid.IntRange(1, 6).Draw(t, "worth")),
+			return Offer{At: now - rapid.Int64Range(0, 3_000_000).Draw(t, "age"),
+				Deadline:  now + rapid.Int64Range(-1_000_000, 5_000_000).Draw(t, "left"),
+				Aim:       rapid.Int64Range(100_000, 2_000_000).Draw(t, "aim"),
+				Worth:     float64(rapid.IntRange(1, 6).Draw(t, "worth")),
 				LateWorth: rapid.SampledFrom([]float64{0, 0.1, 0.25, 1}).Draw(t, "late")}
 		}), 1, 12).Draw(t, "kinds")
-		offers, alive := make([]Offer, n), 0
+		offers, inTime := make([]Offer, n), 0
 		for i := range offers {
 			if offers[i] = kinds[(i*7)%len(kinds)]; offers[i].Deadline > now {
-				alive++
+				inTime++
 			}
 		}
-		taken := slices.Clone(d.Judge(now, offers))
+		accepted := slices.Clone(d.Judge(now, offers))
 		worth := func(o Offer) float64 {
 			if now-o.At > o.Aim {
 				return o.Worth * o.LateWorth
 			}
 			return o.Worth
 		}
-		in := map[int]bool{}
-		for _, i := range taken {
-			if in[i] || offers[i].Deadline <= now {
-				t.Fatalf("offer %d, taken before: %v, is taken with %d us left", i, in[i], offers[i].Deadline-now)
+		isAccepted := map[int]bool{}
+		for _, i := range accepted {
+			if isAccepted[i] || offers[i].Deadline <= now {
+				t.Fatalf("offer %d (accepted before: %v) is accepted with %d us left", i, isAccepted[i], offers[i].Deadline-now)
 			}
-			in[i] = true
+			isAccepted[i] = true
 		}
-		if len(taken) != min(alive, d.Most(n)) {
-			t.Fatalf("%d of %d are taken, a round holds %d", len(taken), alive, d.Most(n))
+		if len(accepted) != min(inTime, d.Most(n)) {
+			t.Fatalf("%d of %d are accepted, a round holds %d", len(accepted), inTime, d.Most(n))
 		}
-		if alive <= d.Most(n) {
-			if !slices.IsSorted(taken) {
-				t.Fatalf("there is room for all, and they change places: %v", taken)
+		if inTime <= d.Most(n) {
+			if !slices.IsSorted(accepted) {
+				t.Fatalf("all are accepted, but not in the order of arrival: %v", accepted)
 			}
 			return
 		}
 		for i, o := range offers {
-			if in[i] || o.Deadline <= now {
+			if isAccepted[i] || o.Deadline <= now {
 				continue
 			}
-			for _, k := range taken {
-				if w, v := worth(o), worth(offers[k]); w > v || w == v && o.At > offers[k].At {
-					t.Fatalf("%+v is refused, and %+v is taken", o, offers[k])
+			for _, acceptedIndex := range accepted {
+				if w, v := worth(o), worth(offers[acceptedIndex]); w > v || w == v && o.At > offers[acceptedIndex].At {
+					t.Fatalf("%+v is refused, but %+v is accepted", o, offers[acceptedIndex])
 				}
 			}
 		}
-		for i := 1; i < len(taken); i++ {
-			if a, b := offers[taken[i-1]], offers[taken[i]]; worth(a) < worth(b) || worth(a) == worth(b) && a.At < b.At {
-				t.Fatalf("%+v goes before %+v", a, b)
+		for i := 1; i < len(accepted); i++ {
+			if a, b := offers[accepted[i-1]], offers[accepted[i]]; worth(a) < worth(b) || worth(a) == worth(b) && a.At < b.At {
+				t.Fatalf("%+v is placed before %+v", a, b)
 			}
 		}
 	})
