--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter counts what becomes of the calls of one process, by class, for the other processes to see: it is a
-// session.Decider in front of all others, through which everything passes as it is. It has no clock, goroutine or lock; the
-// loop of calls writes, and any other goroutine may read at any time.
+// Package meter counts the results of the calls of one process, by class, and makes them available to the other
+// processes. It is a session.Decider in front of all others and passes everything through unchanged. It has no clock,
+// goroutine or lock; the loop of calls writes, and any other goroutine may read at any time.
 package meter
 
 import (
@@ -11,28 +11,29 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Decider is what a meter stands in front of.
+// Decider is the decider that a meter wraps.
 type Decider interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
 }
 
-// figures are one class's counts since the start. One goroutine writes, others read. What follows from others is not counted:
-// the calls served are those whose waits are, and worth goes by how many were on time and late.
-type figures struct {
+// classCounters are the counters of one class since the start. One goroutine writes, others read. Derived values are
+// not counted: the calls served are the sum of the wait buckets, and worth follows from how many were on time and late.
+type classCounters struct {
 	offered, refused, failed, late atomic.Uint64
-	waits                          [fleet.MaxBuckets]atomic.Uint64
+	waitBuckets                    [fleet.MaxBuckets]atomic.Uint64
 }
 
-// open is a call without a final answer.
-type open struct {
-	at, deadline int64
-	class        int32
-	out          bool // an attempt is out
+// openCall is a call without a final answer.
+type openCall struct {
+	arrivedAt, deadline int64
+	class               int32
+	attemptOut          bool // an attempt is out
 }
 
-// Meter counts for one process. Started is called once, when the loop of calls begins, and Also gives further figures beside
-// those of the deciders; both may be nil. Step, Reload, Avoids and Figures belong to the loop of calls; Read to any one goroutine.
+// Meter counts for one process. Started is called once, when the loop of calls begins, and Also adds figures to those
+// of the deciders; both may be nil. Step, Reload, Avoids and Figures belong to the loop of calls; Read to any one other
+// goroutine.
 type Meter struct {
 	Started func()
 	Also    func(put func(name string, n uint64, gauge bool))
@@ -41,38 +42,39 @@
 	reloader interface {
 		Reload(now int64, part any, out []decide.Action) []decide.Action
 	}
-	figurer interface {
+	figuresSource interface {
 		Figures(put func(name string, n uint64, gauge bool))
 	}
-	classes []decide.Class
-	slack   int64
-	names   []string
-	figures []figures
-	broken  atomic.Uint64
-	calls   map[decide.CallID]open
-	last    []fleet.ClassFigures // as Read gave them before
+	classes     []decide.Class
+	answerSlack int64
+	classNames  []string
+	counters    []classCounters
+	violations  atomic.Uint64
+	calls       map[decide.CallID]openCall
+	previous    []fleet.ClassFigures // totals at the last Read
 }
 
 // New returns a meter in front of a decider. Names are those of the settings' classes.
-func New(set decide.Settings, names []string, inner Decider) *Meter {
-	m := &Meter{inner: inner, classes: set.Classes, slack: set.Rules.AnswerSlack, names: names, figures: make([]figures, len(set.Classes)),
-		calls: map[decide.CallID]open{}, last: make([]fleet.ClassFigures, len(set.Classes))}
-	for i := range m.last {
-		m.last[i].Waits = make([]uint32, fleet.MaxBuckets)
+func New(settings decide.Settings, names []string, inner Decider) *Meter {
+	m := &Meter{inner: inner, classes: settings.Classes, answerSlack: settings.Rules.AnswerSlack,
+		classNames: names, counters: make([]classCounters, len(settings.Classes)),
+		calls: map[decide.CallID]openCall{}, previous: make([]fleet.ClassFigures, len(settings.Classes))}
+	for i := range m.previous {
+		m.previous[i].Waits = make([]uint32, fleet.MaxBuckets)
 	}
 	m.reloader, _ = inner.(interface {
 		Reload(now int64, part any, out []decide.Action) []decide.Action
 	})
-	m.figurer, _ = inner.(interface {
+	m.figuresSource, _ = inner.(interface {
 		Figures(put func(name string, n uint64, gauge bool))
 	})
 	return m
 }
 
-// one adds to a count of which this goroutine is the only writer.
-func one(n *atomic.Uint64) { n.Store(n.Load() + 1) }
+// increment adds one to a counter that only this goroutine writes.
+func increment(n *atomic.Uint64) { n.Store(n.Load() + 1) }
 
-// Step passes an event on and counts what it and the actions say.
+// Step passes an event on and counts what the event and the resulting actions report.
 func (m *Meter) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	switch e.Kind {
 	case decide.Start:
@@ -80,149 +82,152 @@
 			m.Started()
 		}
 	case decide.Order:
-		if e.Class >= 0 && e.Class < len(m.figures) {
-			f := &m.figures[e.Class]
-			one(&f.offered)
-			m.calls[e.Call] = open{at: now, deadline: e.Deadline, class: int32(e.Class)}
+		if e.Class >= 0 && e.Class < len(m.counters) {
+			counters := &m.counters[e.Class]
+			increment(&counters.offered)
+			m.calls[e.Call] = openCall{arrivedAt: now, deadline: e.Deadline, class: int32(e.Class)}
 		}
 	case decide.Begun:
-		m.end(now, e.Call, begun)
+		m.countFinal(now, e.Call, completed)
 	case decide.Ended:
-		if c, ok := m.calls[e.Call]; ok {
+		if call, ok := m.calls[e.Call]; ok {
 			if e.Final {
-				m.end(now, e.Call, failed)
-			} else if c.out {
-				c.out = false
-				m.calls[e.Call] = c
+				m.countFinal(now, e.Call, failed)
+			} else if call.attemptOut {
+				call.attemptOut = false
+				m.calls[e.Call] = call
 			}
 		}
 	case decide.Gone:
-		m.end(now, e.Call, gone)
+		m.countFinal(now, e.Call, callerLeft)
 	}
-	from := len(out)
+	first := len(out)
 	out = m.inner.Step(now, e, out)
-	m.acts(now, out[from:])
+	m.countActions(now, out[first:])
 	return out
 }
 
-func (m *Meter) acts(now int64, acts []decide.Action) {
-	for i := range acts {
-		switch a := &acts[i]; a.Kind {
+func (m *Meter) countActions(now int64, actions []decide.Action) {
+	for i := range actions {
+		switch action := &actions[i]; action.Kind {
 		case decide.Refuse:
-			m.end(now, a.Call, refused)
+			m.countFinal(now, action.Call, refused)
 		case decide.Fail:
-			m.end(now, a.Call, failed)
+			m.countFinal(now, action.Call, failed)
 		case decide.Send:
-			if c, ok := m.calls[a.Call]; ok {
-				if c.out { // two attempts of one call at once
-					one(&m.broken)
+			if call, ok := m.calls[action.Call]; ok {
+				if call.attemptOut { // two attempts of one call at the same time
+					increment(&m.violations)
 				}
-				c.out = true
-				m.calls[a.Call] = c
+				call.attemptOut = true
+				m.calls[action.Call] = call
 			}
 		}
 	}
 }
 
-type ending int
+type callResult int
 
 const (
-	begun ending = iota
+	completed callResult = iota
 	refused
 	failed
-	gone // the caller left: nobody was answered
+	callerLeft // the caller left: no answer was given
 )
 
-// end counts the final answer of a call, once.
-func (m *Meter) end(now int64, id decide.CallID, how ending) {
-	c, ok := m.calls[id]
+// countFinal counts the final answer of a call, once.
+func (m *Meter) countFinal(now int64, id decide.CallID, result callResult) {
+	call, ok := m.calls[id]
 	if !ok {
 		return
 	}
 	delete(m.calls, id)
-	f, class := &m.figures[c.class], &m.classes[c.class]
-	if how != gone && c.deadline > 0 && now > c.deadline+m.slack {
-		one(&m.broken)
+	counters, class := &m.counters[call.class], &m.classes[call.class]
+	if result != callerLeft && call.deadline > 0 && now > call.deadline+m.answerSlack {
+		increment(&m.violations)
 	}
-	switch how {
-	case begun:
-		wait := now - c.at
-		one(&f.waits[bucket(wait)]) // before late, which Read takes first: never more are late than served
+	switch result {
+	case completed:
+		wait := now - call.arrivedAt
+		increment(&counters.waitBuckets[bucket(wait)]) // before late, which Read loads first: late never exceeds served
 		if wait > class.Aim {
-			one(&f.late)
+			increment(&counters.late)
 		}
 	case refused:
-		one(&f.refused)
+		increment(&counters.refused)
 	default:
-		one(&f.failed)
+		increment(&counters.failed)
 	}
 }
 
-// bucket is the number of the waits that a wait, in microseconds, is among: those under 2^(i+9).
+// bucket returns the number of the bucket of a wait in microseconds; bucket i holds waits under 2^(i+9).
 func bucket(wait int64) int {
 	return min(max(0, bits.Len64(uint64(max(0, wait)))-9), fleet.MaxBuckets-1)
 }
 
-// Avoids passes the question on.
+// Avoids passes the query on.
 func (m *Meter) Avoids(id decide.ServerID) bool { return m.inner.Avoids(id) }
 
-// HearsEnds tells whether what is behind wants to hear of the ends of calls that stood.
+// HearsEnds reports whether the wrapped decider wants to receive the ends of established calls.
 func (m *Meter) HearsEnds() bool {
-	h, ok := m.inner.(interface{ HearsEnds() bool })
-	return ok && h.HearsEnds()
+	hearer, ok := m.inner.(interface{ HearsEnds() bool })
+	return ok && hearer.HearsEnds()
 }
 
-// Reload passes a configuration on, if what is behind takes one.
+// Reload passes a configuration on, if the wrapped decider accepts one.
 func (m *Meter) Reload(now int64, part any, out []decide.Action) []decide.Action {
 	if m.reloader == nil {
 		return out
 	}
-	from := len(out)
+	first := len(out)
 	out = m.reloader.Reload(now, part, out)
-	m.acts(now, out[from:])
+	m.countActions(now, out[first:])
 	return out
 }
 
-// Figures gives the figures of what is behind.
+// Figures reports the figures of the wrapped decider and those of the meter.
 func (m *Meter) Figures(put func(name string, n uint64, gauge bool)) {
-	if m.figurer != nil {
-		m.figurer.Figures(put)
+	if m.figuresSource != nil {
+		m.figuresSource.Figures(put)
 	}
-	put("meter_broken", m.broken.Load(), false)
+	put("meter_broken", m.violations.Load(), false)
 	if m.Also != nil {
 		m.Also(put)
 	}
 }
 
-// Read gives what was counted since the last Read, as the calls' part of a window. Figures that change while it reads are in
-// this one or the next.
+// Read returns the counts since the last Read, as the calls' part of a window. Counters that change during a read
+// appear in this result or the next.
 func (m *Meter) Read() fleet.Window {
-	w := fleet.Window{Broken: m.broken.Load(), Class: make([]fleet.ClassFigures, len(m.figures))}
-	for i := range m.figures {
-		f, last, c := &m.figures[i], &m.last[i], &w.Class[i]
-		c.Name = m.names[i]
-		for _, x := range []struct {
+	window := fleet.Window{Broken: m.violations.Load(), Class: make([]fleet.ClassFigures, len(m.counters))}
+	for i := range m.counters {
+		counters, previous, figures := &m.counters[i], &m.previous[i], &window.Class[i]
+		figures.Name = m.classNames[i]
+		for _, counter := range []struct {
 			now       *atomic.Uint64
 			last, out *uint64
-		}{{&f.late, &last.Late, &c.Late}, {&f.offered, &last.Offered, &c.Offered}, {&f.refused, &last.Refused, &c.Refused},
-			{&f.failed, &last.Failed, &c.Failed}} {
-			n := x.now.Load()
-			*x.out, *x.last = n-*x.last, n
+		}{{&counters.late, &previous.Late, &figures.Late},
+			{&counters.offered, &previous.Offered, &figures.Offered},
+			{&counters.refused, &previous.Refused, &figures.Refused},
+			{&counters.failed, &previous.Failed, &figures.Failed}} {
+			n := counter.now.Load()
+			*counter.out, *counter.last = n-*counter.last, n
 		}
-		c.Waits = make([]uint32, fleet.MaxBuckets)
-		most := 0
-		for j := range f.waits {
-			n := uint32(f.waits[j].Load())
-			if c.Waits[j] = n - last.Waits[j]; c.Waits[j] > 0 {
-				most = j + 1
+		figures.Waits = make([]uint32, fleet.MaxBuckets)
+		used := 0
+		for j := range counters.waitBuckets {
+			n := uint32(counters.waitBuckets[j].Load())
+			if figures.Waits[j] = n - previous.Waits[j]; figures.Waits[j] > 0 {
+				used = j + 1
 			}
-			c.Served += uint64(c.Waits[j])
-			last.Waits[j] = n
+			figures.Served += uint64(figures.Waits[j])
+			previous.Waits[j] = n
 		}
-		c.Waits = c.Waits[:most]
+		figures.Waits = figures.Waits[:used]
 		class := &m.classes[i]
-		late := float64(c.Late)
-		c.Whole, c.Worth = float64(c.Offered)*class.Worth, max(0, float64(c.Served)-late)*class.Worth+late*class.Worth*class.LateWorth
+		late := float64(figures.Late)
+		figures.Whole, figures.Worth = float64(figures.Offered)*class.Worth,
+			max(0, float64(figures.Served)-late)*class.Worth+late*class.Worth*class.LateWorth
 	}
-	return w
+	return window
 }
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -10,31 +10,33 @@
 	"pewterwheel/internal/fleet"
 )
 
-// scripted answers each event with what it is set to.
-type scripted struct{ acts []decide.Action }
+// scriptedDecider answers each event with preset actions.
+type scriptedDecider struct{ actions []decide.Action }
 
-func (s *scripted) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action {
-	out = append(out, s.acts...)
-	s.acts = s.acts[:0]
+func (s *scriptedDecider) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action {
+	out = append(out, s.actions...)
+	s.actions = s.actions[:0]
 	return out
 }
-func (s *scripted) Avoids(id decide.ServerID) bool { return id == "x" }
-func (s *scripted) Reload(_ int64, part any, out []decide.Action) []decide.Action {
+func (s *scriptedDecider) Avoids(id decide.ServerID) bool { return id == "x" }
+func (s *scriptedDecider) Reload(_ int64, part any, out []decide.Action) []decide.Action {
 	return append(out, decide.Action{Kind: decide.Log, Text: part.(string)})
 }
-func (s *scripted) Figures(put func(string, uint64, bool)) { put("inner", 3, true) }
+func (s *scriptedDecider) Figures(put func(string, uint64, bool)) { put("inner", 3, true) }
 
-var settings = decide.Settings{Classes: []decide.Class{{Aim: 1000, Deadline: 5000, Worth: 2, LateWorth: 0.5}, {Aim: 1000, Deadline: 5000, Worth: 10}},
+var settings = decide.Settings{Classes: []decide.Class{
+	{Aim: 1000, Deadline: 5000, Worth: 2, LateWorth: 0.5}, {Aim: 1000, Deadline: 5000, Worth: 10}},
 	Rules: decide.Rules{AnswerSlack: 100}}
 
-// Each way that a call can end is counted once, by its class, and what must never be is counted as broken.
+// Each way in which a call can end is counted once, in its class, and states that must never occur are counted as
+// violations.
 func TestCounts(t *testing.T) {
-	inner := &scripted{}
+	inner := &scriptedDecider{}
 	m := New(settings, []string{"a", "b"}, inner)
 	step := func(now int64, e decide.Event, acts ...decide.Action) {
-		inner.acts = acts
+		inner.actions = acts
 		if out := m.Step(now, e, []decide.Action{{Kind: decide.Watch}}); len(out) != 1+len(acts) {
-			t.Errorf("%v came through as %v", acts, out)
+			t.Errorf("actions %v were passed on as %v", acts, out)
 		}
 	}
 	order := func(id decide.CallID, class int, acts ...decide.Action) {
@@ -43,12 +45,12 @@
 	send := func(id decide.CallID) decide.Action { return decide.Action{Kind: decide.Send, Call: id} }
 	order(1, 0, send(1))
 	step(900, decide.Event{Kind: decide.Begun, Call: 1})
-	step(90000, decide.Event{Kind: decide.Ended, Call: 1, Outcome: decide.OK}) // it stood: counted already
+	step(90000, decide.Event{Kind: decide.Ended, Call: 1, Outcome: decide.OK}) // established: counted already
 	order(2, 0, send(2))
 	step(2000, decide.Event{Kind: decide.Begun, Call: 2}) // late
 	order(3, 0, decide.Action{Kind: decide.Refuse, Call: 3})
 	order(4, 1, send(4))
-	step(10, decide.Event{Kind: decide.Ended, Call: 4, Outcome: decide.Unreached}, send(4)) // a second attempt after the first
+	step(10, decide.Event{Kind: decide.Ended, Call: 4, Outcome: decide.Unreached}, send(4)) // second attempt
 	step(20, decide.Event{Kind: decide.Ended, Call: 4, Outcome: decide.Failed, Final: true})
 	order(5, 1)
 	step(5000, decide.Event{Kind: decide.Gone, Call: 5})
@@ -61,42 +63,43 @@
 		t.Error(d)
 	}
 	order(7, 0, send(7))
-	step(10, decide.Event{Kind: decide.Fired}, send(7)) // two out at once
+	step(10, decide.Event{Kind: decide.Fired}, send(7)) // two attempts out at the same time
 	order(8, 0)
-	step(5101, decide.Event{Kind: decide.Fired}, decide.Action{Kind: decide.Refuse, Call: 8}) // answered after its deadline
+	step(5101, decide.Event{Kind: decide.Fired}, decide.Action{Kind: decide.Refuse, Call: 8}) // too late
 	if w := m.Read(); w.Broken != 2 || w.Class[0].Offered != 2 || w.Class[0].Refused != 1 {
 		t.Errorf("%+v", w)
 	}
 	if w := m.Read(); w.Broken != 2 || w.Class[0].Offered != 0 || len(m.calls) != 1 {
-		t.Errorf("%+v, %d calls are kept", w, len(m.calls))
+		t.Errorf("%+v, %d calls are kept, want 1", w, len(m.calls))
 	}
 	if out := m.Reload(1, "routes", nil); len(out) != 1 || out[0].Text != "routes" || !m.Avoids("x") || m.Avoids("y") {
-		t.Error("what is behind was not asked")
+		t.Error("the wrapped decider was not called")
 	}
 	names := map[string]uint64{}
 	m.Also = func(put func(string, uint64, bool)) { put("also", 4, true) }
 	m.Figures(func(name string, n uint64, _ bool) { names[name] = n })
 	if names["inner"] != 3 || names["also"] != 4 || names["meter_broken"] != 2 {
-		t.Errorf("%v", names)
+		t.Errorf("figures %v", names)
 	}
 }
 
 func TestBuckets(t *testing.T) {
-	for wait, want := range map[int64]int{-5: 0, 0: 0, 511: 0, 512: 1, 1023: 1, 1024: 2, 800_000: 11, 1 << 60: fleet.MaxBuckets - 1} {
+	for wait, want := range map[int64]int{-5: 0, 0: 0, 511: 0, 512: 1, 1023: 1, 1024: 2, 800_000: 11,
+		1 << 60: fleet.MaxBuckets - 1} {
 		if got := bucket(wait); got != want {
-			t.Errorf("%d is in bucket %d, want %d", wait, got, want)
+			t.Errorf("a wait of %d is in bucket %d, want %d", wait, got, want)
 		}
 	}
 }
 
-type nothing struct{}
+type noopDecider struct{}
 
-func (nothing) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
-func (nothing) Avoids(decide.ServerID) bool                                       { return false }
+func (noopDecider) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
+func (noopDecider) Avoids(decide.ServerID) bool                                       { return false }
 
-// What the meter takes of one call, in two events, with a thousand open.
+// Cost of the meter for one call, in two events, with a thousand calls open.
 func BenchmarkCall(b *testing.B) {
-	m := New(settings, []string{"a", "b"}, nothing{})
+	m := New(settings, []string{"a", "b"}, noopDecider{})
 	for i := range 1000 {
 		m.Step(0, decide.Event{Kind: decide.Order, Call: decide.CallID(i), Deadline: 5000}, nil)
 	}
@@ -109,9 +112,9 @@
 	}
 }
 
-// A call takes no allocation.
+// Counting a call allocates nothing.
 func TestNoAllocation(t *testing.T) {
-	m := New(settings, []string{"a", "b"}, nothing{})
+	m := New(settings, []string{"a", "b"}, noopDecider{})
 	id := decide.CallID(0)
 	if n := testing.AllocsPerRun(10_000, func() {
 		id++
