--- a/internal/recovery/record.go
+++ b/internal/recovery/record.go
@@ -1,5 +1,5 @@
-// Package recovery decides what of a running program becomes records of a store, how records fold back into a state, and
-// what of that state may still be believed at a given age. It owns no file and no clock; times are Unix microseconds.
+// Package recovery converts the state of a running program to records of a store, rebuilds the state from them, and
+// decides which of it is still valid at a given age. It uses no file and no clock; times are Unix microseconds.
 package recovery
 
 import (
@@ -14,24 +14,24 @@
 	"pewterwheel/internal/store"
 )
 
-// Stage is how far a call is.
+// Stage is the progress of a call.
 type Stage byte
 
-// The stages of a call that is kept.
+// Stages of a stored call.
 const (
-	Out     Stage = iota + 1 // an attempt is out
-	Stands                   // it stands at its office
-	Guarded                  // no attempt is out, and none may be before its guard is over
+	AttemptOut  Stage = iota + 1 // an attempt is out
+	Established                  // the call is established at its office
+	Guarded                      // no attempt is out, and none may be sent before the guard time has passed
 )
 
 func (s Stage) String() string {
-	if s < Out || s > Guarded {
+	if s < AttemptOut || s > Guarded {
 		return "stage " + strconv.Itoa(int(s))
 	}
 	return [...]string{"", "out", "stands", "guarded"}[s]
 }
 
-// Call is what is kept of a call.
+// Call is the stored state of a call.
 type Call struct {
 	ID       uint64          `json:"id"`
 	Stage    Stage           `json:"stage"`
@@ -39,11 +39,11 @@
 	Attempts int             `json:"attempts"`
 	Since    int64           `json:"since"`           // when the stage began
 	Deadline int64           `json:"deadline"`        // when the caller gives up
-	Until    int64           `json:"until,omitempty"` // when the guard is over
+	Until    int64           `json:"until,omitempty"` // when the guard time has passed
 }
 
-// Member is what is kept of an office on the list.
-type Member struct {
+// OfficeEntry is the stored state of an office on the list.
+type OfficeEntry struct {
 	Office  decide.ServerID `json:"office"`
 	Address string          `json:"address"`
 	State   decide.State    `json:"state"`
@@ -51,39 +51,39 @@
 	Zone    int             `json:"zone"`
 	Share   float64         `json:"share"`
 	Started int64           `json:"started"`
-	Told    int64           `json:"told"` // when it was last told of
+	Told    int64           `json:"told"` // when the list last reported it
 }
 
-// Limit is a limit that was learned.
+// Limit is a learned limit.
 type Limit struct {
 	Office  decide.ServerID `json:"office"`
-	Open    float64         `json:"open"` // set-ups that the office may have open
+	Open    float64         `json:"open"` // maximum of open set-ups at the office
 	Learned int64           `json:"learned"`
 }
 
-// State is all that is kept.
+// State is the whole stored state.
 type State struct {
 	Calls   map[uint64]Call
-	Members map[decide.ServerID]Member
+	Offices map[decide.ServerID]OfficeEntry
 	Limits  map[decide.ServerID]Limit
 }
 
 // NewState returns an empty state.
 func NewState() State {
-	return State{map[uint64]Call{}, map[decide.ServerID]Member{}, map[decide.ServerID]Limit{}}
+	return State{map[uint64]Call{}, map[decide.ServerID]OfficeEntry{}, map[decide.ServerID]Limit{}}
 }
 
-// Keys of records begin with what they are.
-const callKey, memberKey, limitKey = "c/", "m/", "l/"
+// Prefixes of the keys of records, by type.
+const callKey, officeKey, limitKey = "c/", "m/", "l/"
 
-// form leads a value: another one is read by its own rules.
-const form = 1
+// valueVersion is the first byte of a value; a later version of the format has another.
+const valueVersion = 1
 
-var errValue = errors.New("a value that cannot be read")
+var errUnreadable = errors.New("value cannot be decoded")
 
-// pack writes a value's fields: numbers, and texts led by their length.
-func pack(fields ...any) []byte {
-	b := []byte{form}
+// encodeFields encodes the fields of a value: numbers, and strings with their length in front.
+func encodeFields(fields ...any) []byte {
+	b := []byte{valueVersion}
 	for _, f := range fields {
 		switch f := f.(type) {
 		case int64:
@@ -97,10 +97,10 @@
 	return b
 }
 
-// unpack reads fields of the same kinds in the same order; nothing may be left.
-func unpack(b []byte, fields ...any) error {
-	if len(b) == 0 || b[0] != form {
-		return errValue
+// decodeFields reads fields of the same types in the same order; the value must contain nothing else.
+func decodeFields(b []byte, fields ...any) error {
+	if len(b) == 0 || b[0] != valueVersion {
+		return errUnreadable
 	}
 	b = b[1:]
 	for _, f := range fields {
@@ -108,129 +108,133 @@
 		case *int64:
 			n, k := binary.Varint(b)
 			if k <= 0 {
-				return errValue
+				return errUnreadable
 			}
 			*f, b = n, b[k:]
 		case *float64:
 			if len(b) < 8 {
-				return errValue
+				return errUnreadable
 			}
 			*f, b = math.Float64frombits(binary.BigEndian.Uint64(b)), b[8:]
 		case *string:
 			n, k := binary.Uvarint(b)
 			if k <= 0 || n > uint64(len(b)-k) {
-				return errValue
+				return errUnreadable
 			}
 			*f, b = string(b[k:k+int(n)]), b[k+int(n):]
 		}
 	}
 	if len(b) > 0 {
-		return errValue
+		return errUnreadable
 	}
 	return nil
 }
 
 func (c Call) op() store.Op {
 	return store.Op{Key: callKey + strconv.FormatUint(c.ID, 16),
-		Value: pack(int64(c.Stage), string(c.Office), int64(c.Attempts), c.Since, c.Deadline, c.Until)}
+		Value: encodeFields(int64(c.Stage), string(c.Office), int64(c.Attempts), c.Since, c.Deadline, c.Until)}
 }
 
-func (m Member) op() store.Op {
-	return store.Op{Key: memberKey + string(m.Office),
-		Value: pack(m.Address, int64(m.State), int64(m.Place), int64(m.Zone), m.Share, m.Started, m.Told)}
+func (o OfficeEntry) op() store.Op {
+	return store.Op{Key: officeKey + string(o.Office),
+		Value: encodeFields(o.Address, int64(o.State), int64(o.Place), int64(o.Zone), o.Share, o.Started, o.Told)}
 }
 
 func (l Limit) op() store.Op {
-	return store.Op{Key: limitKey + string(l.Office), Value: pack(l.Open, l.Learned)}
+	return store.Op{Key: limitKey + string(l.Office), Value: encodeFields(l.Open, l.Learned)}
 }
 
-func gone(key string) store.Op { return store.Op{Delete: true, Key: key} }
+func deletion(key string) store.Op { return store.Op{Delete: true, Key: key} }
 
-func readCall(key string, value []byte) (c Call, err error) {
-	if c.ID, err = strconv.ParseUint(strings.TrimPrefix(key, callKey), 16, 64); err != nil {
-		return c, errValue
+func readCall(key string, value []byte) (call Call, err error) {
+	if call.ID, err = strconv.ParseUint(strings.TrimPrefix(key, callKey), 16, 64); err != nil {
+		return call, errUnreadable
 	}
 	var stage, attempts int64
-	err = unpack(value, &stage, (*string)(&c.Office), &attempts, &c.Since, &c.Deadline, &c.Until)
-	c.Stage, c.Attempts = Stage(stage), int(attempts)
-	if err == nil && (c.Stage < Out || c.Stage > Guarded || stage > int64(Guarded)) {
-		err = errValue
+	err = decodeFields(value, &stage, (*string)(&call.Office), &attempts, &call.Since, &call.Deadline, &call.Until)
+	call.Stage, call.Attempts = Stage(stage), int(attempts)
+	if err == nil && (call.Stage < AttemptOut || call.Stage > Guarded || stage > int64(Guarded)) {
+		err = errUnreadable
 	}
-	return c, err
+	return call, err
 }
 
-func readMember(key string, value []byte) (m Member, err error) {
-	var s, place, zone int64
-	err = unpack(value, &m.Address, &s, &place, &zone, &m.Share, &m.Started, &m.Told)
-	m.Office, m.State, m.Place, m.Zone = decide.ServerID(strings.TrimPrefix(key, memberKey)), decide.State(s), int(place), int(zone)
-	if err == nil && (m.State < decide.Up || m.State > decide.Removed || !(m.Share >= 0) || math.IsInf(m.Share, 0)) {
-		err = errValue
+func readOfficeEntry(key string, value []byte) (entry OfficeEntry, err error) {
+	var state, place, zone int64
+	err = decodeFields(value, &entry.Address, &state, &place, &zone, &entry.Share, &entry.Started, &entry.Told)
+	entry.Office, entry.State, entry.Place, entry.Zone =
+		decide.ServerID(strings.TrimPrefix(key, officeKey)), decide.State(state), int(place), int(zone)
+	if err == nil && (entry.State < decide.Up || entry.State > decide.Removed || !(entry.Share >= 0) ||
+		math.IsInf(entry.Share, 0)) {
+		err = errUnreadable
 	}
-	return m, err
+	return entry, err
 }
 
-func readLimit(key string, value []byte) (l Limit, err error) {
-	err = unpack(value, &l.Open, &l.Learned)
-	l.Office = decide.ServerID(strings.TrimPrefix(key, limitKey))
-	if err == nil && (!(l.Open >= 0) || math.IsInf(l.Open, 0)) {
-		err = errValue
+func readLimit(key string, value []byte) (limit Limit, err error) {
+	err = decodeFields(value, &limit.Open, &limit.Learned)
+	limit.Office = decide.ServerID(strings.TrimPrefix(key, limitKey))
+	if err == nil && (!(limit.Open >= 0) || math.IsInf(limit.Open, 0)) {
+		err = errUnreadable
 	}
-	return l, err
+	return limit, err
 }
 
-// Describe reads one record, for people.
+// Describe decodes one record for display.
 func Describe(key string, value []byte) (any, error) {
 	switch {
 	case strings.HasPrefix(key, callKey):
 		return readCall(key, value)
-	case strings.HasPrefix(key, memberKey):
-		return readMember(key, value)
+	case strings.HasPrefix(key, officeKey):
+		return readOfficeEntry(key, value)
 	case strings.HasPrefix(key, limitKey):
 		return readLimit(key, value)
 	}
-	return nil, fmt.Errorf("key %q: %w", key, errValue)
+	return nil, fmt.Errorf("key %q: %w", key, errUnreadable)
 }
 
-// Fold makes the state of a store's records. What cannot be read is left out and named: it is not guessed at.
-func Fold(records map[string][]byte) (State, []string) {
-	s := NewState()
-	var unread []string
-	for key, value := range records { // no order: each is a value of its own
+// BuildState builds the state from a store's records. Unreadable records are left out, and their keys are returned;
+// their content is not guessed.
+func BuildState(records map[string][]byte) (State, []string) {
+	state := NewState()
+	var unreadable []string
+	for key, value := range records { // the order is irrelevant: records are independent
 		v, err := Describe(key, value)
 		if err != nil {
-			unread = append(unread, key)
+			unreadable = append(unreadable, key)
 			continue
 		}
 		switch v := v.(type) {
 		case Call:
-			s.Calls[v.ID] = v
-		case Member:
-			s.Members[v.Office] = v
+			state.Calls[v.ID] = v
+		case OfficeEntry:
+			state.Offices[v.Office] = v
 		case Limit:
-			s.Limits[v.Office] = v
+			state.Limits[v.Office] = v
 		}
 	}
-	return s, unread
+	return state, unreadable
 }
 
-// Later decides what a record that was found behind damage does to the one before it. It can only end or tighten: a
-// call takes its later stage, a member is drained or removed but never up again, a limit falls. Nothing new comes of it.
-func Later(key string, have []byte, op store.Op) (store.Op, bool) {
-	was, err := Describe(key, have)
-	is, err2 := Describe(key, op.Value)
-	if err2 != nil {
+// Later decides how a record that was read after a damaged part of the store replaces the stored one. It can only end
+// or restrict: a call moves to a later stage, an office becomes draining or removed but never up again, a limit falls.
+// Nothing new is created.
+func Later(key string, stored []byte, op store.Op) (store.Op, bool) {
+	previous, err := Describe(key, stored)
+	current, currentErr := Describe(key, op.Value)
+	if currentErr != nil {
 		return op, false
 	}
 	if err != nil {
-		return gone(key), true // what it said cannot be read, and it has changed since
+		return deletion(key), true // the stored value is unreadable, and has changed since
 	}
-	switch is := is.(type) {
+	switch current := current.(type) {
 	case Call:
-		return op, is.Stage >= was.(Call).Stage
-	case Member:
-		return op, is.State > was.(Member).State
+		return op, current.Stage >= previous.(Call).Stage
+	case OfficeEntry:
+		return op, current.State > previous.(OfficeEntry).State
 	case Limit:
-		return op, is.Open < was.(Limit).Open
+		return op, current.Open < previous.(Limit).Open
 	}
 	return op, false
 }
--- a/internal/recovery/recorder.go
+++ b/internal/recovery/recorder.go
@@ -8,100 +8,101 @@
 	"pewterwheel/internal/store"
 )
 
-// Recorder turns what happens in a round into one batch of records, and keeps the state, so that all of it can be handed
-// over where batches were lost. It belongs to one goroutine.
+// Recorder turns the events of a round into one batch of records. It keeps the state, so that it can be written as a
+// whole where batches were lost. It belongs to one goroutine.
 type Recorder struct {
 	state   State
-	changed map[string]store.Op // of this round, by key: the last one counts
-	known   map[string]bool     // keys that a batch before this one has
+	changed map[string]store.Op // in this round, by key: the last change counts
+	stored  map[string]bool     // keys that an earlier batch contains
 }
 
-// NewRecorder returns a recorder that goes on from a state, which the store has.
-func NewRecorder(s State) *Recorder {
-	r := &Recorder{state: s, changed: map[string]store.Op{}, known: map[string]bool{}}
-	r.Whole()
+// NewRecorder returns a recorder that continues from a state that the store already has.
+func NewRecorder(state State) *Recorder {
+	r := &Recorder{state: state, changed: map[string]store.Op{}, stored: map[string]bool{}}
+	r.Snapshot()
 	return r
 }
 
-func (r *Recorder) set(op store.Op) { r.changed[op.Key] = op }
+func (r *Recorder) addChange(op store.Op) { r.changed[op.Key] = op }
 
-// Sent notes that an attempt is out.
+// Sent records that an attempt is out.
 func (r *Recorder) Sent(id uint64, office decide.ServerID, attempts int, now, deadline int64) {
-	r.call(Call{ID: id, Stage: Out, Office: office, Attempts: attempts, Since: now, Deadline: deadline})
+	r.setCall(Call{ID: id, Stage: AttemptOut, Office: office, Attempts: attempts, Since: now, Deadline: deadline})
 }
 
-// Stood notes that a call stands.
-func (r *Recorder) Stood(id uint64, office decide.ServerID, now int64) {
-	r.call(Call{ID: id, Stage: Stands, Office: office, Attempts: r.state.Calls[id].Attempts, Since: now})
+// CallEstablished records that a call is established.
+func (r *Recorder) CallEstablished(id uint64, office decide.ServerID, now int64) {
+	r.setCall(Call{ID: id, Stage: Established, Office: office, Attempts: r.state.Calls[id].Attempts, Since: now})
 }
 
-func (r *Recorder) call(c Call) {
-	r.state.Calls[c.ID] = c
-	r.set(c.op())
+func (r *Recorder) setCall(call Call) {
+	r.state.Calls[call.ID] = call
+	r.addChange(call.op())
 }
 
-// Ended notes that a call's attempt, or the call, is over. While its guard runs that is kept.
+// Ended records that a call's attempt, or the call, has ended. A call is kept while its guard time runs.
 func (r *Recorder) Ended(id uint64, now, guard int64) {
-	c, ok := r.state.Calls[id]
+	call, ok := r.state.Calls[id]
 	switch {
 	case !ok:
 	case guard > now:
-		c.Stage, c.Since, c.Until = Guarded, now, guard
-		r.call(c)
+		call.Stage, call.Since, call.Until = Guarded, now, guard
+		r.setCall(call)
 	default:
 		delete(r.state.Calls, id)
-		r.set(gone(c.op().Key))
+		r.addChange(deletion(call.op().Key))
 	}
 }
 
-// Expire forgets guards that are over.
-func (r *Recorder) Expire(now int64) {
-	for id, c := range r.state.Calls { // no order: each is judged alone
+// ExpireGuards removes calls whose guard time has passed.
+func (r *Recorder) ExpireGuards(now int64) {
+	for id, c := range r.state.Calls { // the order is irrelevant: calls are independent
 		if c.Stage == Guarded && c.Until <= now {
 			r.Ended(id, now, 0)
 		}
 	}
 }
 
-// Listed notes what the list says of an office.
-func (r *Recorder) Listed(m Member) {
-	if m.State == decide.Removed {
-		if _, ok := r.state.Members[m.Office]; ok {
-			delete(r.state.Members, m.Office)
-			r.set(gone(m.op().Key))
+// SetOffice records an entry of the list of offices.
+func (r *Recorder) SetOffice(entry OfficeEntry) {
+	if entry.State == decide.Removed {
+		if _, ok := r.state.Offices[entry.Office]; ok {
+			delete(r.state.Offices, entry.Office)
+			r.addChange(deletion(entry.op().Key))
 		}
-		r.Learned(Limit{Office: m.Office})
+		r.SetLimit(Limit{Office: entry.Office})
 		return
 	}
-	if r.state.Members[m.Office] != m {
-		r.state.Members[m.Office] = m
-		r.set(m.op())
+	if r.state.Offices[entry.Office] != entry {
+		r.state.Offices[entry.Office] = entry
+		r.addChange(entry.op())
 	}
 }
 
-// Learned notes a limit; none at all is no limit.
-func (r *Recorder) Learned(l Limit) {
-	was, ok := r.state.Limits[l.Office]
+// SetLimit records a learned limit; an Open of zero removes it.
+func (r *Recorder) SetLimit(limit Limit) {
+	previous, ok := r.state.Limits[limit.Office]
 	switch {
-	case l.Open <= 0 && ok:
-		delete(r.state.Limits, l.Office)
-		r.set(gone(l.op().Key))
-	case l.Open > 0 && was != l:
-		r.state.Limits[l.Office] = l
-		r.set(l.op())
+	case limit.Open <= 0 && ok:
+		delete(r.state.Limits, limit.Office)
+		r.addChange(deletion(limit.op().Key))
+	case limit.Open > 0 && previous != limit:
+		r.state.Limits[limit.Office] = limit
+		r.addChange(limit.op())
 	}
 }
 
-// Batch is what has changed since the last one, by key. What came and went between is not in it.
+// Batch returns the changes since the last batch, ordered by key. Records that were both created and deleted since then
+// are left out.
 func (r *Recorder) Batch() []store.Op {
 	var ops []store.Op
 	for _, key := range slices.Sorted(maps.Keys(r.changed)) {
 		op := r.changed[key]
-		if op.Delete && !r.known[key] {
+		if op.Delete && !r.stored[key] {
 			continue
 		}
-		if r.known[key] = true; op.Delete {
-			delete(r.known, key)
+		if r.stored[key] = true; op.Delete {
+			delete(r.stored, key)
 		}
 		ops = append(ops, op)
 	}
@@ -109,94 +110,97 @@
 	return ops
 }
 
-// Whole is all there is, for a store that has lost a batch.
-func (r *Recorder) Whole() []store.Op {
+// Snapshot returns the whole state, for a store that has lost a batch.
+func (r *Recorder) Snapshot() []store.Op {
 	clear(r.changed)
-	clear(r.known)
+	clear(r.stored)
 	var ops []store.Op
 	for _, id := range slices.Sorted(maps.Keys(r.state.Calls)) {
 		ops = append(ops, r.state.Calls[id].op())
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.state.Members)) {
-		ops = append(ops, r.state.Members[id].op())
+	for _, id := range slices.Sorted(maps.Keys(r.state.Offices)) {
+		ops = append(ops, r.state.Offices[id].op())
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.state.Limits)) {
 		ops = append(ops, r.state.Limits[id].op())
 	}
 	for _, op := range ops {
-		r.known[op.Key] = true
+		r.stored[op.Key] = true
 	}
 	return ops
 }
 
-// Trust is how long what was kept is believed. Microseconds.
-type Trust struct {
-	Guard    int64   // the rule's: no attempt of a call within it after one was cut
-	Standing int64   // no call stands for longer
-	Fresh    int64   // a member told of so lately is believed in full
-	Stale    int64   // one told of so long ago is not believed to be there at all
-	Least    float64 // what is left of its weight just before that
-	Half     int64   // a limit is worth half after this
+// RetentionPolicy says how long stored state is considered valid. Times are microseconds.
+type RetentionPolicy struct {
+	Guard         int64   // the rule's guard time: no attempt of a call so soon after one was cut off
+	MaxCallAge    int64   // no call is established for longer
+	FullWeightAge int64   // an office reported within this age has its full weight
+	MaxOfficeAge  int64   // an office last reported this long ago is dropped
+	MinWeight     float64 // the part of its weight that an office has just before MaxOfficeAge
+	LimitHalfLife int64   // a limit halves each time this has passed
 }
 
-// Usual is what is believed where nothing else is said.
-func Usual(guard int64) Trust {
-	return Trust{Guard: guard, Standing: 3600e6, Fresh: 10e6, Stale: 24 * 3600e6, Least: 0.1, Half: 30e6}
+// DefaultPolicy returns the policy that applies where no other is configured.
+func DefaultPolicy(guard int64) RetentionPolicy {
+	return RetentionPolicy{Guard: guard, MaxCallAge: 3600e6, FullWeightAge: 10e6, MaxOfficeAge: 24 * 3600e6,
+		MinWeight: 0.1, LimitHalfLife: 30e6}
 }
 
-// Believed is what a starting program may go by.
-type Believed struct {
-	Standing []Call                      // calls that stood, and may still
-	Release  []Call                      // attempts that were out: nobody waits for them any more, and their offices are to be told
-	Guards   map[uint64]int64            // no attempt of these before then
-	Members  []Member                    // with the weight that their age leaves; drained ones stay drained
-	Limits   map[decide.ServerID]float64 // of members alone
-	Dropped  int                         // records too old to be believed
+// Restored is the state from which a starting program may continue.
+type Restored struct {
+	Established []Call                      // established calls that may still exist
+	Release     []Call                      // attempts that were out: no caller waits, the offices must be told
+	Guards      map[uint64]int64            // no attempt of these calls before then
+	Offices     []OfficeEntry               // with the weight that their age leaves; draining ones stay draining
+	Limits      map[decide.ServerID]float64 // of offices in Offices only
+	Dropped     int                         // records that are too old
 }
 
-// Believe tells what of a state may still be believed at a time. A cut ends every attempt that was out, and its guard runs
-// from now on, for nobody knows when it ended. A clock that was set back makes nothing older than it is, and no guard longer.
-func Believe(s State, now int64, t Trust) Believed {
-	b := Believed{Guards: map[uint64]int64{}, Limits: map[decide.ServerID]float64{}}
-	for _, id := range slices.Sorted(maps.Keys(s.Calls)) {
-		c := s.Calls[id]
-		switch c.Stage {
-		case Out:
-			b.Release = append(b.Release, c)
-			b.Guards[id] = now + t.Guard
-		case Stands:
-			if now-c.Since > t.Standing {
-				b.Release = append(b.Release, c)
-				b.Dropped++
+// Restore returns the part of a state that is still valid at a time. An interruption ends every attempt that was out;
+// its guard time runs from now on, because the time of its end is unknown. After the clock was set back, no record
+// counts as older than it is and no guard time is longer.
+func Restore(state State, now int64, policy RetentionPolicy) Restored {
+	restored := Restored{Guards: map[uint64]int64{}, Limits: map[decide.ServerID]float64{}}
+	for _, id := range slices.Sorted(maps.Keys(state.Calls)) {
+		call := state.Calls[id]
+		switch call.Stage {
+		case AttemptOut:
+			restored.Release = append(restored.Release, call)
+			restored.Guards[id] = now + policy.Guard
+		case Established:
+			if now-call.Since > policy.MaxCallAge {
+				restored.Release = append(restored.Release, call)
+				restored.Dropped++
 				continue
 			}
-			b.Standing = append(b.Standing, c)
+			restored.Established = append(restored.Established, call)
 		case Guarded:
-			if until := min(c.Until, now+t.Guard); until > now {
-				b.Guards[id] = until
+			if until := min(call.Until, now+policy.Guard); until > now {
+				restored.Guards[id] = until
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.Members)) {
-		m := s.Members[id]
-		age := max(0, now-m.Told)
-		if age >= t.Stale {
-			b.Dropped++
+	for _, id := range slices.Sorted(maps.Keys(state.Offices)) {
+		entry := state.Offices[id]
+		age := max(0, now-entry.Told)
+		if age >= policy.MaxOfficeAge {
+			restored.Dropped++
 			continue
 		}
-		if age > t.Fresh {
-			m.Share *= 1 - (1-t.Least)*float64(age-t.Fresh)/float64(t.Stale-t.Fresh)
+		if age > policy.FullWeightAge {
+			entry.Share *= 1 - (1-policy.MinWeight)*float64(age-policy.FullWeightAge)/
+				float64(policy.MaxOfficeAge-policy.FullWeightAge)
 		}
-		b.Members = append(b.Members, m)
-		if l, ok := s.Limits[id]; ok {
-			open := l.Open
-			for left := max(0, now-l.Learned); left >= t.Half && open >= 1; left -= t.Half {
+		restored.Offices = append(restored.Offices, entry)
+		if limit, ok := state.Limits[id]; ok {
+			open := limit.Open
+			for since := max(0, now-limit.Learned); since >= policy.LimitHalfLife && open >= 1; since -= policy.LimitHalfLife {
 				open /= 2
 			}
 			if open >= 1 {
-				b.Limits[id] = open
+				restored.Limits[id] = open
 			}
 		}
 	}
-	return b
+	return restored
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -14,7 +14,7 @@
 
 const guard = int64(200_000)
 
-// history is a random run: what was written in each round, and the state after it.
+// history is a random run: the batch of each round, and the state after it.
 type history struct {
 	batches [][]store.Op
 	states  []State
@@ -22,7 +22,7 @@
 }
 
 func (s State) clone() State {
-	return State{maps.Clone(s.Calls), maps.Clone(s.Members), maps.Clone(s.Limits)}
+	return State{maps.Clone(s.Calls), maps.Clone(s.Offices), maps.Clone(s.Limits)}
 }
 
 func drawHistory(t *rapid.T) history {
@@ -41,18 +41,18 @@
 					r.Sent(id, office(), 1, h.now, h.now+6_000_000)
 				}
 			case 1:
-				if c, ok := r.state.Calls[id]; ok && c.Stage == Out {
-					r.Stood(id, c.Office, h.now)
+				if c, ok := r.state.Calls[id]; ok && c.Stage == AttemptOut {
+					r.CallEstablished(id, c.Office, h.now)
 				}
 			case 2:
 				r.Ended(id, h.now, h.now+rapid.SampledFrom([]int64{0, guard}).Draw(t, "guard"))
 			case 3:
-				r.Listed(Member{Office: office(), Address: "127.0.0.1:1", Share: 1, Told: h.now,
+				r.SetOffice(OfficeEntry{Office: office(), Address: "127.0.0.1:1", Share: 1, Told: h.now,
 					State: decide.State(rapid.IntRange(0, 2).Draw(t, "state"))})
 			case 4:
-				r.Learned(Limit{office(), rapid.SampledFrom([]float64{0, 1, 3, 40}).Draw(t, "open"), h.now})
+				r.SetLimit(Limit{office(), rapid.SampledFrom([]float64{0, 1, 3, 40}).Draw(t, "open"), h.now})
 			case 5:
-				r.Expire(h.now)
+				r.ExpireGuards(h.now)
 			}
 		}
 		h.batches = append(h.batches, r.Batch())
@@ -71,38 +71,38 @@
 	}
 }
 
-// What is written round by round folds back into the state of each round, and so does the whole state at once.
-func TestFoldIsTheState(t *testing.T) {
+// The records written up to each round give the state of that round, and a snapshot gives the whole state.
+func TestBuildStateMatchesRecorder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
 		records := map[string][]byte{}
 		for i, ops := range h.batches {
 			apply(records, ops)
-			got, unread := Fold(records)
-			if !reflect.DeepEqual(got, h.states[i+1]) || len(unread) > 0 {
-				t.Fatalf("after round %d: %+v, unread %v, want %+v", i, got, unread, h.states[i+1])
+			got, unreadable := BuildState(records)
+			if !reflect.DeepEqual(got, h.states[i+1]) || len(unreadable) > 0 {
+				t.Fatalf("after round %d: state %+v, unreadable %v, want %+v", i, got, unreadable, h.states[i+1])
 			}
 		}
 		last := h.states[len(h.states)-1]
-		whole := map[string][]byte{}
-		apply(whole, NewRecorder(last.clone()).Whole())
-		if got, _ := Fold(whole); !reflect.DeepEqual(got, last) {
-			t.Fatalf("the whole state is %+v, want %+v", got, last)
+		snapshot := map[string][]byte{}
+		apply(snapshot, NewRecorder(last.clone()).Snapshot())
+		if got, _ := BuildState(snapshot); !reflect.DeepEqual(got, last) {
+			t.Fatalf("the snapshot gives %+v, want %+v", got, last)
 		}
-		// One that goes on from what was recovered ends what it finds.
+		// A recorder that continues from the recovered state can end the calls in it.
 		r := NewRecorder(last.clone())
 		for id := range last.Calls {
 			r.Ended(id, h.now, 0)
 		}
 		apply(records, r.Batch())
-		if got, _ := Fold(records); len(got.Calls) > 0 {
-			t.Fatalf("ended, and still there: %+v", got.Calls)
+		if got, _ := BuildState(records); len(got.Calls) > 0 {
+			t.Fatalf("calls remain after their end: %+v", got.Calls)
 		}
 	})
 }
 
-// Rounds are lost in the middle. Nothing that is recovered was not once so (never invents), and nothing that whole records
-// behind the loss have ended, drained or lowered is as before (never revives).
+// Rounds are lost in the middle. Every recovered record existed at some time, and nothing that records after the loss
+// have ended, drained or lowered is as before.
 func TestLostRounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
@@ -112,28 +112,28 @@
 		for _, ops := range h.batches[:from] {
 			apply(records, ops)
 		}
-		before, _ := Fold(records)
-		for _, ops := range h.batches[to:] { // as the store does behind damage
+		before, _ := BuildState(records)
+		for _, ops := range h.batches[to:] { // as the store does after a damaged part
 			for _, op := range ops {
-				have, ok := records[op.Key]
+				stored, ok := records[op.Key]
 				if !ok {
 					continue
 				}
 				if op.Delete {
 					delete(records, op.Key)
-				} else if o, do := Later(op.Key, have, op); do {
+				} else if o, replace := Later(op.Key, stored, op); replace {
 					apply(records, []store.Op{o})
 				}
 			}
 		}
-		got, _ := Fold(records)
-		ended := map[string]bool{} // whose last whole record behind the loss is its end
+		got, _ := BuildState(records)
+		ended := map[string]bool{} // keys whose records after the loss include a deletion
 		for _, ops := range h.batches[to:] {
 			for _, op := range ops {
 				ended[op.Key] = ended[op.Key] || op.Delete
 			}
 		}
-		once := func(has func(State) bool) bool {
+		everHeld := func(has func(State) bool) bool {
 			for _, s := range h.states {
 				if has(s) {
 					return true
@@ -142,80 +142,86 @@
 			return false
 		}
 		for id, c := range got.Calls {
-			if !once(func(s State) bool { return s.Calls[id] == c }) {
-				t.Fatalf("call %+v was never so", c)
+			if !everHeld(func(s State) bool { return s.Calls[id] == c }) {
+				t.Fatalf("call %+v never existed in this state", c)
 			}
 			if was, ok := before.Calls[id]; !ok || c.Stage < was.Stage {
 				t.Fatalf("call %+v was %+v before the loss", c, was)
 			}
 			if ended[c.op().Key] {
-				t.Fatalf("call %+v was ended behind the loss", c)
+				t.Fatalf("call %+v was ended after the loss", c)
 			}
 		}
-		for id, m := range got.Members {
-			if !once(func(s State) bool { return s.Members[id] == m }) || before.Members[id].State > m.State || ended[m.op().Key] {
-				t.Fatalf("member %+v, before the loss %+v, ended %v", m, before.Members[id], ended[m.op().Key])
+		for id, m := range got.Offices {
+			if !everHeld(func(s State) bool { return s.Offices[id] == m }) || before.Offices[id].State > m.State ||
+				ended[m.op().Key] {
+				t.Fatalf("office %+v, before the loss %+v, ended %v", m, before.Offices[id], ended[m.op().Key])
 			}
 			for _, ops := range h.batches[to:] {
 				for _, op := range ops {
-					if v, err := Describe(op.Key, op.Value); err == nil && op.Key == m.op().Key && v.(Member).State > m.State {
-						t.Fatalf("member %+v was drained behind the loss: %+v", m, v)
+					if v, err := Describe(op.Key, op.Value); err == nil && op.Key == m.op().Key && v.(OfficeEntry).State > m.State {
+						t.Fatalf("office %+v was drained after the loss: %+v", m, v)
 					}
 				}
 			}
 		}
 		for id, l := range got.Limits {
-			if !once(func(s State) bool { return s.Limits[id] == l }) || l.Open > before.Limits[id].Open || ended[l.op().Key] {
+			if !everHeld(func(s State) bool { return s.Limits[id] == l }) || l.Open > before.Limits[id].Open ||
+				ended[l.op().Key] {
 				t.Fatalf("limit %+v, before the loss %+v", l, before.Limits[id])
 			}
 		}
 	})
 }
 
-// Whatever the age, an attempt that was out is never believed to be out or to stand, its guard runs in full from the start,
-// no guard is longer than the rule's, what was drained is drained, and older records weigh no more than younger ones.
-func TestBelieve(t *testing.T) {
+// At any age: an attempt that was out is never restored as out or established, its guard time runs in full from the
+// start, no guard time is longer than the rule's, draining offices stay draining, and older records have no more weight
+// than newer ones.
+func TestRestore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
 		s := h.states[len(h.states)-1]
-		trust := Usual(guard)
-		now := h.now + rapid.SampledFrom([]int64{-50_000_000, 0, 1, 100_000, 20_000_000, 3_700_000_000, 90_000_000_000}).Draw(t, "age")
-		b := Believe(s, now, trust)
-		for _, c := range b.Standing {
-			if s.Calls[c.ID].Stage != Stands || now-c.Since > trust.Standing {
-				t.Fatalf("%+v is believed to stand", c)
+		policy := DefaultPolicy(guard)
+		now := h.now + rapid.SampledFrom([]int64{-50_000_000, 0, 1, 100_000, 20_000_000, 3_700_000_000,
+			90_000_000_000}).Draw(t, "age")
+		restored := Restore(s, now, policy)
+		for _, c := range restored.Established {
+			if s.Calls[c.ID].Stage != Established || now-c.Since > policy.MaxCallAge {
+				t.Fatalf("%+v is restored as established", c)
 			}
 		}
 		for id, c := range s.Calls {
-			until, guarded := b.Guards[id]
+			until, guarded := restored.Guards[id]
 			switch {
 			case guarded && (until > now+guard || until <= now):
-				t.Fatalf("call %+v is guarded until %d, now is %d", c, until, now)
-			case c.Stage == Out && until != now+guard:
-				t.Fatalf("the attempt of %+v was cut, and its guard ends at %d", c, until)
+				t.Fatalf("call %+v has a guard time until %d, now is %d", c, until, now)
+			case c.Stage == AttemptOut && until != now+guard:
+				t.Fatalf("the attempt of %+v was cut off, but its guard time ends at %d", c, until)
 			case c.Stage == Guarded && c.Until > now && until < min(c.Until, now+guard):
-				t.Fatalf("the guard of %+v is over at %d", c, until)
+				t.Fatalf("the guard time of %+v ends at %d", c, until)
 			}
 		}
-		for _, m := range b.Members {
-			if was := s.Members[m.Office]; m.State != was.State || m.Share > was.Share || now-was.Told >= trust.Stale {
-				t.Fatalf("%+v is believed of %+v", m, was)
+		for _, m := range restored.Offices {
+			if was := s.Offices[m.Office]; m.State != was.State || m.Share > was.Share || now-was.Told >= policy.MaxOfficeAge {
+				t.Fatalf("%+v is restored from %+v", m, was)
 			}
 		}
-		older := Believe(s, now+10_000_000, trust)
-		if len(older.Members) > len(b.Members) || len(older.Limits) > len(b.Limits) || len(older.Standing) > len(b.Standing) {
-			t.Fatalf("with age more is believed: %+v, and then %+v", b, older)
+		older := Restore(s, now+10_000_000, policy)
+		if len(older.Offices) > len(restored.Offices) || len(older.Limits) > len(restored.Limits) ||
+			len(older.Established) > len(restored.Established) {
+			t.Fatalf("more is restored at a higher age: %+v, then %+v", restored, older)
 		}
 		for id, l := range older.Limits {
-			if l > b.Limits[id] || l < 1 {
-				t.Fatalf("the limit of %s is %v, and was %v", id, l, b.Limits[id])
+			if l > restored.Limits[id] || l < 1 {
+				t.Fatalf("the limit of %s is %v at a higher age, and %v before", id, l, restored.Limits[id])
 			}
 		}
 	})
 }
 
 func FuzzDescribe(f *testing.F) {
-	for _, op := range []store.Op{Call{ID: 7, Stage: Out, Office: "o"}.op(), Member{Office: "o", Share: 1}.op(), Limit{"o", 3, 5}.op()} {
+	for _, op := range []store.Op{Call{ID: 7, Stage: AttemptOut, Office: "o"}.op(),
+		OfficeEntry{Office: "o", Share: 1}.op(), Limit{"o", 3, 5}.op()} {
 		f.Add(op.Key, op.Value)
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
@@ -227,13 +233,13 @@
 		switch v := v.(type) {
 		case Call:
 			op = v.op()
-		case Member:
+		case OfficeEntry:
 			op = v.op()
 		case Limit:
 			op = v.op()
 		}
 		if again, err := Describe(op.Key, op.Value); err != nil || !reflect.DeepEqual(again, v) {
-			t.Errorf("%+v is read again as %+v, %v", v, again, err)
+			t.Errorf("%+v is decoded again as %+v, %v", v, again, err)
 		}
 	})
 }
