--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,45 +1,49 @@
-// Package guard decides for the process that stays when its program is replaced: it keeps the number by which the machine's
-// service manager knows the sidecar, and sees to it that one process of it serves. It has no clock, process or file.
+// Package guard implements the decisions of the process that supervises the serving process after the program was
+// replaced. The guard keeps the process ID by which the service manager of the machine knows the sidecar, and
+// makes sure that one process serves. The package uses no clock, process or file.
 //
-// A process that hands over to another program's is that one's parent. It becomes the guard when its own last call is
-// answered, and from then on holds nothing but this. What hands over later is a child of the guard's and just ends.
+// A process that hands over to a process of another program is the parent of its successor. It becomes the guard
+// once its own last call is answered, and from then on does nothing else. A process that hands over later is a
+// child of the guard and simply exits.
 package guard
 
-// Times of a guard, in microseconds.
+// Delays of the guard, in microseconds.
 const (
-	// FirstPause is how long after a process died the next one is started; it doubles to MostPause while they go on dying.
+	// InitialRestartDelay is the time from the death of a process to the start of the next one. It doubles up to
+	// MaxRestartDelay while processes keep dying.
 	FirstPause = 100_000
 	MostPause  = 30_000_000
-	// Steady is how long a process must have lived for its death to count as a first one.
+	// MinStableUptime is how long a process must have lived for its death to reset the restart delay.
 	Steady = 60_000_000
 )
 
-// Step is what a guard is to do.
+// Step is the next action of a guard.
 type Step struct {
-	// Start, at StartAt: a process of the concluded version, which is never that of a change that is not concluded.
+	// Start says to start a process at StartAt. It runs the concluded version, never that of a change that is not
+	// concluded.
 	Start   bool
 	StartAt int64
-	// Exit with Code: all is over.
+	// Exit says that the guard exits with Code: nothing is left to supervise.
 	Exit bool
 	Code int
 }
 
-// Guard is the decisions of one guard.
+// Guard is the state of one guard.
 type Guard struct {
-	began    int64 // when the newest process was started, or taken over
-	pause    int64 // before the last start
+	began    int64 // when the newest process was started or took over
+	pause    int64 // delay before the last start
 	stopping bool
-	waits    bool // for a start that is due
-	failed   bool // the last process that ended on the way out failed
+	waits    bool // a start is scheduled
+	failed   bool // the last process that ended did not end cleanly
 
-	// Deaths counts processes that ended though nobody had asked them to.
+	// Deaths counts the processes that ended although nobody had asked them to.
 	Deaths uint64
 }
 
-// New returns the guard of a process that serves since now.
+// New returns the guard of a process that has been serving since now.
 func New(now int64) *Guard { return &Guard{began: now} }
 
-// Stop says that all is to end. Alive tells whether a process is left.
+// Stop tells the guard that the service is being stopped. Alive says whether a process is still running.
 func (g *Guard) Stop(alive bool) Step {
 	g.stopping, g.waits = true, false
 	if !alive {
@@ -48,13 +52,14 @@
 	return Step{}
 }
 
-// Ended says that a process has ended, clean if it was asked to and all was answered. Alive tells whether another one is
-// left: then the one that ended has handed over, or lost to it, and nothing is to be done.
+// Ended reports that a process has ended. It ended cleanly if it was asked to end and had answered all its calls.
+// Alive says whether another process is still running: then the one that ended has handed over, or the other one
+// took over from it, and the guard has nothing to do.
 func (g *Guard) Ended(now int64, clean, alive bool) Step {
 	if g.failed = !clean; alive {
 		return Step{}
 	}
-	if g.stopping || clean { // who ended cleanly by itself was told to by its operators
+	if g.stopping || clean { // a process that ended cleanly by itself was told to by its operators
 		code := 0
 		if g.failed {
 			code = 1
@@ -70,7 +75,7 @@
 	return Step{Start: true, StartAt: now + g.pause}
 }
 
-// Started says that a process was started, or could not be.
+// Started reports that a process was started, or that the start failed.
 func (g *Guard) Started(now int64, done bool) Step {
 	if !g.waits {
 		return Step{}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -7,23 +7,24 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens in whatever order: while it is not told to stop, and no process ended cleanly, a guard with no process left
-// waits for a start, never sooner than the first pause and never later than the longest; it never starts beside a living one,
-// and once it is to stop it never starts again.
+// Checks the guard against random sequences of events. As long as it is not told to stop and no process ended
+// cleanly, a guard without a running process has a start scheduled, no sooner than InitialRestartDelay and no
+// later than MaxRestartDelay. It never starts a process beside a running one, and never starts one after it was
+// told to stop.
 func TestOneProcessServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, alive, due := int64(0), 1, int64(-1)
 		g := New(now)
 		take := func(s Step) bool {
 			if s.Start {
-				require.Zero(t, alive, "started beside a living one")
+				require.Zero(t, alive, "a process is started beside a running one")
 				require.False(t, g.stopping)
 				require.GreaterOrEqual(t, s.StartAt, now+FirstPause)
 				require.LessOrEqual(t, s.StartAt, now+MostPause)
 				due = s.StartAt
 			}
 			if s.Exit {
-				require.Zero(t, alive, "left a process alone")
+				require.Zero(t, alive, "the guard exits while a process is running")
 			}
 			return s.Exit
 		}
@@ -53,14 +54,15 @@
 					return
 				}
 				if alive == 0 {
-					require.True(t, due >= 0, "nobody serves, and nobody will")
+					require.True(t, due >= 0, "no process is running and no start is scheduled")
 				}
 			}
 		}
 	})
 }
 
-// One that dies at once again and again is started ever more seldom; one that had lived for long is started soon.
+// The restart delay doubles up to its maximum while processes die at once, and is reset after a process has run
+// for long.
 func TestPauses(t *testing.T) {
 	g, now := New(0), int64(0)
 	var pauses []int64
--- a/internal/stage/conductor.go
+++ b/internal/stage/conductor.go
@@ -10,38 +10,39 @@
 
 var phaseNames = [...]string{"none", "running", "halted, going back", "passed, concluding", "concluded", "halted, all back"}
 
-// conductor is what a process does that holds the lease of the change, or waits for it.
+// conductor is the state of a process that holds the lease of the change or is claiming it.
 type conductor struct {
-	proposal Target // that waits for the lease; Change 0: none
+	proposal Target // waits for the lease; Change 0: none
 	proposed int64
 	claimed  bool
 	holds    bool
 	grant    lease.Grant
-	rec      record // what stands in the lease's record
-	// A new record that is being stored: nothing is said or done by it until it is.
+	rec      record // the stored record of the lease
+	// The record that is being written. No order is sent and nothing is reported on the basis of it until it is
+	// stored.
 	next    record
 	write   uint64
 	writing bool
-	then    event    // what the new record means, once it is
-	reason  string   // of a halt, whole
-	names   []string // of a wave
+	then    event    // what to do once the new record is stored
+	reason  string   // reason of a halt, not truncated
+	names   []string // names of the wave that is being stored
 
-	since    int64            // since when this process conducts
-	wave     []string         // who is told now, by name
-	waveAt   int64            // since when
-	said     int64            // when the orders were last repeated
-	answers  map[string]State // of the wave, under this record
+	since    int64            // when this process began to conduct
+	wave     []string         // names of the processes that are being ordered now
+	waveAt   int64            // when the orders of the wave began
+	said     int64            // when the orders were last sent
+	answers  map[string]State // answers of the wave to orders under this record
 	whys     map[string]string
-	heard    map[string]int64  // since when one of the wave is heard without an answer
-	lives    map[string]uint64 // of the wave, as they were told
-	aside    int64             // this process does not claim until then, so that another one can tell it
-	filledAt int64             // since when the stage has all its processes; 0: it has not
+	heard    map[string]int64  // since when a process of the wave has been reachable without an answer
+	lives    map[string]uint64 // incarnations of the wave when it was ordered
+	aside    int64             // this process does not claim the lease before this time, so that another one can order it
+	filledAt int64             // when the stage got all its processes; 0: not yet
 	lookAt   int64
 	found    finding
-	waits    string // what it waits for
+	waits    string // what the conductor is waiting for
 	waitNote int64
-	stuck    int64 // since when nobody could go back; 0: somebody does
-	ended    bool  // has told that the change is over
+	stuck    int64 // since when no process could be rolled back; 0: not blocked
+	ended    bool  // has noted that the change is over
 	evidence *evidence
 }
 
@@ -82,7 +83,7 @@
 	}
 }
 
-// conduct does what the holder of the lease has to do, and claims it where this process should.
+// conduct does the work of the holder of the lease, and claims the lease if this process should.
 func (p *Part) conduct(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if p.c.Lease == nil {
@@ -93,7 +94,7 @@
 		return
 	}
 	if c.proposal.Change != 0 && now-c.proposed > p.c.Rules.Ask && !c.holds {
-		p.note(out, "refused", 0, int64(c.proposal.Change), "the lease of the change was not granted")
+		p.note(out, "refused", 0, int64(c.proposal.Change), "the lease of the change was not granted in time")
 		c.proposal = Target{}
 	}
 	wants := c.proposal.Change != 0 || c.holds
@@ -138,7 +139,7 @@
 	}
 }
 
-// adopt takes over the record of whoever held the lease before.
+// adoptRecord continues from the record that the previous holder of the lease stored.
 func (p *Part) adopt(now int64, g lease.Grant, out *fleet.Out) bool {
 	c := &p.conductor
 	rec, err := readRecord(g.Value)
@@ -174,7 +175,7 @@
 	c.answers, c.whys, c.heard, c.lives = map[string]State{}, map[string]string{}, map[string]int64{}, map[string]uint64{}
 }
 
-// event is what a record that has just been stored means.
+// recordEvent says what the record that was just stored means.
 type event uint8
 
 const (
@@ -187,13 +188,13 @@
 	reopened
 )
 
-// store writes a record; what follows from it is done once a majority of the electors has it.
+// storeRecord writes a record. Its consequences follow once a majority of the electors has stored it.
 func (p *Part) store(now int64, rec record, then event, out *fleet.Out) {
 	c := &p.conductor
 	rec.Fence = c.grant.Fence
 	w, err := p.c.Lease.Write(now, Thing, rec.encode(), out)
 	if err != nil {
-		return // it is tried again in the next step, if the lease is still held
+		return // retried in the next call of advance if the lease is still held
 	}
 	if p.c.failpoints.tellsFirst {
 		c.rec, c.write, c.then = rec, w, then
@@ -203,7 +204,7 @@
 	c.next, c.write, c.writing, c.then = rec, w, true, then
 }
 
-// stored does what follows from a record that has been stored.
+// recordStored acts on a record that has been stored.
 func (p *Part) stored(now int64, out *fleet.Out) {
 	c := &p.conductor
 	change := c.rec.Target.Change
@@ -239,11 +240,11 @@
 		p.note(out, "passed", c.grant.Fence, int64(change), c.found.text)
 	case reopened:
 		c.setWave(now, nil)
-		p.note(out, "opened again", c.grant.Fence, int64(change), "processes came back that are in it")
+		p.note(out, "opened again", c.grant.Fence, int64(change), "processes that are still in the change came back")
 	}
 }
 
-// step does what the record says comes next.
+// advance takes the next step that the stored record calls for.
 func (p *Part) step(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if c.writing {
@@ -265,14 +266,14 @@
 	}
 }
 
-// open begins a proposal, if the record says that it may be.
+// openChange starts the proposed change if the record permits it.
 func (p *Part) open(now int64, out *fleet.Out) {
 	c := &p.conductor
 	t := c.proposal
 	var err error
 	switch {
 	case c.rec.Target == t:
-		c.proposal = Target{} // it was stored, though this process has not heard so before it lost the lease
+		c.proposal = Target{} // it was stored, but this process lost the lease before it learned so
 		return
 	case c.rec.Phase != none && !over(c.rec.Phase):
 		err = &RunningError{Change: t.Change, Running: c.rec.Target.Change, Conductor: p.c.Name}
@@ -293,7 +294,7 @@
 	p.note(out, "stage", c.grant.Fence, int64(c.rec.Stage), fmt.Sprintf("change %d, stage %s", c.rec.Target.Change, stageNames[c.rec.Stage]))
 }
 
-// wait notes what is waited for: when it is another thing, and once a minute.
+// noteWaiting notes what the conductor is waiting for when that changes, and otherwise once a minute.
 func (p *Part) wait(now int64, why string, out *fleet.Out) {
 	c := &p.conductor
 	if why != c.waits || now-c.waitNote >= 60*second {
@@ -304,8 +305,8 @@
 	}
 }
 
-// halt stops a change. Those who are being told just now stay in the wave: they are told to go back first, for the
-// order that they were given may still be on its way.
+// halt stops a change. The processes that are being ordered stay in the wave and are rolled back first, because
+// the order to change may still be on its way to them.
 func (p *Part) halt(now int64, reason string, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.rec
--- a/internal/stage/corpus_test.go
+++ b/internal/stage/corpus_test.go
@@ -10,8 +10,8 @@
 	"pewterwheel/internal/lease"
 )
 
-// What any version says, tells and writes down of a change is read as it was meant; no state, phase, stage or verb has another
-// meaning.
+// Checks that the messages, statuses and records of every version are decoded with their original meaning, and
+// that the values of states, phases, stages and verbs do not change.
 func TestCorpus(t *testing.T) {
 	target := Target{Change: 12, Settings: "/etc/{name}/12.ini", SettingsDigest: 0xfedcba9876543210, Program: "/opt/12/program", ProgramDigest: 42}
 	longest := Target{Change: 1 << 40, Settings: strings.Repeat("s", MaxPath), SettingsDigest: 1 << 63, Program: strings.Repeat("p", MaxPath), ProgramDigest: 1 << 63}
--- a/internal/stage/ending.go
+++ b/internal/stage/ending.go
@@ -4,7 +4,8 @@
 	"pewterwheel/internal/fleet"
 )
 
-// judge looks at old against new once a slot, once all of the stage have been new for long enough to count.
+// judgeStage compares old and new processes once a slot, as soon as all processes of the stage have been new for
+// the warm-up time.
 func (p *Part) judge(now int64, out *fleet.Out) {
 	c := &p.conductor
 	e := c.evidence
@@ -41,11 +42,11 @@
 	}
 }
 
-// verdict is what a look says of the stage that is filled.
+// evaluateStage evaluates the evidence of a stage that has all its processes.
 func (p *Part) verdict(now int64) finding {
 	c := &p.conductor
 	if c.rec.Stage == All {
-		// Nobody is left to compare with: what is left is to see that none dies.
+		// No unchanged processes are left to compare with; the change only waits to see that no process dies.
 		f := c.evidence.look(now)
 		if f.verdict != harms && now-c.filledAt >= p.c.Rules.Warm+p.c.Rules.Look {
 			f.verdict, f.text = passes, "all have changed"
@@ -57,7 +58,7 @@
 	return c.evidence.look(now)
 }
 
-// pass opens the next stage, or concludes the change.
+// passStage opens the next stage, or starts to conclude the change.
 func (p *Part) pass(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.rec
@@ -74,7 +75,7 @@
 	p.store(now, rec, nextStage, out)
 }
 
-// goBack takes those who changed back, a few at a time.
+// rollBack rolls the changed processes back, a few at a time.
 func (p *Part) goBack(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if len(c.wave) > 0 {
@@ -85,7 +86,8 @@
 	if c.stuck == 0 {
 		c.stuck = now
 	}
-	// A halted change ends, also where there is never room: then one at a time, and the next when it serves again.
+	// A halted change must end even if there is never spare capacity: then one process at a time goes back, and
+	// the next one once it serves again.
 	pl.last = now-c.stuck >= p.c.Rules.Patience
 	wave, why := pl.next()
 	if len(wave) > 0 {
@@ -105,8 +107,8 @@
 	}
 }
 
-// conclude has the new target written down by all who are heard. One that died on the way, and came back by what
-// was concluded before, is taken along: one at a time, and left behind if it does not come.
+// conclude has all reachable processes store the new target. A process that died during the change and restarted
+// with the previous target is changed as well: one at a time, and skipped if it does not change in time.
 func (p *Part) conclude(now int64, out *fleet.Out) {
 	c := &p.conductor
 	again := c.said == 0 || now-c.said >= p.c.Rules.Repeat
@@ -146,13 +148,14 @@
 	p.store(now, rec, nothing, out)
 }
 
-// end tells that a change is over, and gives the lease up once others know. Who comes back from a cut later, still
-// in the change, is seen to: by whoever then holds the lease.
+// finish notes that a change is over and releases the lease once the others know. If a process that was cut off
+// comes back later and is still in the change, whoever then holds the lease finishes it.
 func (p *Part) end(now int64, out *fleet.Out) {
 	c := &p.conductor
 	change := c.rec.Target.Change
 	if r := p.watch.runs(); r > change && p.viewed {
-		// Its record is gone with the electors that had it. What it had come to nobody knows: those in it go back.
+		// The record was lost with the electors that stored it. How far the change had come is unknown: the
+		// processes in it are rolled back.
 		c.reason = "the record of the change was lost"
 		p.store(now, record{Target: Target{Change: r}, Phase: goingBack, Reason: c.reason, Over: c.rec.last()}, stopped, out)
 		return
@@ -176,7 +179,7 @@
 		p.note(out, "over", c.grant.Fence, int64(change), phaseNames[c.rec.Phase]+" "+c.rec.Reason)
 		return
 	}
-	// The entry says that it is over, and is read by the others before the lease is given up.
+	// The lease is released after the other processes have read from the entry that the change is over.
 	known := true
 	for _, n := range p.watch.names {
 		if q := p.watch.peers[n]; q.here() && n != p.c.Name && q.told.Over < change {
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -6,26 +6,26 @@
 	"pewterwheel/internal/fleet"
 )
 
-// The measures in which old and new are compared. In each more is worse.
+// The measures in which old and new are compared. In each, more is worse.
 const (
-	lost    = iota // worth not served, of the whole
-	refused        // of those offered
+	lost    = iota // worth not served, as a fraction of the whole
+	refused        // as a fraction of those offered
 	failed
 	late
-	slow   // of the answers, over the edge of the histogram next to the old 99th percentile
-	cpu    // processor time a call
+	slow   // answers above the bucket of the histogram next to the old 99th percentile, as a fraction
+	cpu    // processor time per call
 	memory // resident
-	growth // of it, a minute
+	growth // growth of resident memory per minute
 	measures
 )
 
-var measureNames = [measures]string{"worth lost", "refused", "failed", "late", "slow answers", "processor time a call", "memory",
+var measureNames = [measures]string{"worth lost", "refused", "failed", "late", "slow answers", "processor time per call", "memory",
 	"growth of memory"}
 
-// maxClasses bounds the classes told apart; further ones count as the last.
+// maxClasses is the maximum number of classes that are compared separately; further ones count as the last.
 const maxClasses = 16
 
-// pair is a sum over its base: how many were refused, of how many.
+// ratio is a sum and its base, for example the refused calls of all offered ones.
 type pair struct{ num, den float64 }
 
 func (p *pair) add(q pair) {
@@ -40,13 +40,13 @@
 	return p.num / p.den
 }
 
-// cell is what one process showed in one class in one slot.
+// classSlot is what one process showed in one class in one slot.
 type cell struct {
 	m     [growth]pair
 	waits [32]float64
 }
 
-// side is which of the two a process's figures count for.
+// side says on which side of the comparison the figures of a process count.
 type side uint8
 
 const (
@@ -55,7 +55,7 @@
 	newer
 )
 
-// line is a straight line through a process's memory over time, by least squares.
+// regression is a least squares fit of the memory of a process over time.
 type line struct{ n, t, tt, m, tm float64 }
 
 func (l *line) add(t, m float64) {
@@ -74,56 +74,56 @@
 	return (l.n*l.tm - l.t*l.m) / d
 }
 
-// subject is one process in the evidence.
+// processEvidence is the evidence of one process.
 type subject struct {
 	zone   string
 	life   uint64
-	last   uint64 // number of the last window taken
-	seen   bool   // a window was taken in this life
+	last   uint64 // number of the last window that was added
+	seen   bool   // a window of this incarnation was added
 	side   side
-	warm   int64  // its figures as a new one count from then
-	broken uint64 // what its counters that must stay 0 showed before it was new
-	cells  []cell // of the slot, by class
-	// Excess over what the old ones showed in the same slots, zones and classes, before the change and in the stage.
+	warm   int64  // when its figures begin to count as new
+	broken uint64 // highest value before its change of the counters that must stay 0
+	cells  []cell // figures of the slot, by class
+	// Excess over the old processes in the same slots, zones and classes, before the change and in the stage.
 	excess        [growth]pair // of the slot
 	before, after [growth]pair
 	memory        line
-	slots         int  // of the stage in which it showed anything
-	out           bool // has changed sides in the stage: it is in no comparison
-	// For the plan:
+	slots         int  // slots of the stage with figures of this process
+	out           bool // has changed sides in the stage, and is not compared
+	// Input of the plan:
 	length, offered, served, used float64
 	rate, shown                   float64
 	quiet                         int // slots in a row without a window
 }
 
-// evidence is what the figures of all processes say of old against new. The conductor keeps it, and those who would
-// follow it.
+// evidence collects the figures of old and new processes. The conductor keeps it, and so do the processes that
+// would take over from it.
 type evidence struct {
 	rules      Rules
-	slot       int64 // how long a slot is now
+	slot       int64 // current length of a slot
 	asked      bool  // the figures come by message, in windows that may be longer than Rules.Warm
-	fresh      bool  // it has begun with this view
+	fresh      bool  // the evidence was created for this view
 	change     uint64
 	began      int64
 	slotEnd    int64
 	subjects   map[string]*subject
 	names      []string // sorted
 	classes    []string
-	edge       [maxClasses]int     // of the histogram, next to the old 99th percentile; 0: not known
-	tail       [maxClasses]float64 // by how much the share over it grows, of itself, where that percentile is worse by its margin
+	edge       [maxClasses]int     // bucket of the histogram next to the old 99th percentile; 0: not known
+	tail       [maxClasses]float64 // relative growth of the share above it when that percentile is worse by its margin
 	edges      bool
-	waits      [maxClasses][32]float64 // of all, before the change
-	told       bool                    // somebody has been told: what comes is no longer of before
-	stage      int                     // that is judged; -1: none
+	waits      [maxClasses][32]float64 // waits of all old processes before the change
+	told       bool                    // a process has been ordered: later figures are no longer from before the change
+	stage      int                     // the stage that is judged; -1: none
 	since      int64
-	closed     int // slots, in all
+	closed     int // slots closed so far
 	slots      int
 	oldSum     [measures]pair
 	newSum     [measures]pair
 	tailSum    pair
-	apart      [growth][]float64        // how far apart the old ones were, by slot, sorted
-	steady     [maxClasses][growth]pair // for the failpoint that does not pair: old figures before the change
-	broke      string                   // the first new process whose counters show a broken rule
+	apart      [growth][]float64        // variances of the old processes in each slot, sorted
+	steady     [maxClasses][growth]pair // figures before the change, for the failpoint unpaired
+	broke      string                   // the first new process with a counter above 0 that must stay 0
 	failpoints failpoints
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// longSlot is the length of a slot where that hangs on how long windows are; else 0.
+// requestedSlot returns the length of a slot if it depends on the length of requested windows, else 0.
 func (e *evidence) longSlot() int64 {
 	if !e.asked {
 		return 0
@@ -148,7 +148,7 @@
 	return e.slot
 }
 
-// begin starts a stage's evidence anew, or goes on with that of the stage before it.
+// beginStage starts the evidence of a stage. The last stage continues with that of the stage before it.
 func (e *evidence) begin(now int64, stage int) {
 	if e.stage == stage {
 		return
@@ -159,14 +159,14 @@
 	}
 	e.close(now)
 	if !e.edges {
-		e.setEdges() // this process conducts only now, and has not seen what was before
+		e.setEdges() // this process took over later and has not seen the time before the change
 	}
 	e.stage, e.since, e.slots = stage, now, 0
 	e.oldSum, e.newSum, e.tailSum = [measures]pair{}, [measures]pair{}, pair{}
 	for _, n := range e.names {
 		s := e.subjects[n]
 		s.after, s.memory, s.slots = [growth]pair{}, line{}, 0
-		s.out = s.side == neither // one that this process has seen for less than it takes to be warm comes in later
+		s.out = s.side == neither // a process that has not been seen for the warm-up time yet is compared later
 	}
 }
 
@@ -180,7 +180,7 @@
 	return len(e.classes) - 1
 }
 
-// take reads the windows of a member that are not known yet. in is what the member does about the change.
+// addWindows adds the windows of a member that are not known yet. in is the status of the member.
 func (e *evidence) take(now int64, m *fleet.Member, in told) {
 	s := e.subjects[m.Name]
 	if s == nil {
@@ -212,8 +212,9 @@
 	}
 	if n := len(m.Windows); e.asked && n > 0 {
 		newest := m.Windows[n-1].Number
-		// What stands there when the evidence begins may be left from an earlier change, however long ago. Where the numbers
-		// fall, the windows stood in the process's entry before and are sent now: what they tell has been taken already.
+		// Windows that are present when the evidence begins may be left from an earlier change, however long ago.
+		// Where the numbers fall, the windows were part of the entry of the process before and are sent as
+		// messages now; their figures were already added.
 		if e.fresh || s.seen && newest < s.last {
 			s.last, s.seen = newest, true
 		}
@@ -223,7 +224,7 @@
 		if s.seen && w.Number <= s.last || w.Length <= 0 {
 			continue
 		}
-		// What a process that is new only now did before is not told apart in its first window.
+		// The first window of a process that has just become new may contain figures from before.
 		first := !s.seen
 		s.last, s.seen = w.Number, true
 		if s.side == newer {
@@ -237,7 +238,7 @@
 			continue
 		}
 		if e.asked && s.side == newer && now-w.Length < s.warm {
-			continue // it began before the process was warm, or had changed
+			continue // the window began before the process was warm or had changed
 		}
 		e.window(now, s, w)
 	}
--- a/internal/stage/figures_test.go
+++ b/internal/stage/figures_test.go
@@ -6,10 +6,10 @@
 	"pewterwheel/internal/fleet"
 )
 
-// asker is a subscriber to figures that writes down what is asked of it.
+// fakeSubscriber records the calls of Want.
 type asker struct {
 	wanted bool
-	turns  int // how often that has changed
+	turns  int // how often wanted has changed
 	length int64
 }
 
@@ -22,7 +22,7 @@
 
 func (a *asker) Length() int64 { return a.length }
 
-// gatherer is a part that conducts a change, with a view of itself and three others.
+// gatherer is a Part that conducts a change, with a view of itself and three other processes.
 type gatherer struct {
 	*Part
 	asker *asker
@@ -42,7 +42,7 @@
 	return g
 }
 
-// show brings the view, with these windows of process b.
+// show applies a view in which process b has these windows.
 func (g *gatherer) show(now int64, windows ...fleet.Window) {
 	m := &g.view.Members[1]
 	m.Windows = windows
@@ -56,29 +56,29 @@
 	return fleet.Window{Number: number, Length: length, Class: []fleet.ClassFigures{class}}
 }
 
-// Figures are asked for as long as evidence is kept, and no longer.
+// Checks that figures are requested exactly as long as evidence is kept.
 func TestFiguresAreAskedFor(t *testing.T) {
 	g := newGatherer(22 * second)
 	g.show(second)
 	g.show(2 * second)
 	if !g.asker.wanted || g.asker.turns != 1 || g.conductor.evidence == nil {
-		t.Fatalf("wanted %t, %d turns", g.asker.wanted, g.asker.turns)
+		t.Fatalf("wanted %t, changed %d times", g.asker.wanted, g.asker.turns)
 	}
 	g.conductor.claimed = false
 	if g.show(3 * second); g.asker.wanted || g.conductor.evidence != nil {
-		t.Error("still asked for")
+		t.Error("figures are still requested")
 	}
 	g.conductor.claimed = true
 	if g.show(4 * second); !g.asker.wanted {
-		t.Error("not asked for again")
+		t.Error("figures are not requested again")
 	}
 	g.conductor.holds = false
 	if g.show(5 * second); g.asker.wanted {
-		t.Error("asked for when nothing runs")
+		t.Error("figures are requested although no change is running")
 	}
 }
 
-// A slot holds a window of each process, however long windows are; with short ones it is as the rules have it.
+// Checks that a slot is long enough for a window of each process, and is as the rules say where windows are short.
 func TestSlotFollowsTheWindows(t *testing.T) {
 	for _, c := range []struct{ length, want int64 }{
 		{second, 10 * second},
@@ -102,12 +102,12 @@
 	}
 	p := New(Config{Name: "a"})
 	if p.slot() != 10*second || newEvidence(p.c.Rules, 1, 0, failpoints{}).longSlot() != 0 {
-		t.Error("windows in entries change the slot")
+		t.Error("windows in entries change the length of the slot")
 	}
 }
 
-// What stands in the view when the evidence begins may be of any time before, and counts for nothing; what comes
-// then does.
+// Checks that windows that are in the view when the evidence begins are ignored, because they may be from any
+// earlier time, and that later ones are added.
 func TestOldWindowsCountForNothing(t *testing.T) {
 	g := newGatherer(22 * second)
 	g.show(second, calls(1, 22*second, 1000), calls(2, 22*second, 1000))
@@ -120,7 +120,7 @@
 	}
 }
 
-// A window that began before its process was new and warm says nothing of the new.
+// Checks that a window that began before its process had changed and was warm does not count as new.
 func TestWindowsFromBeforeTheChange(t *testing.T) {
 	g := newGatherer(22 * second)
 	g.show(second)
@@ -132,11 +132,11 @@
 	if s.side != newer || s.warm != 32*second {
 		t.Fatalf("side %d, warm at %d", s.side, s.warm)
 	}
-	e.slotEnd = 1000 * second // all that follows is one slot
+	e.slotEnd = 1000 * second // the rest of the test is one slot
 	g.show(20*second, calls(1, 22*second, 1000))
 	g.show(42*second, calls(1, 22*second, 1000), calls(2, 22*second, 1000))
 	if s.offered != 0 {
-		t.Errorf("%g calls of windows that began too early", s.offered)
+		t.Errorf("%g calls from windows that began too early", s.offered)
 	}
 	broken := calls(3, 22*second, 50)
 	broken.Broken = 1
@@ -145,11 +145,11 @@
 		t.Errorf("%g calls", s.offered)
 	}
 	if e.broke != "b" {
-		t.Error("a broken rule in a window that counts for nothing is not seen")
+		t.Error("a broken rule in an ignored window is not detected")
 	}
 }
 
-// One window that is lost does not make a process one that is offered nothing; two in a row do.
+// Checks that one lost window does not set the offered rate of a process to zero, and that two in a row do.
 func TestOneWindowLost(t *testing.T) {
 	g := newGatherer(22 * second)
 	g.show(second)
@@ -162,8 +162,8 @@
 	}
 }
 
-// Windows that stood in a process's entry, and those that it then sends, are counted apart: where the entry's end, the sent
-// ones that come from then on are taken.
+// Windows in the entry of a process and windows sent as messages are numbered separately. Checks that the sent
+// ones are added when the windows in the entry end.
 func TestWindowsCountedAnew(t *testing.T) {
 	g := newGatherer(22 * second)
 	g.show(second)
--- a/internal/stage/gather.go
+++ b/internal/stage/gather.go
@@ -4,7 +4,8 @@
 	"pewterwheel/internal/fleet"
 )
 
-// gather reads the figures of all, in those who conduct or would follow, and asks for them meanwhile.
+// gatherFigures reads the figures of all processes if this process conducts the change or would take over as
+// conductor, and requests them meanwhile.
 func (p *Part) gather(now int64, v *fleet.View, out *fleet.Out) {
 	c := &p.conductor
 	r := p.watch.runs()
@@ -31,9 +32,9 @@
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if q := p.watch.peers[m.Name]; q != nil && !m.Suspect { // a suspected one's figures are of before
+		if q := p.watch.peers[m.Name]; q != nil && !m.Suspect { // figures of a suspected process are out of date
 			e.take(now, m, q.told)
-			// A follower begins with a stage when its conductor does.
+			// A standby begins with a stage when its conductor does.
 			if t := q.told; !c.holds && t.Conducts == r && t.Judging && t.Stage > e.stage {
 				e.begin(now, t.Stage)
 			}
@@ -45,15 +46,16 @@
 	e.tick(now)
 }
 
-// want says whether this process needs the others' figures.
+// requestFigures says whether this process needs the figures of the others.
 func (p *Part) want(now int64, wanted bool, out *fleet.Out) {
 	if p.c.Figures != nil {
 		p.c.Figures.Want(now, wanted, out)
 	}
 }
 
-// slot is over how long a stretch old and new are compared: long enough that each process's windows fall into it,
-// also where they come a little late, for who shows nothing in half of the slots is in no comparison.
+// slotLength returns the length of the intervals over which old and new are compared. It leaves room for the
+// windows of each process to arrive a little late, because a process without figures in half of the slots is not
+// compared.
 func (p *Part) slot() int64 {
 	if p.c.Figures == nil {
 		return p.c.Rules.Slot
--- a/internal/stage/guards_test.go
+++ b/internal/stage/guards_test.go
@@ -16,17 +16,17 @@
 	"pewterwheel/internal/lease"
 )
 
-// figures are a fleet's windows, drawn anew for each test of the judgement.
+// figures generates the windows of a fleet, drawn anew for each test of the comparison.
 type figures struct {
 	r       *rand.Rand
-	differ  float64 // how much the processes' rates of refusal differ
-	trouble float64 // refused besides, by all, once somebody has changed
-	worse   float64 // refused besides, by the new ones
+	differ  float64 // how much the refusal rates of the processes differ
+	trouble float64 // additional refusals of all processes, once a process has changed
+	worse   float64 // additional refusals of the new processes
 	base    float64
 	of      []float64
 }
 
-// judged plays 60 processes, 6 of which change, and returns what the looks of 40 slots come to.
+// judge simulates 60 processes, 6 of which change, and returns the first decided finding of 40 slots.
 func (f *figures) judged(d failpoints, before int) finding {
 	rules := Rules{Warm: 1, Alpha: 0.02}.whole()
 	e := newEvidence(rules, change, 0, d)
@@ -69,7 +69,7 @@
 	return finding{verdict: untold}
 }
 
-// halts counts the changes of 100 that are halted.
+// countHalts returns how many of 100 changes are halted.
 func halts(f figures, d failpoints, before int) int {
 	n := 0
 	for seed := range uint64(100) {
@@ -81,22 +81,23 @@
 	return n
 }
 
-// The judgement: what is worse is seen, what hits both sides alike is not, and processes that differ are told from a change.
+// Checks that a worse version is detected, that a trouble that affects both sides is not taken for harm, and that
+// differences between processes are not taken for an effect of the change.
 func TestJudgement(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		f           figures
 		before      int
 		d           failpoints
-		least, most int // of 100 that are halted
+		least, most int // halted changes of 100
 	}{
 		{"harmless", figures{base: 0.02, differ: 0.3}, 12, failpoints{}, 0, 1},
-		{"a point of refusals", figures{base: 0.02, differ: 0.3, worse: 0.01}, 12, failpoints{}, 95, 100},
-		{"a point of refusals, nothing known of before", figures{base: 0.02, differ: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
-		{"trouble of all", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{}, 0, 1},
-		{"processes that differ much", figures{base: 0.02, differ: 0.8}, 0, failpoints{}, 0, 2},
-		{"no pairs: trouble of all is taken for harm", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{noPairs: true}, 75, 100},
-		{"no clusters: differences are taken for harm", figures{base: 0.02, differ: 0.8}, 0, failpoints{noCluster: true}, 15, 100},
+		{"one percentage point more refusals", figures{base: 0.02, differ: 0.3, worse: 0.01}, 12, failpoints{}, 95, 100},
+		{"one percentage point more refusals, no figures from before", figures{base: 0.02, differ: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
+		{"trouble of all processes", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{}, 0, 1},
+		{"processes that differ widely", figures{base: 0.02, differ: 0.8}, 0, failpoints{}, 0, 2},
+		{"unpaired: trouble of all processes is taken for harm", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{noPairs: true}, 75, 100},
+		{"calls taken as independent: differences are taken for harm", figures{base: 0.02, differ: 0.8}, 0, failpoints{noCluster: true}, 15, 100},
 	} {
 		if n := halts(c.f, c.d, c.before); n < c.least || n > c.most {
 			t.Errorf("%s: %d of 100 halted, want %d to %d", c.name, n, c.least, c.most)
@@ -106,8 +107,9 @@
 	}
 }
 
-// Looked at every step of a path without a drift, the odds reach 1/alpha in alpha of the cases at the most, whatever part of the
-// variance stays; a test for one look does so far more often.
+// Evaluates random paths without drift at every step. The likelihood ratio reaches 1/alpha in at most a fraction
+// alpha of them, whatever part of the variance does not fall with time; a test for a single evaluation does so far
+// more often.
 func TestSequentialBound(t *testing.T) {
 	const alpha, paths, steps = 0.05, 1500, 200
 	for _, stays := range []float64{0, 0.02} {
@@ -126,15 +128,15 @@
 				}
 			}
 			share := float64(halted) / paths
-			t.Logf("part that stays %v, one look's test %v: %.3f halted", stays, d.peeks, share)
+			t.Logf("constant part of the variance %v, test for a single evaluation %v: %.3f halted", stays, d.peeks, share)
 			if d.peeks != (share > 0.1) || !d.peeks && share > 1.25*alpha {
-				t.Errorf("part that stays %v, %+v: %.3f halted", stays, d, share)
+				t.Errorf("constant part of the variance %v, %+v: %.3f halted", stays, d, share)
 			}
 		}
 	}
 }
 
-// checkPlan holds a wave against what must never be told at one moment.
+// checkPlan checks that a wave does not contain processes that must not be ordered at the same time.
 func checkPlan(p *plan) error {
 	wave, _ := p.next()
 	if len(wave) == 0 {
@@ -155,10 +157,10 @@
 		}
 		if told[x.name] {
 			if !x.here || x.busy || x.in != p.back {
-				return fmt.Errorf("%s can not be told", x.name)
+				return fmt.Errorf("%s cannot be ordered", x.name)
 			}
 			if zone != "" && zone != x.zone {
-				return errors.New("two zones at once")
+				return errors.New("two zones in one wave")
 			}
 			zone = x.zone
 		}
@@ -210,7 +212,7 @@
 	})
 }
 
-// crash plays a change in which the one process that is new dies, and returns what the conductor notes then.
+// crash runs a change in which the one new process dies, and returns the phase and reason in the record then.
 func crash(t *testing.T, d failpoints) string {
 	w := openedWorld(t, 4, d, func(w *world) { w.lossy = true })
 	said := ""
@@ -226,7 +228,7 @@
 			}
 			break
 		}
-		// One round of everything, in order.
+		// One round of all kinds of steps, in order.
 		for _, n := range []string{"store", "view", "deliver", "done", "tick"} {
 			names, do := w.steps()
 			for k := range names {
@@ -255,7 +257,7 @@
 	return said
 }
 
-// Each safeguard is taken out in turn, and missed for its own reason.
+// Checks that disabling each safeguard leads to the failure that it guards against.
 func TestSafeguards(t *testing.T) {
 	find := func(n int, d failpoints, set func(w *world)) error {
 		_, _, _, err := search(openedWorld(t, n, d, set), 20000)
@@ -276,11 +278,11 @@
 		err  error
 		want string
 	}{
-		{"record not written first", find(3, failpoints{tellsFirst: true}, func(w *world) {}), "told before it was written down"},
-		{"fence not looked at", find(3, failpoints{noFence: true}, func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }), "obeys a lower number"},
+		{"orders sent before the record is stored", find(3, failpoints{tellsFirst: true}, func(w *world) {}), "ordered before the record was stored"},
+		{"fencing number ignored", find(3, failpoints{noFence: true}, func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }), "carries out an order with a lower fencing number"},
 		{"stages out of order", find(3, failpoints{anyOrder: true}, func(w *world) {}), "a stage is skipped"},
-		{"neighbours", plans(failpoints{noNeighbours: true}), "neighbours at once"},
-		{"capacity", plans(failpoints{noRoom: true}), "under the capacity"},
+		{"neighbours ignored", plans(failpoints{noNeighbours: true}), "neighbours at once"},
+		{"capacity ignored", plans(failpoints{noRoom: true}), "under the capacity"},
 	} {
 		if c.err == nil || !strings.Contains(c.err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, c.err, c.want)
@@ -290,11 +292,11 @@
 		t.Errorf("a new process died: %q", got)
 	}
 	if got := crash(t, failpoints{noCrash: true}); got != "concluded: " {
-		t.Errorf("a new process died, and nobody counts: %q", got)
+		t.Errorf("a new process died, and crashes are not counted: %q", got)
 	}
 }
 
-// What is refused, and what an operator reads of it.
+// Checks which proposals and orders are refused, and that each error has an advice.
 func TestRefusals(t *testing.T) {
 	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
 	var out fleet.Out
@@ -304,8 +306,8 @@
 		want error
 	}{
 		{Target{Change: 8, Settings: "x"}, &RunningError{Change: 8, Running: change, Conductor: "a"}},
-		{Target{Settings: "x"}, &TargetError{Why: "has no number"}},
-		{Target{Change: 8}, &TargetError{Change: 8, Why: "names neither settings nor a program"}},
+		{Target{Settings: "x"}, &TargetError{Why: "no change number is given"}},
+		{Target{Change: 8}, &TargetError{Change: 8, Why: "names neither a settings file nor a program"}},
 		{Target{Change: 8, Settings: strings.Repeat("x", MaxPath+1)}, &TargetError{Change: 8, Why: "path too long"}},
 	} {
 		if err := p.Propose(w.now, c.t, &out); err == nil || err.Error() != c.want.Error() {
@@ -318,13 +320,13 @@
 	if err := q.Propose(0, Target{Change: 9, Settings: "x"}, &out); !errors.As(err, &over) || over.Over != 9 {
 		t.Errorf("a change that is over: %v", err)
 	}
-	// An order by a lower number is answered with the one that was seen, and not obeyed.
+	// An order with a lower fencing number is answered with the highest one seen, and is not carried out.
 	q.viewed, q.fence = true, 5
 	out = fleet.Out{}
 	q.Message(0, fleet.Message{From: "z", Body: encode(speech{Order: true, Change: 10, Fence: 4, Write: 9, Verb: Apply, Target: Target{Change: 10}})}, &out)
 	var answer speech
 	if len(out.Acts) != 0 || len(out.Send) != 1 || decode(out.Send[0].Body, &answer) != nil || answer.Fence != 5 || q.state != Unchanged {
-		t.Errorf("order by a lower number: %+v", out)
+		t.Errorf("order with a lower fencing number: %+v", out)
 	}
 	for _, e := range Errors {
 		if e.Advice() == "" || advice.Of(fmt.Errorf("so: %w", e)) != e.Advice() {
@@ -333,7 +335,7 @@
 	}
 }
 
-// The largest record and the largest of each message fit, and garbage of any kind changes nothing.
+// Checks that the largest record and the largest messages fit, and that undecodable bytes change nothing.
 func TestSizesAndGarbage(t *testing.T) {
 	long := strings.Repeat("ä", 500)
 	r := record{Target: Target{math.MaxUint64, long[:MaxPath], math.MaxUint64, long[:MaxPath], math.MaxUint64}, Phase: halted, Stage: All, Told: 1 << 30,
@@ -342,10 +344,10 @@
 		r.Wave = append(r.Wave, math.MaxUint32)
 	}
 	if n := len(r.encode()); n > lease.MaxRecord {
-		t.Errorf("a record of %d bytes", n)
+		t.Errorf("the largest record has %d bytes", n)
 	}
 	if back, err := readRecord(r.encode()); err != nil || back.Target != r.Target || len(back.Wave) != MaxWave {
-		t.Errorf("read back: %+v, %v", back, err)
+		t.Errorf("decoded record: %+v, %v", back, err)
 	}
 	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
 	rapid.Check(t, func(t *rapid.T) {
@@ -353,7 +355,7 @@
 		before := w.print()
 		w.parts[1].Message(0, fleet.Message{From: "a", Body: b}, &fleet.Out{})
 		if w.print() != before && decode(b, &speech{}) != nil {
-			t.Errorf("%x changed something", b)
+			t.Errorf("%x changed the state", b)
 		}
 		_, _ = readRecord(b)
 	})
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -6,35 +6,35 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// verdict is what a look at the evidence says.
+// verdict is the result of evaluating the evidence.
 type verdict uint8
 
 const (
-	untold verdict = iota // neither
+	untold verdict = iota // neither of the two is shown
 	passes                // no measure is worse by its margin
 	harms
 )
 
-// comparison is old against new in one measure: the mean over the new processes less that over the old, and how far it can be
-// off by chance.
+// comparison compares old and new in one measure: the difference of the means, and its uncertainty.
 type comparison struct {
-	diff     float64 // positive is worse
-	variance float64 // of diff, the differences between processes included
+	diff     float64 // mean of the new processes less that of the old; positive is worse
+	variance float64 // variance of diff, including the differences between processes
 	freedom  float64 // degrees of freedom of the variance
-	margin   float64 // what must be seen
-	spared   float64 // what is let pass
-	old, new float64 // as the reason gives them
-	most     float64 // of any old process, on the same scale
+	margin   float64 // increase that must be detected
+	spared   float64 // increase that is tolerated
+	old, new float64 // values shown in the reason
+	most     float64 // highest value of an old process, on the scale of diff
 	nOld     int     // processes
 	nNew     int
 	calls    float64 // on the new side
 }
 
-// logOdds is the logarithm of the mixture likelihood ratio of "the mean is over 0, by some figure drawn from a half normal of
-// scale tau" against "it is 0", where diff was seen with that variance. The variance is made of the noise, which falls with
-// time, and of the differences between processes, which do not. diff is enough to know of the path that led to it, so that the
-// ratio is a martingale while the mean is 0, looked at as often as one likes: it reaches 1/a in a of the cases at the most
-// (Ville). Freedom turns the few processes that the variance was learned from into a wider one.
+// logLikelihoodRatio returns the logarithm of the mixture likelihood ratio of "the mean is above 0, with a prior
+// that is half normal with scale tau" against "the mean is 0", for an observed diff with the given variance. The
+// variance consists of noise, which falls with time, and of differences between processes, which do not. The ratio
+// depends on the path only through diff, so it is a martingale while the mean is 0: however often it is evaluated,
+// it reaches 1/a with probability a at most (Ville). The degrees of freedom account for the few processes that the
+// variance was estimated from.
 func logOdds(diff, variance, freedom, tau float64) float64 {
 	z := diff / math.Sqrt(variance)
 	if freedom < 200 {
@@ -49,17 +49,17 @@
 	return math.Ln2 + 0.5*math.Log1p(-part) + tail
 }
 
-// normalOf is the normal deviate that is as rare as the given one of Student's t.
+// normalQuantile returns the normal deviate with the same tail probability as the given deviate of Student's t.
 func normalOf(t, freedom float64) float64 {
 	s := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(freedom, 1)}
 	p := max(s.Survival(math.Abs(t)), 1e-290)
 	return math.Copysign(-distuv.UnitNormal.Quantile(p), t)
 }
 
-// judge says whether a comparison shows harm, with a chance of at most alpha that there is none over what is spared, or no
-// harm, with a chance of at most beta that it is as bad as the margin.
+// judge reports whether a comparison shows harm, with a probability of at most alpha that the increase is within
+// the tolerance, or no harm, with a probability of at most beta that the increase reaches the margin.
 func (c comparison) judge(alpha, beta float64, d failpoints) verdict {
-	if d.peeks { // the fault: a test for one look, taken at every look
+	if d.peeks { // fault: a test for a single evaluation, applied at each
 		z := normalOf((c.diff-c.spared)/math.Sqrt(c.variance), c.freedom)
 		if z > distuv.UnitNormal.Quantile(1-alpha) {
 			return harms
@@ -73,5 +73,6 @@
 	return untold
 }
 
-// alphaShare is the part of Rules.Alpha that each stage's comparisons may use. The last two go on with one evidence.
+// alphaShare is the part of Rules.Alpha that the comparisons of each stage may use. The last two stages share one
+// body of evidence.
 var alphaShare = [stages]float64{0.1, 0.5, 0.4, 0.4}
--- a/internal/stage/lease_test.go
+++ b/internal/stage/lease_test.go
@@ -11,8 +11,9 @@
 	"pewterwheel/internal/lease"
 )
 
-// Seven processes with the leases that they have in service, over a net that loses, doubles and delays: conductors are killed or cut off,
-// and the change still ends whole, without a stage skipped or a lower number obeyed.
+// Runs a change over seven processes with real leases, over a network that loses, duplicates and delays messages,
+// while conductors are killed or cut off. The change must end completely, without a skipped stage and without an
+// order carried out under a lower fencing number.
 func TestOverLeases(t *testing.T) {
 	const n, tick = 7, second / 20
 	type process struct {
@@ -20,7 +21,7 @@
 		stage  *Part
 		entry  fleet.Entry
 		wrote  Target
-		cut    int64 // until then
+		cut    int64 // cut off until then
 		obeyed uint64
 	}
 	type parcel struct {
@@ -63,7 +64,7 @@
 				switch x.What {
 				case "stage":
 					opened = append(opened, x.N)
-				case "conducts": // whoever opened the stage may have died before it said so
+				case "conducts": // the process that opened the stage may have died before it noted so
 					conducted++
 					_, name, _ := strings.Cut(x.Text, ", stage ")
 					if at := int64(slices.Index(stageNames[:], name)); len(opened) == 0 || at == opened[len(opened)-1]+1 {
@@ -73,7 +74,7 @@
 					ended = x.Text
 				case Apply, Back:
 					if x.Fence < p.obeyed {
-						t.Errorf("seed %d: %s obeys %d after %d", seed, p.entry.Name, x.Fence, p.obeyed)
+						t.Errorf("seed %d: %s carries out an order with fencing number %d after %d", seed, p.entry.Name, x.Fence, p.obeyed)
 					}
 					p.obeyed = x.Fence
 				}
@@ -98,7 +99,7 @@
 			begin(i)
 		}
 		for ; now < 300*second && !stood; now += tick {
-			// A proposal is lost with the process that has it: an operator gives it to the next one.
+			// A proposal is lost with the process that holds it; an operator then gives it to the next process.
 			if at := now / tick; at%(40*second/tick) == 8*second/tick && ended == "" {
 				use(int(seed+uint64(at))%n, func(p *process, out *fleet.Out) {
 					if err := p.stage.Propose(now, target, out); err != nil && !Refused(err) {
@@ -166,7 +167,7 @@
 			by[p.stage.running.Change]++
 		}
 		if !stood || len(by) != 1 || (ended[:6] == "halted") != (by[0] == n) {
-			t.Errorf("seed %d: ended %q, by change %v, stages %v", seed, ended, by, opened)
+			t.Errorf("seed %d: ended %q, processes by change %v, stages %v", seed, ended, by, opened)
 		}
 		for i := 1; i < len(opened); i++ {
 			if opened[i] != opened[i-1]+1 {
@@ -174,10 +175,10 @@
 			}
 		}
 		if worse >= 0 && by[0] != n {
-			t.Errorf("seed %d: worse at %s, and not taken back: %s", seed, stageNames[worse], fmt.Sprint(by))
+			t.Errorf("seed %d: worse at %s, and not rolled back: %s", seed, stageNames[worse], fmt.Sprint(by))
 		}
 	}
 	if conducted < 10 {
-		t.Errorf("the conductor was followed %d times only", conducted)
+		t.Errorf("another process took over as conductor only %d times", conducted)
 	}
 }
--- a/internal/stage/look.go
+++ b/internal/stage/look.go
@@ -8,20 +8,20 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// leastSlots are gathered before a stage is judged at all.
+// minStageSlots is the number of slots needed before a stage is judged.
 const leastSlots = 4
 
-// score is what one process shows in a measure, over the stage.
+// score is the result of one process in a measure over the stage.
 type score struct {
 	zone  string
 	newer bool
-	x     float64 // excess, a unit
+	x     float64 // excess per unit of weight
 	old   float64 // the same before the change
-	had   bool    // there is a before
+	had   bool    // excessBefore is known
 	base  float64
 }
 
-// scores are those of all that can be compared in a measure.
+// scores returns the scores of all processes that can be compared in a measure.
 func (e *evidence) scores(m int) []score {
 	var list []score
 	for _, n := range e.names {
@@ -46,7 +46,7 @@
 		}
 		list = append(list, sc)
 	}
-	// Who had next to no calls tells nothing, and would weigh as much as the others.
+	// Drops processes with next to no calls: they show nothing, but would count as much as the others.
 	bases := make([]float64, len(list))
 	for i := range list {
 		bases[i] = list[i].base
@@ -59,7 +59,7 @@
 	return list
 }
 
-// farthest is how many standard deviations from its zone's middle a process's score counts at the most.
+// maxDeviations limits a score to so many standard deviations from the middle of its zone.
 const farthest = 6
 
 func median(list []float64) float64 {
@@ -70,12 +70,13 @@
 	return s[len(s)/2]
 }
 
-// compare is old against new in one measure; false: there is nothing to compare, as where a figure is not told.
+// compare compares old and new in one measure. It returns false if there is nothing to compare, for example
+// because no process reports the figure.
 func (e *evidence) compare(m int) (comparison, bool) {
 	list := e.scores(m)
 	if e.stage == All {
-		// The rest changes zone by zone: where no old ones are left there is nothing to compare with, and another zone's
-		// are no measure.
+		// The remaining processes change zone by zone. A zone with few old processes left cannot be compared, and
+		// the old ones of another zone are no substitute.
 		olds := map[string]int{}
 		for _, s := range list {
 			if !s.newer {
@@ -84,8 +85,8 @@
 		}
 		list = slices.DeleteFunc(list, func(s score) bool { return olds[s.zone] < 4 })
 	}
-	// What a process showed beyond the others before the change it goes on to show in part: how large a part, the old
-	// ones tell.
+	// A part of the excess that a process had before the change persists; the old processes show how large that
+	// part is (the regression slope).
 	var xs, ys []float64
 	for _, s := range list {
 		if !s.newer && s.had {
@@ -120,8 +121,8 @@
 			g.olds = append(g.olds, s.x)
 		}
 	}
-	// One that is far out of all others, old or new, as the busiest in a jump, counts as far as the others' spread
-	// makes likely.
+	// An outlier, old or new, such as the busiest process in a load jump, is limited to the deviation that the
+	// spread of the others makes plausible.
 	var off []float64
 	middle := map[string]float64{}
 	for _, z := range zones {
@@ -194,14 +195,14 @@
 	if c.margin <= 0 {
 		return c, false
 	}
-	// The least that the variance can be: calls are counted one by one.
+	// Lower bound of the variance: calls are counted one by one.
 	least := c.margin * c.margin * 1e-4
 	if m <= slow {
 		a, b := e.oldSum[m], e.newSum[m]
 		p := min(0.5, (a.num+b.num+1)/(a.den+b.den+2))
 		binomial := p * (1 - p) * (1/max(a.den, 1) + 1/max(b.den, 1))
 		least = max(least, binomial)
-		if e.failpoints.noCluster { // the fault: calls taken for independent, processes for alike
+		if e.failpoints.noCluster { // fault: treats calls as independent and processes as alike
 			c.variance = binomial
 		}
 	}
@@ -209,7 +210,8 @@
 	return c, true
 }
 
-// margin sets what must be seen in a measure, in its own unit, and what is let pass.
+// setMargin sets the increase of a measure that must be detected, in the unit of the measure, and the increase
+// that is tolerated.
 func (e *evidence) margin(m int, c *comparison) {
 	g, spared := &e.rules.Margins, 0.25
 	switch m {
@@ -234,7 +236,7 @@
 	c.spared = spared * c.margin
 }
 
-// finding is what a look came to, with the figures that it rests on.
+// finding is the result of an evaluation, with the figures that it is based on.
 type finding struct {
 	verdict verdict
 	measure int
@@ -259,7 +261,7 @@
 		f.diff/math.Sqrt(f.variance), f.nOld, f.nNew)
 }
 
-// look judges the stage by what has been gathered. Most of it is done once a slot.
+// evaluate judges the stage by the figures gathered so far.
 func (e *evidence) look(now int64) finding {
 	if e.stage < 0 || e.slots == 0 {
 		return finding{measure: -1, text: "no figures yet"}
@@ -274,9 +276,9 @@
 		}
 		told++
 		f := finding{verdict: c.judge(alpha, e.rules.Beta, e.failpoints), measure: m, comparison: c}
-		// The spread of the old ones says little of how far out one of them can be, as the one on which a jump falls
-		// hardest: a few new ones are not halted for what an old one shows as well. One slot in which a trouble begins is
-		// no path: its spread is that of the moment alone.
+		// The spread of the old processes does not show how far out a single one can be, such as the one that a
+		// load jump hits hardest. So a few new processes cause no halt if an old one is as bad. A single slot in
+		// which a trouble begins is not enough evidence either: its spread is that of the moment only.
 		if e.slots < leastSlots {
 			f.verdict = untold
 		}
@@ -294,31 +296,31 @@
 			worst = f
 		}
 	}
-	// Where windows are long it takes longer until there are slots enough to tell by.
+	// Long windows take longer to give enough slots.
 	enough := (leastSlots + 1) * e.longSlot()
 	longest := max(e.rules.Most, enough)
 	most := longest
 	if e.stage == One {
-		// One process tells of crashes and gross faults; the next stage of the rest.
+		// One process shows crashes and gross faults; the next stage shows the rest.
 		most = min(most, max(2*e.rules.Look, enough))
 	}
 	f := worst
 	switch {
 	case told == 0 || f.calls == 0:
-		f.verdict, f.text = untold, "too little traffic to tell: no calls on the new side"
+		f.verdict, f.text = untold, "too little traffic: no calls on the new side"
 		if now-e.since >= longest {
-			f.verdict, f.measure, f.text = harms, -1, "no calls on the new side to tell by"
+			f.verdict, f.measure, f.text = harms, -1, "no calls on the new side in time to judge it"
 		}
 	case now-e.since < e.rules.Look:
-		f.verdict, f.text = untold, "looked at too short a time"
+		f.verdict, f.text = untold, "not judged for long enough yet"
 	case all == passes:
 		f.verdict, f.text = passes, "no measure is worse by its margin"
 	case now-e.since < most:
-		f.verdict, f.text = untold, "too little traffic to tell yet: "+f.reason()
+		f.verdict, f.text = untold, "too little traffic to decide yet: "+f.reason()
 	case e.stage != One && f.diff > f.margin:
-		f.verdict, f.text = harms, "not told apart in time, and worse by over its margin: "+f.reason()
+		f.verdict, f.text = harms, "undecided in time, and worse by more than its margin: "+f.reason()
 	default:
-		f.verdict, f.text = passes, "not told apart in time, and worse by under its margin: "+f.reason()
+		f.verdict, f.text = passes, "undecided in time, and worse by less than its margin: "+f.reason()
 	}
 	return f
 }
--- a/internal/stage/part.go
+++ b/internal/stage/part.go
@@ -8,26 +8,26 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Part is the staged change in one process: what the process itself does about a change and, while it holds the lease, the
-// conductor of it. It implements fleet.Module.
+// Part is the state machine of staged changes in one process: it carries out the orders that the process receives,
+// and is the conductor while the process holds the lease. It implements fleet.Module.
 type Part struct {
 	c       Config
 	watch   watch
 	viewed  bool
-	follows bool // this process would conduct after the conductor
+	follows bool // this process would take over from the conductor
 
-	// What this process does about a change.
+	// The part of this process in a change.
 	running, concluded Target
-	target             Target // of the change that it is in
+	target             Target // target of the change that it takes part in
 	state              State
 	change             uint64
-	fence, write       uint64 // the highest order seen
+	fence, write       uint64 // fencing number and write of the highest order seen
 	why                string
-	act                uint64 // number of the act that is open; 0: none
-	verb               string // of it
+	act                uint64 // number of the open act; 0: none
+	verb               string // verb of the open act
 	acts               uint64
 	wantsBack          bool // ordered back while it was changing
-	handed             bool // a successor has taken over: this one does nothing any more
+	handed             bool // a successor has taken over; this process does nothing any more
 	shown              []byte
 
 	conductor conductor
@@ -39,7 +39,7 @@
 
 var _ fleet.Module = (*Part)(nil)
 
-// every is how often a part looks at its lease, its orders and its slots.
+// tickInterval is how often a part checks its lease, its orders and its slots.
 const every = second / 5
 
 func newPart(c Config) *Part {
@@ -52,22 +52,22 @@
 	return p
 }
 
-// Kind is fleet.Stage.
+// Kind returns fleet.Stage.
 func (p *Part) Kind() fleet.Kind { return fleet.Stage }
 
-// Start tells what this process goes by.
+// Start publishes the status of this process.
 func (p *Part) Start(now int64, out *fleet.Out) {
 	p.next = now + every
 	p.tell(out)
 }
 
-// View brings what is known of the others.
+// View applies a view of the other processes.
 func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
 	p.watch.view(now, v)
 	p.viewed = true
 	r := p.watch.runs()
 	p.follows = r != 0 && p.watch.follows(r)
-	// Guards against an order of a conductor that is no longer one, in a process that has just started.
+	// Guards against orders of a former conductor in a process that has just started.
 	if p.watch.fence > p.fence || p.watch.fence == p.fence && p.watch.write > p.write {
 		p.fence, p.write = p.watch.fence, p.watch.write
 	}
@@ -76,17 +76,17 @@
 	p.tell(out)
 }
 
-// Tick does what is due.
+// Tick does the work that is due.
 func (p *Part) Tick(now int64, out *fleet.Out) {
 	p.next = now + every
 	p.conduct(now, out)
 	p.tell(out)
 }
 
-// Next tells when Tick is due.
+// Next returns when Tick is due.
 func (p *Part) Next() int64 { return p.next }
 
-// Message brings an order or an answer.
+// Message handles an order or an answer.
 func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
 	var s speech
 	if len(m.Body) > fleet.MaxBody || decode(m.Body, &s) != nil || len(s.Target.Settings) > MaxPath || len(s.Target.Program) > MaxPath {
@@ -102,9 +102,9 @@
 	p.tell(out)
 }
 
-// order does what the conductor says, and answers.
+// handleOrder carries out an order of the conductor and answers it.
 func (p *Part) order(now int64, from string, s speech, out *fleet.Out) {
-	// A process that has just started knows no fencing number yet: it waits until it has heard the others.
+	// A process that has just started knows no fencing number yet; it ignores orders until it has its first view.
 	if p.handed || !p.viewed {
 		return
 	}
@@ -132,7 +132,7 @@
 			return
 		}
 		if p.state == Changed && p.change > p.watch.over {
-			return // one change at a time; one that came back from a cut after its change was over may go on from there
+			return // one change at a time, but a process that came back after its change was over may go on to the next
 		}
 		p.state, p.change, p.target, p.why = Changing, s.Change, s.Target, ""
 		p.begin(Apply, s.Target, out)
@@ -163,7 +163,7 @@
 	p.note(out, verb, p.fence, int64(p.change), fmt.Sprintf("write %d", p.write))
 }
 
-// Done brings the end of an act.
+// Done handles the end of an act.
 func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {
 	if a.Number != p.act || p.act == 0 {
 		return
@@ -179,7 +179,7 @@
 				p.settle()
 			}
 		case p.replaces(p.target):
-			p.handed = true // the successor tells the rest
+			p.handed = true // the successor publishes the outcome
 			p.counts.changes++
 		default:
 			p.counts.changes++
@@ -232,7 +232,7 @@
 	out.Send = append(out.Send, fleet.Message{Kind: fleet.Stage, From: p.c.Name, To: to, Body: encode(s)})
 }
 
-// tell puts this process's part of its entry, where it is another than before.
+// publishStatus updates the status in the entry of this process if it has changed.
 func (p *Part) tell(out *fleet.Out) {
 	if p.handed {
 		return
@@ -253,9 +253,9 @@
 func (p *Part) propose(now int64, t Target, out *fleet.Out) error {
 	switch {
 	case t.Change == 0:
-		return &TargetError{Change: t.Change, Why: "has no number"}
+		return &TargetError{Change: t.Change, Why: "no change number is given"}
 	case t.Settings == "" && t.Program == "":
-		return &TargetError{Change: t.Change, Why: "names neither settings nor a program"}
+		return &TargetError{Change: t.Change, Why: "names neither a settings file nor a program"}
 	case len(t.Settings) > MaxPath || len(t.Program) > MaxPath:
 		return &TargetError{Change: t.Change, Why: "path too long"}
 	}
@@ -275,7 +275,7 @@
 	return nil
 }
 
-// known is the change that is known to run; 0: none.
+// knownRunning returns the change that is known to be running or was proposed here; 0: none.
 func (p *Part) known() uint64 {
 	if r := p.watch.runs(); r != 0 {
 		return r
@@ -289,7 +289,7 @@
 	return 0
 }
 
-// Figures gives the state of the change, and counts.
+// Figures reports the state of the change and counters as metrics.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
 	put("stage_change", p.change, true)
 	put("stage_state", uint64(p.state), true)
@@ -305,7 +305,8 @@
 	p.conductor.figures(put)
 }
 
-// Text is the change as STATS shows it, in one line: who conducts what, the stage, and after a halt the reason with its evidence.
+// Text describes the change in one line, as STATS shows it: the conductor, the stage, and after a halt the reason
+// with its evidence.
 func (p *Part) Text() string {
 	if c := &p.conductor; c.holds && c.rec.Phase != none {
 		return c.text()
@@ -319,7 +320,8 @@
 	return "no change"
 }
 
-// Refused tells whether an error says that a change was not begun because of another, or of its number.
+// IsConflict reports whether an error says that a change was not started because of another change or of its own
+// number.
 func Refused(err error) bool {
 	var r *RunningError
 	var n *NumberError
--- a/internal/stage/plan.go
+++ b/internal/stage/plan.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The stages of a change, in order. Each holds the processes of the one before it.
+// The stages of a change, in order. Each contains the processes of the previous one.
 const (
 	One       = iota // one process
 	Twentieth        // a twentieth of them
@@ -20,7 +20,7 @@
 
 var stageNames = [stages]string{"one", "twentieth", "quarter", "all"}
 
-// Size is how many of n processes are in the change once a stage is filled.
+// StageSize returns how many of n processes are in the change once a stage has all its processes.
 func Size(stage, n int) int {
 	switch stage {
 	case One:
@@ -33,8 +33,8 @@
 	return n
 }
 
-// order is the place of a process, or a zone, in a change: each change has an order of its own, so that it is not always the
-// same process that goes first.
+// rank returns the position of a process or a zone in the order of a change. The order differs from change to
+// change, so that it is not always the same process that goes first.
 func order(change uint64, name string) uint64 {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], change)
@@ -44,40 +44,40 @@
 	return d.Sum64()
 }
 
-// mark is how the record of a change names a process.
+// nameHash returns the hash that stands for a process in the record of a change.
 func mark(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// place is one process as the plan sees it.
+// candidate is one process as the plan sees it.
 type place struct {
 	name, zone string
-	order      uint64  // its place in the change
+	order      uint64  // position in the order of the change
 	here       bool    // serves and is not suspected
-	in         bool    // is in the change, or was told to be
-	busy       bool    // changes now, or may do so unheard
+	in         bool    // is in the change or was ordered to be
+	busy       bool    // is changing, or may be changing unseen
 	offered    float64 // calls a second
-	shown      float64 // calls a second that it showed it serves
+	shown      float64 // calls a second that it has shown it can serve
 }
 
-// plan is what the next wave is chosen from.
+// plan is the input from which the next wave is chosen.
 type plan struct {
 	rules      Rules
 	change     uint64
-	program    bool // the program changes: a process serves nothing while it does. A reload of settings costs none of it.
-	back       bool // processes are taken out of the change
-	last       bool // has waited long for room: one at a time goes back whatever is offered
+	program    bool // the program changes: a process serves nothing meanwhile; a reload of settings costs no capacity
+	back       bool // processes are rolled back
+	last       bool // rollback was blocked for long: one at a time goes back whatever the offered load
 	self       string
-	usual      float64 // what the middle one is offered; 0: not known yet
+	usual      float64 // median of the offered rates; 0: not computed yet
 	stage      int
-	told       int // told so far, over all stages
+	told       int // processes ordered so far, over all stages
 	places     []place
 	neighbours func(a, b string) bool
 	failpoints failpoints
 }
 
-// quota is how many processes of each zone a stage holds: its size shared out by the zones' sizes, the rest to those that
-// come first in the change's order.
+// zoneQuotas returns how many processes of each zone a stage contains: the size of the stage in proportion to the
+// sizes of the zones, and the remainder to the zones that come first in the order of the change.
 func (p *plan) quota() (zones []string, want map[string]int) {
-	// Of those that are heard: a zone that is cut off has no part that others would wait for.
+	// Counts reachable processes only: a zone that is cut off has no share that others would wait for.
 	have, heard := map[string]int{}, 0
 	for _, x := range p.places {
 		if !x.here {
@@ -114,13 +114,13 @@
 	return strings.Compare(a, b)
 }
 
-// What next says besides a wave.
+// Reasons why nextWave returns no wave.
 const (
-	filled   = "filled"    // the stage has all that it can have
-	onlySelf = "only self" // only the conductor itself is left: another one has to tell it
+	filled   = "filled"    // the stage has all processes that it can have
+	onlySelf = "only self" // only the conductor itself is left; another process has to order it
 )
 
-// next chooses the processes that change next, of one zone, or says why there are none now.
+// nextWave chooses the processes of one zone that change next, or returns the reason why there are none now.
 func (p *plan) next() (wave []string, why string) {
 	if len(p.places) == 0 {
 		return nil, "no process is known"
@@ -151,8 +151,8 @@
 	}
 	zones, want := p.quota()
 	size := Size(p.stage, len(p.places))
-	// Who was told and is cut off counts as told, and is made up for to a bound: without one it could not be told what such
-	// a process does, and with no bound the stage would grow by every cut.
+	// A process that was ordered and is cut off counts as ordered, because its state is unknown. It is replaced up
+	// to a limit, so that the stage does not grow with every partition.
 	may := min(p.rules.Wave, max(size-p.told+min(lost, size/2+1), (size+1)/2-in))
 	switch {
 	case p.back && p.last:
@@ -164,7 +164,7 @@
 	}
 	left, selfLeft := 0, false
 	for _, zone := range zones {
-		list := make([]place, 0, len(p.places)) // of the zone, in the change's order
+		list := make([]place, 0, len(p.places)) // processes of the zone, in the order of the change
 		in := 0
 		for _, x := range p.places {
 			if x.zone == zone {
@@ -181,7 +181,8 @@
 		}
 		ordinary := slices.ContainsFunc(list, func(x place) bool { return x.here && !x.busy && !x.in && x.name != p.self && p.ordinary(x) })
 		for i, x := range list {
-			// The first one alone is judged: not by what the busiest of all shows in a jump, or the idlest.
+			// The first process is judged alone, so it must not be one of the busiest, which a load jump hits
+			// hardest, or of the idlest.
 			if p.stage == One && !p.back && ordinary && !p.ordinary(x) {
 				continue
 			}
@@ -200,10 +201,10 @@
 			if !p.failpoints.noNeighbours && p.besideBusy(list, i, wave) {
 				continue
 			}
-			// Guards against a take-over that leaves less than the traffic needs.
+			// Guards against a take-over that leaves less capacity than the traffic needs.
 			if p.program && !p.failpoints.noRoom && !(p.back && p.last && busy == 0) {
 				if have-x.shown < p.room()*need {
-					why = "waits: the processes left would not serve what is offered"
+					why = "waits: the remaining processes could not serve the offered load"
 					continue
 				}
 			}
@@ -218,7 +219,7 @@
 		return nil, filled
 	}
 	if most := max(1, int(p.rules.Away*float64(len(p.places)))); !p.back && away > most {
-		return nil, "waits: too many processes start, end or are suspected"
+		return nil, "waits: too many processes are starting, ending or suspected"
 	}
 	if len(wave) == 0 && why == "" {
 		why = "waits: neighbours are changing"
@@ -226,7 +227,7 @@
 	return wave, why
 }
 
-// ordinary tells whether a process is offered about as much as most are.
+// hasTypicalLoad reports whether the offered rate of a process is within 25% of the median.
 func (p *plan) ordinary(x place) bool {
 	if p.usual == 0 {
 		var all []float64
@@ -241,7 +242,8 @@
 	return x.offered >= 0.75*p.usual && x.offered <= 1.25*p.usual
 }
 
-// room is by how much what is served must stay over what is offered. Those that go back do so with none to spare.
+// capacityFactor returns the factor by which the capacity must exceed the offered load. A rollback needs no
+// reserve.
 func (p *plan) room() float64 {
 	if p.back {
 		return 1
@@ -257,7 +259,7 @@
 	return places[i].zone
 }
 
-// besideBusy tells whether a neighbour of the i-th process of a zone changes now, or is in the wave.
+// neighbourChanging reports whether a neighbour of the i-th process of a zone is changing or is in the wave.
 func (p *plan) besideBusy(list []place, i int, wave []string) bool {
 	changes := func(x place) bool { return x.busy || slices.Contains(wave, x.name) }
 	if p.neighbours != nil {
--- a/internal/stage/rules.go
+++ b/internal/stage/rules.go
@@ -1,36 +1,38 @@
 package stage
 
-// Rules are the bounds of a change. Times are microseconds, shares parts of 1. A zero value stands for the default.
+// Rules are the limits of a change. Times are in microseconds, fractions parts of 1. A zero value stands for the
+// default.
 type Rules struct {
-	Baseline int64 // figures are gathered for so long before the first process changes: 2 minutes
-	Warm     int64 // a process's figures count so long after it has changed: 30 s
-	Slot     int64 // old and new are compared over stretches of so long: 10 s
-	Look     int64 // a stage is judged for so long at least: 1 minute
-	Most     int64 // a stage that cannot be told is waited for so long at most: 10 minutes
-	Patience int64 // a process that was told and is heard must have changed by then: 1 minute
-	Lost     int64 // a process that was told and is suspected for so long is no longer waited for: 20 s
-	Ask      int64 // a proposal is dropped if the lease is not granted by then: 30 s
-	Repeat   int64 // an order is repeated after: 1 s
+	Baseline int64 // time for which figures are gathered before the first process changes: 2 minutes
+	Warm     int64 // time from the change of a process until its figures count: 30 s
+	Slot     int64 // length of the intervals over which old and new are compared: 10 s
+	Look     int64 // minimum time for which a stage is judged: 1 minute
+	Most     int64 // maximum time for which a stage without a clear result is judged: 10 minutes
+	Patience int64 // time in which a reachable process that was ordered must have changed: 1 minute
+	Lost     int64 // an ordered process that has been suspected for so long is no longer waited for: 20 s
+	Ask      int64 // time after which a proposal is dropped if the lease is not granted: 30 s
+	Repeat   int64 // interval at which an order is repeated: 1 s
 	Away     float64
-	Wave     int     // processes that change at one moment at the most: 8; MaxWave
-	Room     float64 // what the serving processes showed they serve must be so many times what is offered: 1.1
-	Alpha    float64 // chance that a harmless change is halted by the comparison, over all stages and measures: 0.005
-	Beta     float64 // chance that a stage passes though a measure is worse by its margin: 0.005
+	Wave     int     // maximum number of processes that change at the same time: 8, at most MaxWave
+	Room     float64 // required ratio of the capacity that serving processes have shown to the offered load: 1.1
+	Alpha    float64 // probability that the comparison halts a harmless change, over all stages and measures: 0.005
+	Beta     float64 // probability that a stage passes although a measure is worse by its margin: 0.005
 	Margins  Margins
 }
 
-// MaxWave bounds Rules.Wave: the record of a change names those who are being told.
+// MaxWave is the upper limit of Rules.Wave: the record of a change names the processes that are being ordered.
 const MaxWave = 16
 
-// Margins are how much worse a measure may be before it must be seen; what is under a tenth of it is let pass.
+// Margins are the increases of each measure that must be detected. Increases of up to a quarter of a margin, for
+// processor time and memory up to half of it, are tolerated.
 type Margins struct {
-	Worth   float64 // worth served, as a part of the whole: 0.01
-	Refused float64 // refused, as a part of those offered: 0.005
+	Worth   float64 // worth served, as a fraction of the whole: 0.01
+	Refused float64 // refused, as a fraction of those offered: 0.005
 	Failed  float64 // 0.005
 	Late    float64 // 0.005
-	Wait    float64 // 99th percentile of the waits, as a part of the old: 0.15
-	CPU     float64 // processor time a call, as a part of the old: 0.10
-	Memory  float64 // resident memory, as a part of the old: 0.25
+	Wait    float64 // 99th percentile of the waits, relative to the old one: 0.15
+	CPU     float64 // processor time per call, relative to the old: 0.10
+	Memory  float64 // resident memory, relative to the old: 0.25
 	Growth  float64 // growth of memory, bytes a minute: 2.5 MB
 }
 
@@ -42,7 +44,7 @@
 
 const second = int64(1_000_000)
 
-// Whole is the rules with the defaults in place of zero values.
+// Whole returns the rules with defaults in place of zero values.
 func (r Rules) Whole() Rules { return r.whole() }
 
 func (r Rules) whole() Rules {
--- a/internal/stage/search_test.go
+++ b/internal/stage/search_test.go
@@ -15,7 +15,8 @@
 	"pewterwheel/internal/lease"
 )
 
-// fake is a lease of which at most one holds; a record counts once it is stored, and is lost with the holder before.
+// fakeLease is a lease with at most one holder. A record that is being written counts once it is stored, and is
+// lost if the holder changes first.
 type fake struct {
 	claims  []string
 	holder  string
@@ -39,7 +40,7 @@
 	f.settle()
 }
 
-// of is the lease as one process sees it.
+// processLease is the lease as one process sees it.
 type of struct {
 	f    *fake
 	name string
@@ -66,16 +67,16 @@
 
 const change = 7
 
-// world is a few processes, their messages and acts, and what may still go wrong.
+// world is the state of a few processes, their messages and acts, and the faults that may still occur.
 type world struct {
 	now        int64
 	lease      *fake
 	parts      []*Part
 	entries    []fleet.Entry
 	acts       [][]fleet.Act
-	wrote      []uint64 // change that the file of the concluded target names, by process
+	wrote      []uint64 // change of the target in the file of the concluded target, by process
 	mail       []fleet.Message
-	viewed     [2]string // what was last shown to those who claim, and to the others
+	viewed     [2]string // the state last shown to the processes that claim the lease, and to the others
 	drops      int
 	doubles    int
 	deaths     int
@@ -84,9 +85,9 @@
 	worse      int // the stage that does worse
 	failpoints failpoints
 	program    bool
-	forgets    bool // a move of the lease loses its record
+	forgets    bool // the record is lost when the lease moves
 	lossy      bool
-	together   bool // all hear the same at once: less to search
+	together   bool // all processes get the same view at once, for a smaller search
 	died       int
 	most       int // the highest stage that was stored
 	obeyed     []([2]uint64)
@@ -95,7 +96,7 @@
 func (w *world) config(i int, running, concluded Target) Config {
 	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second, Repeat: 1, Away: 1}
 	if w.drops == 0 && w.deaths == 0 && w.died == 0 && !w.lossy {
-		tiny.Repeat = 1 << 50 // where nothing is lost, nothing is said twice: there is less to search
+		tiny.Repeat = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
 	return Config{Name: w.entries[i].Name, Zone: "z", Lease: of{w.lease, w.entries[i].Name}, Running: running, Concluded: concluded,
 		Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.worse }}
@@ -140,7 +141,8 @@
 	return &v
 }
 
-// print is all that matters of a state for what can follow; times are left out, for nothing here hangs on them.
+// fingerprint returns everything in a state that affects what can follow. Times are left out, because nothing here
+// depends on them.
 func (w *world) print() string {
 	var b strings.Builder
 	f := w.lease
@@ -170,7 +172,7 @@
 
 func at(name string) int { return int(name[0] - 'a') }
 
-// do calls a part and takes in what it wants, holding it against what must never be.
+// call calls a Part, collects its output and checks the invariants.
 func (w *world) do(i int, f func(p *Part, out *fleet.Out)) error {
 	var out fleet.Out
 	f(w.parts[i], &out)
@@ -181,10 +183,10 @@
 	for _, m := range out.Send {
 		var s speech
 		if decode(m.Body, &s) != nil || len(m.Body) > fleet.MaxBody {
-			return errors.New("a message that cannot be read")
+			return errors.New("a message that cannot be decoded")
 		}
 		if s.Order && s.Verb == Apply && stored.Phase != concluding && (stored.Phase != running || !slices.Contains(stored.Wave, mark(m.To))) {
-			return fmt.Errorf("told before it was written down: %s", m.To)
+			return fmt.Errorf("ordered before the record was stored: %s", m.To)
 		}
 		if !slices.ContainsFunc(w.mail, func(x fleet.Message) bool {
 			return x.From == m.From && x.To == m.To && string(x.Body) == string(m.Body)
@@ -198,7 +200,7 @@
 			var write uint64
 			_, _ = fmt.Sscanf(n.Text, "write %d", &write)
 			if is := [2]uint64{n.Fence, write}; slices.Compare(is[:], w.obeyed[i][:]) < 0 {
-				return fmt.Errorf("%s obeys a lower number: %v after %v", w.entries[i].Name, is, w.obeyed[i])
+				return fmt.Errorf("%s carries out an order with a lower fencing number: %v after %v", w.entries[i].Name, is, w.obeyed[i])
 			} else {
 				w.obeyed[i] = is
 			}
@@ -206,12 +208,13 @@
 	}
 	if b, ok := out.Parts[fleet.Stage]; ok {
 		if len(b) > fleet.MaxBody {
-			return errors.New("a part of an entry over size")
+			return errors.New("the status in an entry is too large")
 		}
 		w.entries[i].Parts = map[fleet.Kind][]byte{fleet.Stage: b}
 		w.entries[i].Version++
 	}
-	// What changes nothing whenever it comes is left out: answers to an earlier record, orders that will be refused.
+	// Drops messages that have no effect whenever they arrive: answers to an earlier record, and orders that will
+	// be refused.
 	w.mail = slices.DeleteFunc(w.mail, func(m fleet.Message) bool {
 		var s speech
 		_ = decode(m.Body, &s)
@@ -233,7 +236,7 @@
 	return nil
 }
 
-// life begins a process's next life, by what it goes by.
+// restart starts the next incarnation of a process. running is the number of the change whose target it runs with.
 func (w *world) life(i int, running uint64) error {
 	t := func(n uint64) Target {
 		if n == 0 {
@@ -257,7 +260,7 @@
 	return t
 }
 
-// shown is what the entries say, all in all.
+// entriesText returns the statuses in all entries.
 func (w *world) shown() string {
 	var b strings.Builder
 	for _, e := range w.entries {
@@ -266,7 +269,7 @@
 	return b.String()
 }
 
-// steps are all that can happen next.
+// steps returns all events that can happen next.
 func (w *world) steps() (names []string, do []func(w *world) error) {
 	add := func(n string, f func(w *world) error) { names, do = append(names, n), append(do, f) }
 	f := w.lease
@@ -282,11 +285,11 @@
 			w.most = max(w.most, is.Stage)
 			switch {
 			case is.Stage != old.Stage && is.Stage != old.Stage+1:
-				return fmt.Errorf("a stage is skipped or opened again: %d after %d", is.Stage, old.Stage)
+				return fmt.Errorf("a stage is skipped or reopened: %d after %d", is.Stage, old.Stage)
 			case is.Phase < old.Phase && !(old.Phase == halted && is.Phase == goingBack) && !(old.Phase == concluded && is.Phase == concluding):
 				return fmt.Errorf("phase %d after %d", is.Phase, old.Phase)
 			case old.Phase == goingBack && is.Phase != goingBack && is.Phase != halted:
-				return errors.New("a halted change went on")
+				return errors.New("a halted change was continued")
 			}
 			return nil
 		})
@@ -372,28 +375,29 @@
 	return names, do
 }
 
-// idle tells that a change is over and nothing more follows of itself.
+// checkEnd checks that a change is over and that every process is on the right side of it. It is called when
+// nothing more happens without a fault.
 func (w *world) ended() error {
 	r, err := readRecord(w.lease.value)
 	if err != nil {
 		return err
 	}
 	if r.Phase != none && !over(r.Phase) {
-		return fmt.Errorf("the change stays in phase %s, stage %d", phaseNames[r.Phase], r.Stage)
+		return fmt.Errorf("the change remains in phase %s, stage %d", phaseNames[r.Phase], r.Stage)
 	}
 	for i, p := range w.parts {
 		if (r.Phase == halted || r.Phase == none) && p.running.Change != 0 {
-			return fmt.Errorf("%s is not back", w.entries[i].Name)
+			return fmt.Errorf("%s was not rolled back", w.entries[i].Name)
 		}
 		if r.Phase == concluded && p.running.Change != change && w.died == 0 {
-			return fmt.Errorf("%s was left out", w.entries[i].Name)
+			return fmt.Errorf("%s was not changed", w.entries[i].Name)
 		}
 	}
 	return nil
 }
 
-// search plays every order of events, and returns how many states there were, and the first that must not be with the way to it.
-// Where more than most states are there, it goes on no further, and says so.
+// search runs every order of events. It returns the number of states found, whether the search was complete, and
+// the first violation with the events that led to it. It stops without an error after most states.
 func search(start *world, most int) (states int, whole bool, way []string, err error) {
 	seen := map[uint64]bool{}
 	h := maphash.MakeSeed()
@@ -449,7 +453,7 @@
 	return len(seen), true, nil, nil
 }
 
-// opened is a world in which all have heard of each other, and the first was told of the change.
+// openedWorld returns a world in which all processes have started and the first one has proposed the change.
 func openedWorld(t testing.TB, n int, d failpoints, set func(w *world)) *world {
 	w := newWorld(n, d)
 	set(w)
@@ -479,12 +483,13 @@
 	return w
 }
 
-// TestSearch plays what can happen to a change over three and four processes in every order: no stage is skipped, opened again or
-// filled over its size, nobody is told before it is written down or by a lower number, and every end is a whole one.
+// TestSearch runs the events of a change over three and four processes in every order. No stage may be skipped,
+// reopened or filled beyond its size, no process may be ordered before the record is stored or under a lower
+// fencing number, and every change must end completely.
 func TestSearch(t *testing.T) {
 	total, most := 0, 800
 	if n, err := strconv.Atoi(os.Getenv("STAGE_STATES")); err == nil {
-		most = n // of each case; by hand
+		most = n // states of each case, for manual runs
 	}
 	for _, c := range []struct {
 		name string
@@ -493,31 +498,31 @@
 	}{
 		{"nothing goes wrong", 3, func(w *world) { w.together = true }},
 		{"worse at the first stage", 3, func(w *world) { w.worse, w.together = One, true }},
-		{"worse at the third", 3, func(w *world) { w.worse, w.together = Quarter, true }},
+		{"worse at the third stage", 3, func(w *world) { w.worse, w.together = Quarter, true }},
 		{"conductor moves", 3, func(w *world) { w.moves, w.together = 1, true }},
-		{"a refusal", 3, func(w *world) { w.refusals, w.together = 1, true }},
+		{"a process refuses", 3, func(w *world) { w.refusals, w.together = 1, true }},
 		{"record lost", 3, func(w *world) { w.moves, w.forgets = 1, true }},
 		{"conductor moves, old views", 3, func(w *world) { w.moves = 1 }},
-		{"a death", 3, func(w *world) { w.lossy, w.deaths = true, 1 }},
-		{"loss and doubling", 3, func(w *world) { w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth }},
-		{"program, a death", 3, func(w *world) { w.lossy, w.program, w.deaths = true, true, 1 }},
-		{"program, moves, worse", 3, func(w *world) { w.lossy, w.program, w.moves, w.worse = true, true, 1, One }},
-		{"four, moves, doubling, worse", 4, func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
+		{"a process dies", 3, func(w *world) { w.lossy, w.deaths = true, 1 }},
+		{"lost and duplicated messages", 3, func(w *world) { w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth }},
+		{"program, a process dies", 3, func(w *world) { w.lossy, w.program, w.deaths = true, true, 1 }},
+		{"program, conductor moves, worse", 3, func(w *world) { w.lossy, w.program, w.moves, w.worse = true, true, 1, One }},
+		{"four processes, conductor moves, duplicated message, worse", 4, func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
 	} {
 		w := openedWorld(t, c.n, failpoints{}, c.set)
 		bound := most
 		if w.together && w.moves == 0 {
-			bound = max(bound, 4000) // these are searched whole
+			bound = max(bound, 4000) // these cases are searched completely
 		}
 		states, whole, way, err := search(w, bound)
 		if bound != most && !whole && err == nil {
-			t.Errorf("%s: not searched whole", c.name)
+			t.Errorf("%s: not searched completely", c.name)
 		}
 		total += states
 		if err != nil {
 			t.Errorf("%s: %v\n%s", c.name, err, strings.Join(way, "\n"))
 		}
-		t.Logf("%-30s %6d states, whole %v", c.name, states, whole)
+		t.Logf("%-30s %6d states, complete %v", c.name, states, whole)
 	}
 	t.Logf("%d states", total)
 }
--- a/internal/stage/slots.go
+++ b/internal/stage/slots.go
@@ -7,18 +7,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// maxSlots bounds the slots whose spread is kept, to know what is usual.
+// maxSlots is the maximum number of slots whose variance is kept to know the usual one.
 const maxSlots = 1024
 
-// tick closes a slot that is over.
+// tick closes the slot if it is over.
 func (e *evidence) tick(now int64) {
 	if now >= e.slotEnd {
 		e.close(now)
 	}
 }
 
-// close compares what each process showed in the slot with what the old ones of its zone did, class by class, and
-// keeps the excess. A trouble of the zone, or of all, is in both and falls out.
+// closeSlot compares the figures of each process in the slot with those of the old processes of its zone, class by
+// class, and keeps the excess. A trouble that affects the whole zone, or all processes, is on both sides and
+// cancels out.
 func (e *evidence) close(now int64) {
 	e.slotEnd = now + e.slot
 	if !e.edges {
@@ -95,14 +96,14 @@
 		if s.length > 0 {
 			s.rate = s.offered / s.length
 			served := s.served / s.length
-			// A process serves more than it just did if its thread had time left: up to six tenths of it, and four times as
-			// much.
+			// A process can serve more than it just did if its thread had time left: as much as would take 60% of
+			// the thread, but at most four times as much.
 			if u := s.used / s.length; u > 0 {
 				served = max(served, min(4*served, served*0.6/u))
 			}
 			s.shown = max(s.shown*0.995, served)
 			s.quiet = 0
-		} else if s.quiet++; !e.asked || s.quiet > 1 { // a window may be lost on its way
+		} else if s.quiet++; !e.asked || s.quiet > 1 { // a single window may have been lost on the way
 			s.rate = 0
 		}
 		s.cells, s.length, s.offered, s.served, s.used = s.cells[:0], 0, 0, 0, 0
@@ -111,9 +112,9 @@
 	e.keep(now, judging)
 }
 
-// keep adds the slot to what is known of each process. A slot in which the old ones were more apart than they
-// mostly are, as in a jump that some of them cannot serve, weighs the less: else it alone would make the sum, for
-// both sides. The weight hangs on the old ones alone, and is the same for all.
+// accumulate adds the slot to the sums of each process. A slot in which the old processes differed more than
+// usual, as in a load jump that some of them cannot serve, gets a lower weight: otherwise it alone would dominate
+// the sums of both sides. The weight depends on the old processes only and is the same for all.
 func (e *evidence) keep(now int64, judging bool) {
 	var xs []float64
 	for m := range growth {
@@ -147,9 +148,7 @@
 	}
 }
 
-// learnWaits finds, class by class, the edge of the histogram over which there is nearest to one answer in a
-// hundred, and how steeply the share falls there: waits longer by a part have a share over the edge higher by so
-// much.
+// addWaitsBefore adds the waits of the old processes in the slot to the histograms of the classes.
 func (e *evidence) learnWaits() {
 	for _, n := range e.names {
 		if s := e.subjects[n]; s.side == former {
@@ -162,9 +161,12 @@
 	}
 }
 
+// setSlowBuckets finds, for each class, the bucket of the histogram at which the share of answers in it and above is
+// nearest to one in a hundred, and how steeply the share falls there. From that steepness follows how much the share
+// grows if waits become longer by the margin.
 func (e *evidence) setEdges() {
 	for c := range e.classes {
-		var over [33]float64 // over[b]: share of the answers in bucket b and higher
+		var over [33]float64 // share of the answers in bucket b and higher
 		for b := 31; b >= 0; b-- {
 			over[b] = over[b+1] + e.waits[c][b]
 		}
@@ -185,7 +187,7 @@
 	}
 }
 
-// slowOnes counts the answers over the edge.
+// countSlow counts the answers in the slow buckets.
 func (e *evidence) slowOnes(s *subject) {
 	if !e.edges {
 		return
@@ -204,7 +206,7 @@
 	}
 }
 
-// begun tells the evidence that the first process is told now.
+// markStarted records that the first process is being ordered now.
 func (e *evidence) begun(now int64) {
 	if e.told {
 		return
--- a/internal/stage/soon.go
+++ b/internal/stage/soon.go
@@ -1,7 +1,8 @@
 package stage
 
-// Soon tells whether a process changes now, or is among the next to: meanwhile nothing should be given to it to keep. It is as
-// true as what this process has heard, and nothing exclusive hangs on it.
+// Soon reports whether a process is changing or is among the next to change. Meanwhile it should not be given
+// anything to keep. The answer rests on what this process has heard, and nothing that needs exclusion depends on
+// it.
 func (p *Part) Soon(name string) bool {
 	q := p.watch.peers[name]
 	if q == nil {
@@ -14,7 +15,8 @@
 	if run == 0 || q.in(run) {
 		return false
 	}
-	// By zones, and within a zone in the change's order, as the plan goes; the first ones that are left.
+	// Compares by zone, and within a zone by rank in the change, as the plan does; the first processes that are
+	// left change next.
 	before, left := 0, 0
 	for _, n := range p.watch.names {
 		o := p.watch.peers[n]
@@ -29,14 +31,14 @@
 	return before < max(1, min(p.c.Rules.Wave, left/10))
 }
 
-// First is the part of a process's entry until its Part tells one: what it goes by, so that a process that has just come up is
-// not taken for one that fell out of the change.
+// First returns the status for the entry of a process until its Part publishes one. It tells the target that the
+// process runs with, so that a process that has just started is not taken for one that left the change.
 func First(running, concluded Target) []byte {
 	p := newPart(Config{Running: running, Concluded: concluded})
 	return encode(told{Change: p.change, State: p.state, Goes: p.running.Change})
 }
 
-// replaces tells whether going by a target takes a successor here.
+// needsSuccessor reports whether a successor must be started here to run with a target.
 func (p *Part) replaces(t Target) bool {
 	return t.Program != p.running.Program || t.ProgramDigest != p.running.ProgramDigest
 }
--- a/internal/stage/speech.go
+++ b/internal/stage/speech.go
@@ -6,16 +6,16 @@
 	"pewterwheel/internal/lease"
 )
 
-// State is what a process does about a change.
+// State is the state of a process in a change.
 type State uint8
 
-// The states of a process. Values are spoken between versions.
+// The states of a process. Their values are exchanged between versions.
 const (
-	Unchanged State = iota // goes by what is concluded
-	Changing               // was told, and has begun
-	Changed                // goes by the change's target
-	Returning              // was told to go by what is concluded again
-	Refusing               // refused the change, and goes on as before
+	Unchanged State = iota // runs with the concluded target
+	Changing               // was ordered to change, and has begun
+	Changed                // runs with the target of the change
+	Returning              // was ordered back to the concluded target
+	Refusing               // refused the change and serves on as before
 )
 
 var stateNames = [...]string{"old", "changing", "new", "going back", "refused"}
@@ -27,14 +27,14 @@
 	return "unknown"
 }
 
-// Phases of a change, as its record tells them.
+// The phases of a change in its record.
 const (
 	none       uint8 = iota
 	running          // stage by stage
-	goingBack        // halted: those changed go back
-	concluding       // passed: the new target is written down everywhere
+	goingBack        // halted: the changed processes are rolled back
+	concluding       // passed: all processes store the new target
 	concluded        // over
-	halted           // over: everybody reached is back
+	halted           // over: all reachable processes are rolled back
 )
 
 func over(phase uint8) bool { return phase == concluded || phase == halted }
@@ -44,31 +44,31 @@
 	maxWhy    = 200 // bytes, in a message or an entry
 )
 
-// speech is a message: an order of the conductor's, or the answer to one.
+// message is an order of the conductor or the answer to one.
 type speech struct {
 	Order  bool   `cbor:"1,keyasint,omitempty"`
 	Change uint64 `cbor:"2,keyasint"`
-	Fence  uint64 `cbor:"3,keyasint"` // of the order; in an answer the highest seen
-	Write  uint64 `cbor:"4,keyasint"` // of the record that stood when the order was given; in an answer the highest seen
+	Fence  uint64 `cbor:"3,keyasint"` // fencing number of the order; in an answer the highest seen
+	Write  uint64 `cbor:"4,keyasint"` // write of the record that the order is based on; in an answer the highest seen
 	Verb   string `cbor:"5,keyasint,omitempty"`
 	Target Target `cbor:"6,keyasint,omitempty"`
 	State  State  `cbor:"7,keyasint,omitempty"`
 	Why    string `cbor:"8,keyasint,omitempty"`
-	Life   uint64 `cbor:"9,keyasint,omitempty"` // of an answer: running target's change of who answers
+	Life   uint64 `cbor:"9,keyasint,omitempty"` // in an answer: change of the target that the sender runs with
 }
 
-// told is what a process tells of itself in its entry.
+// processStatus is what a process announces of itself in its entry.
 type told struct {
-	Change  uint64 `cbor:"1,keyasint,omitempty"` // the change that it is in; 0: none
+	Change  uint64 `cbor:"1,keyasint,omitempty"` // the change that it takes part in; 0: none
 	State   State  `cbor:"2,keyasint,omitempty"`
-	Fence   uint64 `cbor:"3,keyasint,omitempty"` // the highest seen, with the write seen under it
+	Fence   uint64 `cbor:"3,keyasint,omitempty"` // the highest fencing number seen, with the write seen under it
 	Write   uint64 `cbor:"4,keyasint,omitempty"`
 	Why     string `cbor:"5,keyasint,omitempty"`
 	Over    uint64 `cbor:"6,keyasint,omitempty"` // the highest change known to be over
 	Crashed uint64 `cbor:"7,keyasint,omitempty"` // a change in which it saw processes die, and how many
 	Crashes uint64 `cbor:"8,keyasint,omitempty"`
-	Goes    uint64 `cbor:"9,keyasint,omitempty"` // change of the target that it goes by
-	// Of a conductor:
+	Goes    uint64 `cbor:"9,keyasint,omitempty"` // change of the target that it runs with
+	// Only of a conductor:
 	Conducts uint64 `cbor:"10,keyasint,omitempty"`
 	Phase    uint8  `cbor:"11,keyasint,omitempty"`
 	Stage    int    `cbor:"12,keyasint,omitempty"`
@@ -76,14 +76,14 @@
 	Reason   string `cbor:"14,keyasint,omitempty"`
 }
 
-// record is what the lease carries of a change.
+// record is the content of the record of the lease.
 type record struct {
 	Target Target   `cbor:"1,keyasint"`
 	Phase  uint8    `cbor:"2,keyasint"`
 	Stage  int      `cbor:"3,keyasint"`
-	Told   int      `cbor:"4,keyasint"`           // processes told so far, over all stages
-	Wave   []uint32 `cbor:"5,keyasint,omitempty"` // who is being told now
-	Fence  uint64   `cbor:"6,keyasint"`           // under which this was written
+	Told   int      `cbor:"4,keyasint"`           // processes ordered so far, over all stages
+	Wave   []uint32 `cbor:"5,keyasint,omitempty"` // hashes of the names of the processes that are being ordered
+	Fence  uint64   `cbor:"6,keyasint"`           // fencing number under which this was written
 	Reason string   `cbor:"7,keyasint,omitempty"`
 	Over   uint64   `cbor:"8,keyasint,omitempty"` // the highest change that was over before this one
 }
@@ -109,7 +109,7 @@
 		return record{}, &RecordError{Err: err}
 	}
 	if len(b) > lease.MaxRecord || r.Stage < 0 || r.Stage >= stages || r.Phase > halted || len(r.Wave) > MaxWave || r.Told < 0 {
-		return record{}, &RecordError{Err: &TargetError{Change: r.Target.Change, Why: "figures out of bounds"}}
+		return record{}, &RecordError{Err: &TargetError{Change: r.Target.Change, Why: "a value is out of range"}}
 	}
 	return r, nil
 }
@@ -122,14 +122,14 @@
 func encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
-		panic(err) // structs of numbers, strings and lists of them can be written
+		panic(err) // structs of numbers, strings and lists of them can always be encoded
 	}
 	return b
 }
 
 func decode(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
-// cut shortens a text to n bytes, at the start of a character.
+// truncate shortens a text to at most n bytes without splitting a character.
 func cut(s string, n int) string {
 	if len(s) <= n {
 		return s
--- a/internal/stage/watch.go
+++ b/internal/stage/watch.go
@@ -7,48 +7,49 @@
 	"pewterwheel/internal/fleet"
 )
 
-// peer is one process as this one last heard it.
+// peer is the last known state of one process.
 type peer struct {
 	name          string
 	life, version uint64
 	zone          string
 	state         fleet.State
 	suspect       bool
-	since         int64 // since when it is suspected, or gone from the view
-	known         bool  // stands in the newest view
+	since         int64 // since when it has been suspected or missing from the view
+	known         bool  // is in the newest view
 	told          told
-	raw           []byte // that told was read from
+	raw           []byte // encoded form of status
 }
 
-// here tells that a process serves and is heard.
+// reachable reports whether a process serves and is not suspected.
 func (p *peer) here() bool { return p.known && !p.suspect && p.state == fleet.Serving }
 
-// in tells that a process is in a change: a refusal is over with the answer.
+// inChange reports whether a process takes part in a change. A process that refused counts until its refusal is
+// settled.
 func (p *peer) in(change uint64) bool {
 	return p.told.Change == change && p.told.State != Unchanged && change != 0
 }
 
-// watch is what a process knows of the others, from their entries.
+// peerTable is what a process knows of the others from their entries.
 type watch struct {
 	self       string
 	peers      map[string]*peer
-	names      []string // of all ever seen that are not forgotten, sorted
-	list       []*peer  // the same
-	fence      uint64   // the highest that anybody tells, with the write under it
+	names      []string // names of all peers that are not forgotten, sorted
+	list       []*peer  // the peers in the order of names
+	fence      uint64   // the highest fencing number that any process has announced, with the write under it
 	write      uint64
-	over       uint64 // the highest change that anybody knows to be over
-	running    uint64 // the highest change that anybody conducts or is in
-	crashed    uint64 // the change whose crashes are counted here, and how many this process saw
+	over       uint64 // the highest change that any process knows to be over
+	running    uint64 // the highest change that any process conducts or takes part in
+	crashed    uint64 // the change whose crashes are counted, and the number of them that this process knows
 	crashes    uint64
-	who        string // the first of them
+	who        string // name of the process that crashed first
 	failpoints failpoints
 }
 
-// forget is after how long a name that is in no view any more is forgotten. Guards against names that are used once
-// each.
+// forgetAfter is how long a name that is missing from the view is kept. Bounds the memory used if names are used
+// only once each.
 const forget = 3600 * second
 
-// view reads a view.
+// update applies a view.
 func (w *watch) view(now int64, v *fleet.View) {
 	for _, p := range w.list {
 		p.known = false
@@ -61,7 +62,7 @@
 		}
 		if at == len(w.names) || w.names[at] != m.Name {
 			if w.peers[m.Name] != nil {
-				continue // the view is out of order
+				continue // the view is not sorted
 			}
 			p := &peer{name: m.Name}
 			w.peers[m.Name] = p
@@ -76,12 +77,12 @@
 			continue
 		}
 		if m.Incarnation < p.life {
-			continue // an entry of an earlier life tells nothing any more
+			continue // an entry of an earlier incarnation is out of date
 		}
 		t, b := p.told, m.Parts[fleet.Stage]
 		if p.life != m.Incarnation || !bytes.Equal(b, p.raw) {
 			if t = (told{}); len(b) > fleet.MaxBody || len(b) > 0 && decode(b, &t) != nil {
-				t = told{} // what cannot be read tells nothing
+				t = told{} // a status that cannot be decoded counts as empty
 			}
 			p.raw = b
 		}
@@ -91,7 +92,8 @@
 	}
 	forgets := false
 	for _, p := range w.list {
-		// Who is not in the view any more has left, or has not been heard for long: it is cut off, as if suspected.
+		// A process that is missing from the view has left or has not been heard from for long; it is treated as
+		// suspected.
 		if !p.known && !p.suspect {
 			p.suspect, p.since = true, now
 		}
@@ -109,7 +111,7 @@
 	}
 }
 
-// learn takes over what another process tells.
+// merge takes over what another process announces.
 func (w *watch) learn(t told) {
 	if t.Fence > w.fence || t.Fence == w.fence && t.Write > w.write {
 		w.fence, w.write = t.Fence, t.Write
@@ -128,8 +130,8 @@
 	}
 }
 
-// lives counts a process that died while it was in a change: a later life of it has begun, and not the one that the
-// change starts. A process that was ending before, as its operators wanted, is none.
+// countCrash counts a process that died while it took part in a change: it has a new incarnation that was not
+// started by the change. A process that was already draining or leaving, as its operators asked, is not counted.
 func (w *watch) lives(m *fleet.Member, p *peer, next told) {
 	if m.Incarnation == p.life || p.life == 0 || p.told.Change == 0 || w.failpoints.noCrash {
 		return
@@ -156,7 +158,7 @@
 	}
 }
 
-// straggles tells whether somebody who is heard is still in a change.
+// anyInChange reports whether a reachable process is still in a change.
 func (w *watch) straggles(change uint64) bool {
 	for _, p := range w.list {
 		if p.in(change) && p.here() {
@@ -166,7 +168,7 @@
 	return false
 }
 
-// runs is the change that is known to run; 0: none.
+// runningChange returns the change that is known to be running; 0: none.
 func (w *watch) runs() uint64 {
 	if w.running > w.over || w.straggles(w.running) {
 		return w.running
@@ -174,8 +176,8 @@
 	return 0
 }
 
-// follows tells whether this is one of the few processes that would conduct a change after its conductor. The one
-// that is left alone in its version is none, for another has to tell it.
+// isStandby reports whether this is one of the few processes that would take over as conductor. A process that is
+// the last one on its side of the change is not, because another process has to order it.
 func (w *watch) follows(change uint64) bool {
 	const few = 3
 	me := w.peers[w.self]
@@ -191,7 +193,8 @@
 	return before < few
 }
 
-// alone tells that all others that are heard are on one side of the change, and this one on the other.
+// onlyOneOnSide reports whether all other reachable processes are on one side of the change and this one on the
+// other.
 func (w *watch) alone(one *peer, change uint64) bool {
 	mine, others := one.in(change), 0
 	for _, p := range w.list {
--- a/internal/stage/waves.go
+++ b/internal/stage/waves.go
@@ -6,7 +6,8 @@
 	"pewterwheel/internal/fleet"
 )
 
-// run takes the change on by what the stage lacks: processes, or a verdict.
+// advanceRunning advances a running change: it checks for reasons to halt, then orders further processes or judges
+// the stage.
 func (p *Part) run(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.rec
@@ -20,7 +21,7 @@
 		return
 	}
 	if e := c.evidence; e != nil && e.change == change && e.broke != "" {
-		p.halt(now, e.broke+" counts a broken rule", out)
+		p.halt(now, e.broke+" counted a broken rule", out)
 		return
 	}
 	for _, n := range p.watch.names {
@@ -40,7 +41,7 @@
 	p.judge(now, out)
 }
 
-// follow sees to it that all of a wave do what they were told: it repeats the order, and lets those go who are cut
+// superviseWave repeats the order until all processes of a wave have carried it out, and drops those that are cut
 // off.
 func (p *Part) follow(now int64, verb string, out *fleet.Out) {
 	c := &p.conductor
@@ -62,7 +63,7 @@
 				p.halt(now, n+" died in the change", out)
 				return
 			}
-			// The entry says it, for the entry is what all others go by, and what a successor tells first.
+			// The entry decides, because all other processes go by it, and a successor publishes it first.
 			if q != nil && q.in(change) && q.told.State == Changed && (q.here() || q.suspect) {
 				continue
 			}
@@ -85,7 +86,7 @@
 			c.heard[n] = now
 		} else if now-at >= p.c.Rules.Patience {
 			if verb == Apply {
-				p.halt(now, n+" was told and has not changed in time", out)
+				p.halt(now, n+" was ordered to change and has not changed in time", out)
 				return
 			}
 			p.note(out, "does not go back", c.grant.Fence, int64(change), n)
@@ -103,7 +104,7 @@
 	}
 }
 
-// say gives one process an order, under the number by which this one holds the lease.
+// sendOrder sends an order to one process, with the fencing number of the lease.
 func (p *Part) say(now int64, to, verb string, out *fleet.Out) {
 	c := &p.conductor
 	s := speech{Order: true, Change: c.rec.Target.Change, Fence: c.grant.Fence, Write: c.grant.Write, Verb: verb, Target: c.rec.Target}
@@ -114,34 +115,34 @@
 	out.Send = append(out.Send, fleet.Message{Kind: fleet.Stage, From: p.c.Name, To: to, Body: encode(s)})
 }
 
-// answered takes what a process says to an order.
+// recordAnswer records the answer of a process to an order.
 func (p *Part) answered(_ int64, from string, s speech) {
 	c := &p.conductor
-	// An answer to an earlier conductor's order, or from before this record, tells nothing of this one.
+	// Ignores answers to an earlier conductor or from before this record.
 	if !c.holds || s.Change != c.rec.Target.Change || s.Fence != c.grant.Fence || s.Write != c.grant.Write || !slices.Contains(c.wave, from) {
 		return
 	}
 	c.answers[from], c.whys[from] = s.State, s.Why
 }
 
-// fill tells the next processes of the stage, or says that it has all of them.
+// fillStage orders the next processes of the stage to change, or records that the stage has all of them.
 func (p *Part) fill(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.rec
 	e := c.evidence
 	if e == nil || e.change != rec.Target.Change {
-		return // the next view brings the first figures
+		return // the next view contains the first figures
 	}
 	if rec.Told > 0 {
 		e.begun(now)
 	}
 	if rec.Told == 0 && now-max(c.since, e.began) < max(p.c.Rules.Baseline, e.longSlot()) {
-		p.wait(now, "gathers figures of before", out)
+		p.wait(now, "gathers figures from before the change", out)
 		return
 	}
 	pl := p.plan(false)
 	if pl.program && e.closed == 0 && p.c.oracle == nil {
-		p.wait(now, "no figures yet of what is offered", out)
+		p.wait(now, "no figures of the offered load yet", out)
 		return
 	}
 	wave, why := pl.next()
@@ -160,17 +161,18 @@
 	}
 }
 
-// stepAside gives the lease up, because the conductor is itself the only process that is left.
+// yieldLease releases the lease because the conductor itself is the only process that is left.
 func (p *Part) stepAside(now int64, out *fleet.Out) {
 	p.note(out, "steps aside", p.conductor.grant.Fence, int64(p.conductor.rec.Target.Change), "only the conductor is left")
 	p.conductor.aside = now + p.c.Rules.Ask
 	p.release(now, out)
 }
 
-// storeWave writes down who is told next, and tells them once that is stored.
+// storeWave stores the names of the processes to order next; they are ordered once the record is stored.
 func (p *Part) storeWave(now int64, rec record, wave []string, out *fleet.Out) {
 	c := &p.conductor
-	// Who was told and is cut off stays in the record: it may be changing unheard, and its neighbours wait for it.
+	// A process that was ordered and is cut off stays in the record: it may be changing unseen, and its neighbours
+	// have to wait.
 	kept := rec.Wave
 	rec.Wave = nil
 	for _, n := range wave {
@@ -199,7 +201,7 @@
 		if q.in(change) {
 			x.busy = q.told.State == Changing || q.told.State == Returning
 		} else if slices.Contains(c.rec.Wave, mark(n)) && q.suspect {
-			x.in, x.busy = true, true // it was told, and may be changing unheard
+			x.in, x.busy = true, true // it was ordered, and may be changing unseen
 		}
 		if e := c.evidence; e != nil {
 			if s := e.subjects[n]; s != nil {
@@ -208,7 +210,7 @@
 		}
 		pl.places = append(pl.places, x)
 	}
-	// A process showed what those like it did: its zone's better ones are taken for it.
+	// A process is taken to have at least the capacity that the 90th percentile of its zone has shown.
 	best := map[string][]float64{}
 	for _, x := range pl.places {
 		if x.here && x.shown > 0 && x.in == back {
