--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -11,10 +11,10 @@
 const (
 	// InitialRestartDelay is the time from the death of a process to the start of the next one. It doubles up to
 	// MaxRestartDelay while processes keep dying.
-	FirstPause = 100_000
-	MostPause  = 30_000_000
+	InitialRestartDelay = 100_000
+	MaxRestartDelay     = 30_000_000
 	// MinStableUptime is how long a process must have lived for its death to reset the restart delay.
-	Steady = 60_000_000
+	MinStableUptime = 60_000_000
 )
 
 // Step is the next action of a guard.
@@ -30,22 +30,22 @@
 
 // Guard is the state of one guard.
 type Guard struct {
-	began    int64 // when the newest process was started or took over
-	pause    int64 // delay before the last start
-	stopping bool
-	waits    bool // a start is scheduled
-	failed   bool // the last process that ended did not end cleanly
+	startedAt      int64 // when the newest process was started or took over
+	restartDelay   int64 // delay before the last start
+	stopping       bool
+	startScheduled bool // a start is scheduled
+	lastFailed     bool // the last process that ended did not end cleanly
 
 	// Deaths counts the processes that ended although nobody had asked them to.
 	Deaths uint64
 }
 
 // New returns the guard of a process that has been serving since now.
-func New(now int64) *Guard { return &Guard{began: now} }
+func New(now int64) *Guard { return &Guard{startedAt: now} }
 
 // Stop tells the guard that the service is being stopped. Alive says whether a process is still running.
 func (g *Guard) Stop(alive bool) Step {
-	g.stopping, g.waits = true, false
+	g.stopping, g.startScheduled = true, false
 	if !alive {
 		return Step{Exit: true}
 	}
@@ -56,34 +56,34 @@
 // Alive says whether another process is still running: then the one that ended has handed over, or the other one
 // took over from it, and the guard has nothing to do.
 func (g *Guard) Ended(now int64, clean, alive bool) Step {
-	if g.failed = !clean; alive {
+	if g.lastFailed = !clean; alive {
 		return Step{}
 	}
 	if g.stopping || clean { // a process that ended cleanly by itself was told to by its operators
 		code := 0
-		if g.failed {
+		if g.lastFailed {
 			code = 1
 		}
 		return Step{Exit: true, Code: code}
 	}
 	g.Deaths++
-	if g.pause *= 2; now-g.began >= Steady || g.pause == 0 {
-		g.pause = FirstPause
+	if g.restartDelay *= 2; now-g.startedAt >= MinStableUptime || g.restartDelay == 0 {
+		g.restartDelay = InitialRestartDelay
 	}
-	g.pause = min(g.pause, MostPause)
-	g.waits = true
-	return Step{Start: true, StartAt: now + g.pause}
+	g.restartDelay = min(g.restartDelay, MaxRestartDelay)
+	g.startScheduled = true
+	return Step{Start: true, StartAt: now + g.restartDelay}
 }
 
 // Started reports that a process was started, or that the start failed.
-func (g *Guard) Started(now int64, done bool) Step {
-	if !g.waits {
+func (g *Guard) Started(now int64, started bool) Step {
+	if !g.startScheduled {
 		return Step{}
 	}
-	if done {
-		g.waits, g.began = false, now
+	if started {
+		g.startScheduled, g.startedAt = false, now
 		return Step{}
 	}
-	g.pause = min(max(2*g.pause, FirstPause), MostPause)
-	return Step{Start: true, StartAt: now + g.pause}
+	g.restartDelay = min(max(2*g.restartDelay, InitialRestartDelay), MaxRestartDelay)
+	return Step{Start: true, StartAt: now + g.restartDelay}
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -13,15 +13,15 @@
 // told to stop.
 func TestOneProcessServes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, alive, due := int64(0), 1, int64(-1)
+		now, alive, startAt := int64(0), 1, int64(-1)
 		g := New(now)
-		take := func(s Step) bool {
+		check := func(s Step) bool {
 			if s.Start {
 				require.Zero(t, alive, "a process is started beside a running one")
 				require.False(t, g.stopping)
-				require.GreaterOrEqual(t, s.StartAt, now+FirstPause)
-				require.LessOrEqual(t, s.StartAt, now+MostPause)
-				due = s.StartAt
+				require.GreaterOrEqual(t, s.StartAt, now+InitialRestartDelay)
+				require.LessOrEqual(t, s.StartAt, now+MaxRestartDelay)
+				startAt = s.StartAt
 			}
 			if s.Exit {
 				require.Zero(t, alive, "the guard exits while a process is running")
@@ -29,32 +29,32 @@
 			return s.Exit
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += rapid.Int64Range(1, 2*Steady).Draw(t, "wait")
-			if due >= 0 && now >= due {
-				due = -1
-				done := rapid.Bool().Draw(t, "starts")
-				if done {
+			now += rapid.Int64Range(1, 2*MinStableUptime).Draw(t, "wait")
+			if startAt >= 0 && now >= startAt {
+				startAt = -1
+				started := rapid.Bool().Draw(t, "starts")
+				if started {
 					alive++
 				}
-				if take(g.Started(now, done)) {
+				if check(g.Started(now, started)) {
 					return
 				}
 			}
-			switch what := rapid.SampledFrom([]string{"dies", "dies", "ends", "hands over", "stop"}).Draw(t, "what"); {
-			case what == "hands over" && alive == 1:
+			switch event := rapid.SampledFrom([]string{"dies", "dies", "ends", "hands over", "stop"}).Draw(t, "what"); {
+			case event == "hands over" && alive == 1:
 				alive = 2
-			case what == "stop":
-				due = -1
-				if take(g.Stop(alive > 0)) {
+			case event == "stop":
+				startAt = -1
+				if check(g.Stop(alive > 0)) {
 					return
 				}
-			case alive > 0 && (what == "dies" || what == "ends"):
+			case alive > 0 && (event == "dies" || event == "ends"):
 				alive--
-				if take(g.Ended(now, what == "ends", alive > 0)) {
+				if check(g.Ended(now, event == "ends", alive > 0)) {
 					return
 				}
 				if alive == 0 {
-					require.True(t, due >= 0, "no process is running and no start is scheduled")
+					require.True(t, startAt >= 0, "no process is running and no start is scheduled")
 				}
 			}
 		}
@@ -63,7 +63,7 @@
 
 // The restart delay doubles up to its maximum while processes die at once, and is reset after a process has run
 // for long.
-func TestPauses(t *testing.T) {
+func TestRestartDelays(t *testing.T) {
 	g, now := New(0), int64(0)
 	var pauses []int64
 	for range 12 {
@@ -73,11 +73,11 @@
 		now = s.StartAt
 		require.Equal(t, Step{}, g.Started(now, true))
 	}
-	require.Equal(t, int64(FirstPause), pauses[0])
-	require.Equal(t, int64(4*FirstPause), pauses[2])
-	require.Equal(t, int64(MostPause), pauses[11])
-	s := g.Ended(now+Steady, false, false)
-	require.Equal(t, now+Steady+FirstPause, s.StartAt)
+	require.Equal(t, int64(InitialRestartDelay), pauses[0])
+	require.Equal(t, int64(4*InitialRestartDelay), pauses[2])
+	require.Equal(t, int64(MaxRestartDelay), pauses[11])
+	s := g.Ended(now+MinStableUptime, false, false)
+	require.Equal(t, now+MinStableUptime+InitialRestartDelay, s.StartAt)
 	require.Equal(t, uint64(13), g.Deaths)
 	require.Equal(t, Step{Exit: true, Code: 1}, func() Step { g.Stop(true); return g.Ended(now, false, false) }())
 }
--- a/internal/stage/api.go
+++ b/internal/stage/api.go
@@ -50,7 +50,7 @@
 		return Target{}, err
 	}
 	if len(t.Settings) > MaxPath || len(t.Program) > MaxPath {
-		return Target{}, &TargetError{Change: t.Change, Why: "path too long"}
+		return Target{}, &TargetError{Change: t.Change, Reason: "path too long"}
 	}
 	return t, nil
 }
--- a/internal/stage/corpus_test.go
+++ b/internal/stage/corpus_test.go
@@ -15,9 +15,9 @@
 func TestCorpus(t *testing.T) {
 	target := Target{Change: 12, Settings: "/etc/{name}/12.ini", SettingsDigest: 0xfedcba9876543210, Program: "/opt/12/program", ProgramDigest: 42}
 	longest := Target{Change: 1 << 40, Settings: strings.Repeat("s", MaxPath), SettingsDigest: 1 << 63, Program: strings.Repeat("p", MaxPath), ProgramDigest: 1 << 63}
-	speeches := map[string]speech{
-		"answer":  {Change: 12, Fence: 7, Write: 3, State: Refusing, Why: "the digest is another", Life: 11},
-		"changed": {Change: 12, Fence: 7, Write: 3, State: Changed, Life: 12},
+	messages := map[string]message{
+		"answer":  {Change: 12, Fence: 7, Write: 3, State: Refusing, Detail: "the digest is another", RunningChange: 11},
+		"changed": {Change: 12, Fence: 7, Write: 3, State: Changed, RunningChange: 12},
 	}
 	numbers := corpus.Constants(".", func(name, typ string) string {
 		switch {
@@ -32,31 +32,31 @@
 		}
 		return ""
 	})
-	words, values := numbers.Of("word")
+	names, values := numbers.Of("word")
 	for i, verb := range values {
-		if words[i] != "Thing" {
-			speeches["order-"+strings.Trim(verb, `"`)] = speech{Order: true, Change: 12, Fence: 7, Write: 3, Verb: strings.Trim(verb, `"`), Target: target}
+		if names[i] != "Thing" {
+			messages["order-"+strings.Trim(verb, `"`)] = message{Order: true, Change: 12, Fence: 7, Write: 3, Verb: strings.Trim(verb, `"`), Target: target}
 		}
 	}
 	var cases []corpus.Case
-	for name, s := range speeches {
+	for name, s := range messages {
 		cases = append(cases, corpus.Case{Name: name, Value: s, Bytes: encode(s), Max: fleet.MaxBody, Read: func(b []byte) (any, error) {
-			var s speech
+			var s message
 			err := decode(b, &s)
 			return s, err
 		}})
 	}
 	for name, r := range map[string]record{
-		"record":         {Target: target, Phase: running, Stage: Quarter, Told: 9, Wave: []uint32{1, 1 << 31}, Fence: 7, Reason: "", Over: 11},
-		"record-halted":  {Target: longest, Phase: halted, Stage: All, Told: 300, Fence: 8, Reason: strings.Repeat("r", maxReason), Over: 12},
-		"record-largest": {Target: longest, Phase: concluding, Stage: All, Wave: make([]uint32, MaxWave), Fence: 8, Over: 12},
+		"record":         {Target: target, Phase: running, Stage: Quarter, Ordered: 9, Wave: []uint32{1, 1 << 31}, Fence: 7, Reason: "", HighestOver: 11},
+		"record-halted":  {Target: longest, Phase: halted, Stage: All, Ordered: 300, Fence: 8, Reason: strings.Repeat("r", maxReason), HighestOver: 12},
+		"record-largest": {Target: longest, Phase: concluding, Stage: All, Wave: make([]uint32, MaxWave), Fence: 8, HighestOver: 12},
 	} {
-		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord, Bounds: map[string]int{"Wave": MaxWave}, Read: func(b []byte) (any, error) { return readRecord(b) }})
+		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord, Bounds: map[string]int{"Wave": MaxWave}, Read: func(b []byte) (any, error) { return decodeRecord(b) }})
 	}
-	said := told{Change: 12, State: Returning, Fence: 7, Write: 3, Why: "it is slower", Over: 11, Crashed: 12, Crashes: 2, Goes: 10,
-		Conducts: 12, Phase: goingBack, Stage: Twentieth, Judging: true, Reason: "refused"}
-	cases = append(cases, corpus.Case{Name: "told", Value: said, Bytes: encode(said), Max: fleet.MaxBody, Read: func(b []byte) (any, error) {
-		var s told
+	status := processStatus{Change: 12, State: Returning, Fence: 7, Write: 3, Detail: "it is slower", HighestOver: 11, CrashedChange: 12, Crashes: 2, RunningChange: 10,
+		ConductedChange: 12, Phase: goingBack, Stage: Twentieth, Judging: true, HaltReason: "refused"}
+	cases = append(cases, corpus.Case{Name: "told", Value: status, Bytes: encode(status), Max: fleet.MaxBody, Read: func(b []byte) (any, error) {
+		var s processStatus
 		err := decode(b, &s)
 		return s, err
 	}})
--- a/internal/stage/ending.go
+++ b/internal/stage/ending.go
@@ -6,104 +6,104 @@
 
 // judgeStage compares old and new processes once a slot, as soon as all processes of the stage have been new for
 // the warm-up time.
-func (p *Part) judge(now int64, out *fleet.Out) {
+func (p *Part) judgeStage(now int64, out *fleet.Out) {
 	c := &p.conductor
 	e := c.evidence
 	if e == nil {
 		return
 	}
-	if now-c.filledAt < p.c.Rules.Warm {
+	if now-c.stageFilledAt < p.config.Rules.Warm {
 		return
 	}
-	if e.stage < c.rec.Stage {
-		e.begin(now, c.rec.Stage)
-		c.lookAt = e.slotEnd
+	if e.stage < c.record.Stage {
+		e.beginStage(now, c.record.Stage)
+		c.nextEvaluationAt = e.slotEnd
 	}
-	if now < c.lookAt {
+	if now < c.nextEvaluationAt {
 		return
 	}
-	c.lookAt = now + e.slot
+	c.nextEvaluationAt = now + e.slotLength
 	e.tick(now)
-	var f finding
-	if f = (finding{verdict: passes}); p.c.oracle == nil {
-		f = p.verdict(now)
-	} else if p.c.oracle(c.rec.Stage) {
-		f = finding{verdict: harms, measure: -1, text: "worse"}
-	}
-	if f.text != c.found.text && (f.verdict != untold || c.found.verdict != f.verdict || c.found.text == "") {
-		p.note(out, "evidence", c.grant.Fence, int64(c.rec.Stage), f.text)
-	}
-	c.found = f
-	switch f.verdict {
-	case harms:
-		p.halt(now, f.text, out)
-	case passes:
-		p.pass(now, out)
+	var result finding
+	if result = (finding{verdict: verdictHarmless}); p.config.oracle == nil {
+		result = p.evaluateStage(now)
+	} else if p.config.oracle(c.record.Stage) {
+		result = finding{verdict: verdictHarmful, measure: -1, text: "worse"}
+	}
+	if result.text != c.lastFinding.text && (result.verdict != verdictUndecided || c.lastFinding.verdict != result.verdict || c.lastFinding.text == "") {
+		p.addNote(out, "evidence", c.grant.Fence, int64(c.record.Stage), result.text)
+	}
+	c.lastFinding = result
+	switch result.verdict {
+	case verdictHarmful:
+		p.halt(now, result.text, out)
+	case verdictHarmless:
+		p.passStage(now, out)
 	}
 }
 
 // evaluateStage evaluates the evidence of a stage that has all its processes.
-func (p *Part) verdict(now int64) finding {
+func (p *Part) evaluateStage(now int64) finding {
 	c := &p.conductor
-	if c.rec.Stage == All {
+	if c.record.Stage == All {
 		// No unchanged processes are left to compare with; the change only waits to see that no process dies.
-		f := c.evidence.look(now)
-		if f.verdict != harms && now-c.filledAt >= p.c.Rules.Warm+p.c.Rules.Look {
-			f.verdict, f.text = passes, "all have changed"
-		} else if f.verdict == passes {
-			f.verdict = untold
+		result := c.evidence.evaluate(now)
+		if result.verdict != verdictHarmful && now-c.stageFilledAt >= p.config.Rules.Warm+p.config.Rules.Look {
+			result.verdict, result.text = verdictHarmless, "all have changed"
+		} else if result.verdict == verdictHarmless {
+			result.verdict = verdictUndecided
 		}
-		return f
+		return result
 	}
-	return c.evidence.look(now)
+	return c.evidence.evaluate(now)
 }
 
 // passStage opens the next stage, or starts to conclude the change.
-func (p *Part) pass(now int64, out *fleet.Out) {
+func (p *Part) passStage(now int64, out *fleet.Out) {
 	c := &p.conductor
-	rec := c.rec
+	rec := c.record
 	rec.Wave = nil
 	if rec.Stage == All {
 		rec.Phase = concluding
-		p.store(now, rec, passed, out)
+		p.storeRecord(now, rec, changePassed, out)
 		return
 	}
 	rec.Stage++
-	if p.c.failpoints.anyOrder && rec.Stage < All {
+	if p.config.failpoints.skipStage && rec.Stage < All {
 		rec.Stage++
 	}
-	p.store(now, rec, nextStage, out)
+	p.storeRecord(now, rec, stageOpened, out)
 }
 
 // rollBack rolls the changed processes back, a few at a time.
-func (p *Part) goBack(now int64, out *fleet.Out) {
+func (p *Part) rollBack(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if len(c.wave) > 0 {
-		p.follow(now, Back, out)
+		p.superviseWave(now, Back, out)
 		return
 	}
-	pl := p.plan(true)
-	if c.stuck == 0 {
-		c.stuck = now
+	plan := p.makePlan(true)
+	if c.rollbackBlockedSince == 0 {
+		c.rollbackBlockedSince = now
 	}
 	// A halted change must end even if there is never spare capacity: then one process at a time goes back, and
 	// the next one once it serves again.
-	pl.last = now-c.stuck >= p.c.Rules.Patience
-	wave, why := pl.next()
+	plan.forced = now-c.rollbackBlockedSince >= p.config.Rules.Patience
+	wave, why := plan.nextWave()
 	if len(wave) > 0 {
-		c.stuck = 0
+		c.rollbackBlockedSince = 0
 	}
 	switch {
-	case why == onlySelf:
-		p.stepAside(now, out)
-	case why == filled:
-		rec := c.rec
+	case why == onlyConductorLeft:
+		p.yieldLease(now, out)
+	case why == stageFull:
+		rec := c.record
 		rec.Phase, rec.Wave = halted, nil
-		p.store(now, rec, nothing, out)
+		p.storeRecord(now, rec, noEvent, out)
 	case len(wave) == 0:
-		p.wait(now, why, out)
+		p.noteWaiting(now, why, out)
 	default:
-		p.storeWave(now, c.rec, wave, out)
+		p.storeWave(now, c.record, wave, out)
 	}
 }
 
@@ -111,82 +111,82 @@
 // with the previous target is changed as well: one at a time, and skipped if it does not change in time.
 func (p *Part) conclude(now int64, out *fleet.Out) {
 	c := &p.conductor
-	again := c.said == 0 || now-c.said >= p.c.Rules.Repeat
-	if again {
-		c.said = now
+	resend := c.ordersSentAt == 0 || now-c.ordersSentAt >= p.config.Rules.Repeat
+	if resend {
+		c.ordersSentAt = now
 	}
-	left, behind := false, ""
-	for _, n := range p.watch.names {
-		q := p.watch.peers[n]
+	pending, leftBehind := false, ""
+	for _, n := range p.peers.names {
+		q := p.peers.byName[n]
 		switch {
-		case !q.here() || q.told.State == Refusing:
-		case q.in(c.rec.Target.Change):
-			if left = true; again {
-				p.say(now, n, Conclude, out)
+		case !q.reachable() || q.status.State == Refusing:
+		case q.inChange(c.record.Target.Change):
+			if pending = true; resend {
+				p.sendOrder(now, n, Conclude, out)
 			}
-		case q.told.Goes < c.rec.Target.Change && behind == "" && c.whys[n] == "":
-			behind = n
+		case q.status.RunningChange < c.record.Target.Change && leftBehind == "" && c.answerDetails[n] == "":
+			leftBehind = n
 		}
 	}
-	if behind != "" && !left {
-		if at, ok := c.heard[behind]; !ok {
-			c.heard[behind] = now
-			p.note(out, "takes along", c.grant.Fence, int64(c.rec.Target.Change), behind)
-		} else if now-at > p.c.Rules.Patience {
-			c.whys[behind] = "left behind"
-			p.note(out, "left behind", c.grant.Fence, int64(c.rec.Target.Change), behind)
+	if leftBehind != "" && !pending {
+		if since, ok := c.reachableSince[leftBehind]; !ok {
+			c.reachableSince[leftBehind] = now
+			p.addNote(out, "takes along", c.grant.Fence, int64(c.record.Target.Change), leftBehind)
+		} else if now-since > p.config.Rules.Patience {
+			c.answerDetails[leftBehind] = "left behind"
+			p.addNote(out, "left behind", c.grant.Fence, int64(c.record.Target.Change), leftBehind)
 		}
-		if left = true; again {
-			p.say(now, behind, Apply, out)
+		if pending = true; resend {
+			p.sendOrder(now, leftBehind, Apply, out)
 		}
 	}
-	if left {
+	if pending {
 		return
 	}
-	rec := c.rec
+	rec := c.record
 	rec.Phase = concluded
-	p.store(now, rec, nothing, out)
+	p.storeRecord(now, rec, noEvent, out)
 }
 
 // finish notes that a change is over and releases the lease once the others know. If a process that was cut off
 // comes back later and is still in the change, whoever then holds the lease finishes it.
-func (p *Part) end(now int64, out *fleet.Out) {
+func (p *Part) finish(now int64, out *fleet.Out) {
 	c := &p.conductor
-	change := c.rec.Target.Change
-	if r := p.watch.runs(); r > change && p.viewed {
+	change := c.record.Target.Change
+	if running := p.peers.runningChange(); running > change && p.hasView {
 		// The record was lost with the electors that stored it. How far the change had come is unknown: the
 		// processes in it are rolled back.
-		c.reason = "the record of the change was lost"
-		p.store(now, record{Target: Target{Change: r}, Phase: goingBack, Reason: c.reason, Over: c.rec.last()}, stopped, out)
+		c.haltReason = "the record of the change was lost"
+		p.storeRecord(now, record{Target: Target{Change: running}, Phase: goingBack, Reason: c.haltReason, HighestOver: c.record.highestOver()}, changeHalted, out)
 		return
 	}
-	if c.rec.Phase == none {
-		p.release(now, out)
+	if c.record.Phase == none {
+		p.releaseLease(now, out)
 		return
 	}
-	p.watch.over = max(p.watch.over, change)
-	if p.watch.straggles(change) {
-		rec := c.rec
+	p.peers.highestOver = max(p.peers.highestOver, change)
+	if p.peers.anyInChange(change) {
+		rec := c.record
 		rec.Phase, rec.Wave = goingBack, nil
-		if c.rec.Phase == concluded {
+		if c.record.Phase == concluded {
 			rec.Phase = concluding
 		}
-		p.store(now, rec, reopened, out)
+		p.storeRecord(now, rec, changeReopened, out)
 		return
 	}
-	if !c.ended {
-		c.ended, c.said = true, now
-		p.note(out, "over", c.grant.Fence, int64(change), phaseNames[c.rec.Phase]+" "+c.rec.Reason)
+	if !c.endNoted {
+		c.endNoted, c.ordersSentAt = true, now
+		p.addNote(out, "over", c.grant.Fence, int64(change), phaseNames[c.record.Phase]+" "+c.record.Reason)
 		return
 	}
 	// The lease is released after the other processes have read from the entry that the change is over.
 	known := true
-	for _, n := range p.watch.names {
-		if q := p.watch.peers[n]; q.here() && n != p.c.Name && q.told.Over < change {
+	for _, n := range p.peers.names {
+		if q := p.peers.byName[n]; q.reachable() && n != p.config.Name && q.status.HighestOver < change {
 			known = false
 		}
 	}
-	if known || now-c.said >= p.c.Rules.Ask {
-		p.release(now, out)
+	if known || now-c.ordersSentAt >= p.config.Rules.Ask {
+		p.releaseLease(now, out)
 	}
 }
--- a/internal/stage/errors.go
+++ b/internal/stage/errors.go
@@ -12,10 +12,10 @@
 // TargetError reports a change whose target is invalid.
 type TargetError struct {
 	Change uint64
-	Why    string
+	Reason string
 }
 
-func (e *TargetError) Error() string { return fmt.Sprintf("change %d: %s", e.Change, e.Why) }
+func (e *TargetError) Error() string { return fmt.Sprintf("change %d: %s", e.Change, e.Reason) }
 
 // Advice returns what an operator can do about it.
 func (*TargetError) Advice() string {
@@ -23,10 +23,10 @@
 }
 
 // NumberError reports a change whose number is not higher than that of a change that is over.
-type NumberError struct{ Change, Over uint64 }
+type NumberError struct{ Change, HighestOver uint64 }
 
 func (e *NumberError) Error() string {
-	return fmt.Sprintf("change %d is not higher than change %d, which is over", e.Change, e.Over)
+	return fmt.Sprintf("change %d is not higher than change %d, which is over", e.Change, e.HighestOver)
 }
 
 // Advice returns what an operator can do about it.
@@ -51,13 +51,13 @@
 
 // FenceError reports an order with a lower fencing number than the highest that this process has seen.
 type FenceError struct {
-	Change, Fence, Seen uint64
-	From                string
+	Change, Fence, HighestSeen uint64
+	From                       string
 }
 
 func (e *FenceError) Error() string {
 	return fmt.Sprintf("order from %q for change %d with fencing number %d refused: %d was seen",
-		e.From, e.Change, e.Fence, e.Seen)
+		e.From, e.Change, e.Fence, e.HighestSeen)
 }
 
 // Advice returns what an operator can do about it.
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -6,34 +6,34 @@
 	"pewterwheel/internal/fleet"
 )
 
-// The measures in which old and new are compared. In each, more is worse.
+// The measureCount in which old and new are compared. In each, more is worse.
 const (
-	lost    = iota // worth not served, as a fraction of the whole
-	refused        // as a fraction of those offered
-	failed
-	late
-	slow   // answers above the bucket of the histogram next to the old 99th percentile, as a fraction
-	cpu    // processor time per call
-	memory // resident
-	growth // growth of resident memory per minute
-	measures
+	measureWorth   = iota // worth not served, as a fraction of the whole
+	measureRefused        // as a fraction of those offered
+	measureFailed
+	measureLate
+	measureSlow   // answers above the bucket of the histogram next to the old 99th percentile, as a fraction
+	measureCPU    // processor time per call
+	measureMemory // resident
+	measureGrowth // growth of resident memory per minute
+	measureCount
 )
 
-var measureNames = [measures]string{"worth lost", "refused", "failed", "late", "slow answers", "processor time per call", "memory",
+var measureNames = [measureCount]string{"worth lost", "refused", "failed", "late", "slow answers", "processor time per call", "memory",
 	"growth of memory"}
 
 // maxClasses is the maximum number of classes that are compared separately; further ones count as the last.
 const maxClasses = 16
 
 // ratio is a sum and its base, for example the refused calls of all offered ones.
-type pair struct{ num, den float64 }
+type ratio struct{ num, den float64 }
 
-func (p *pair) add(q pair) {
+func (p *ratio) add(q ratio) {
 	p.num += q.num
 	p.den += q.den
 }
 
-func (p pair) share() float64 {
+func (p ratio) share() float64 {
 	if p.den == 0 {
 		return 0
 	}
@@ -41,8 +41,8 @@
 }
 
 // classSlot is what one process showed in one class in one slot.
-type cell struct {
-	m     [growth]pair
+type classSlot struct {
+	sums  [measureGrowth]ratio
 	waits [32]float64
 }
 
@@ -50,106 +50,106 @@
 type side uint8
 
 const (
-	neither side = iota
-	former
-	newer
+	sideNone side = iota
+	sideOld
+	sideNew
 )
 
 // regression is a least squares fit of the memory of a process over time.
-type line struct{ n, t, tt, m, tm float64 }
+type regression struct{ count, sumT, sumTT, sumM, sumTM float64 }
 
-func (l *line) add(t, m float64) {
-	l.n++
-	l.t += t
-	l.tt += t * t
-	l.m += m
-	l.tm += t * m
+func (l *regression) add(t, m float64) {
+	l.count++
+	l.sumT += t
+	l.sumTT += t * t
+	l.sumM += m
+	l.sumTM += t * m
 }
 
-func (l line) slope() float64 {
-	d := l.n*l.tt - l.t*l.t
-	if l.n < 3 || d <= 0 {
+func (l regression) slope() float64 {
+	d := l.count*l.sumTT - l.sumT*l.sumT
+	if l.count < 3 || d <= 0 {
 		return 0
 	}
-	return (l.n*l.tm - l.t*l.m) / d
+	return (l.count*l.sumTM - l.sumT*l.sumM) / d
 }
 
 // processEvidence is the evidence of one process.
-type subject struct {
-	zone   string
-	life   uint64
-	last   uint64 // number of the last window that was added
-	seen   bool   // a window of this incarnation was added
-	side   side
-	warm   int64  // when its figures begin to count as new
-	broken uint64 // highest value before its change of the counters that must stay 0
-	cells  []cell // figures of the slot, by class
+type processEvidence struct {
+	zone         string
+	incarnation  uint64
+	lastWindow   uint64 // number of the last window that was added
+	hasWindow    bool   // a window of this incarnation was added
+	side         side
+	warmAt       int64       // when its figures begin to count as new
+	brokenBefore uint64      // highest value before its change of the counters that must stay 0
+	classSlots   []classSlot // figures of the slot, by class
 	// Excess over the old processes in the same slots, zones and classes, before the change and in the stage.
-	excess        [growth]pair // of the slot
-	before, after [growth]pair
-	memory        line
-	slots         int  // slots of the stage with figures of this process
-	out           bool // has changed sides in the stage, and is not compared
+	excess                      [measureGrowth]ratio // of the slot
+	excessBefore, excessInStage [measureGrowth]ratio
+	memoryTrend                 regression
+	stageSlots                  int  // slots of the stage with figures of this process
+	excluded                    bool // has changed sides in the stage, and is not compared
 	// Input of the plan:
-	length, offered, served, used float64
-	rate, shown                   float64
-	quiet                         int // slots in a row without a window
+	length, offered, served, cpuUsed float64
+	offeredRate, shownRate           float64
+	emptySlots                       int // slots in a row without a window
 }
 
 // evidence collects the figures of old and new processes. The conductor keeps it, and so do the processes that
 // would take over from it.
 type evidence struct {
-	rules      Rules
-	slot       int64 // current length of a slot
-	asked      bool  // the figures come by message, in windows that may be longer than Rules.Warm
-	fresh      bool  // the evidence was created for this view
-	change     uint64
-	began      int64
-	slotEnd    int64
-	subjects   map[string]*subject
-	names      []string // sorted
-	classes    []string
-	edge       [maxClasses]int     // bucket of the histogram next to the old 99th percentile; 0: not known
-	tail       [maxClasses]float64 // relative growth of the share above it when that percentile is worse by its margin
-	edges      bool
-	waits      [maxClasses][32]float64 // waits of all old processes before the change
-	told       bool                    // a process has been ordered: later figures are no longer from before the change
-	stage      int                     // the stage that is judged; -1: none
-	since      int64
-	closed     int // slots closed so far
-	slots      int
-	oldSum     [measures]pair
-	newSum     [measures]pair
-	tailSum    pair
-	apart      [growth][]float64        // variances of the old processes in each slot, sorted
-	steady     [maxClasses][growth]pair // figures before the change, for the failpoint unpaired
-	broke      string                   // the first new process with a counter above 0 that must stay 0
-	failpoints failpoints
+	rules          Rules
+	slotLength     int64 // current length of a slot
+	requested      bool  // the figures come by message, in windows that may be longer than Rules.Warm
+	fresh          bool  // the evidence was created for this view
+	change         uint64
+	beganAt        int64
+	slotEnd        int64
+	processes      map[string]*processEvidence
+	names          []string // sorted
+	classes        []string
+	slowBucket     [maxClasses]int     // bucket of the histogram next to the old 99th percentile; 0: not known
+	slowMargin     [maxClasses]float64 // relative growth of the share above it when that percentile is worse by its margin
+	slowBucketsSet bool
+	waitsBefore    [maxClasses][32]float64 // waits of all old processes before the change
+	changeStarted  bool                    // a process has been ordered: later figures are no longer from before the change
+	stage          int                     // the stage that is judged; -1: none
+	stageSince     int64
+	closedSlots    int // slots closed so far
+	stageSlots     int
+	oldSum         [measureCount]ratio
+	newSum         [measureCount]ratio
+	slowMarginSum  ratio
+	oldVariances   [measureGrowth][]float64         // variances of the old processes in each slot, sorted
+	oldBefore      [maxClasses][measureGrowth]ratio // figures before the change, for the failpoint unpaired
+	firstBroken    string                           // the first new process with a counter above 0 that must stay 0
+	failpoints     failpoints
 }
 
-func newEvidence(r Rules, change uint64, now int64, d failpoints) *evidence {
+func newEvidence(rules Rules, change uint64, now int64, faults failpoints) *evidence {
 	return &evidence{
-		rules:      r,
-		slot:       r.Slot,
+		rules:      rules,
+		slotLength: rules.Slot,
 		change:     change,
-		began:      now,
-		slotEnd:    now + r.Slot,
-		subjects:   map[string]*subject{},
+		beganAt:    now,
+		slotEnd:    now + rules.Slot,
+		processes:  map[string]*processEvidence{},
 		stage:      -1,
-		failpoints: d,
+		failpoints: faults,
 	}
 }
 
 // requestedSlot returns the length of a slot if it depends on the length of requested windows, else 0.
-func (e *evidence) longSlot() int64 {
-	if !e.asked {
+func (e *evidence) requestedSlot() int64 {
+	if !e.requested {
 		return 0
 	}
-	return e.slot
+	return e.slotLength
 }
 
 // beginStage starts the evidence of a stage. The last stage continues with that of the stage before it.
-func (e *evidence) begin(now int64, stage int) {
+func (e *evidence) beginStage(now int64, stage int) {
 	if e.stage == stage {
 		return
 	}
@@ -157,20 +157,20 @@
 		e.stage = All
 		return
 	}
-	e.close(now)
-	if !e.edges {
-		e.setEdges() // this process took over later and has not seen the time before the change
+	e.closeSlot(now)
+	if !e.slowBucketsSet {
+		e.setSlowBuckets() // this process took over later and has not seen the time before the change
 	}
-	e.stage, e.since, e.slots = stage, now, 0
-	e.oldSum, e.newSum, e.tailSum = [measures]pair{}, [measures]pair{}, pair{}
+	e.stage, e.stageSince, e.stageSlots = stage, now, 0
+	e.oldSum, e.newSum, e.slowMarginSum = [measureCount]ratio{}, [measureCount]ratio{}, ratio{}
 	for _, n := range e.names {
-		s := e.subjects[n]
-		s.after, s.memory, s.slots = [growth]pair{}, line{}, 0
-		s.out = s.side == neither // a process that has not been seen for the warm-up time yet is compared later
+		s := e.processes[n]
+		s.excessInStage, s.memoryTrend, s.stageSlots = [measureGrowth]ratio{}, regression{}, 0
+		s.excluded = s.side == sideNone // a process that has not been seen for the warm-up time yet is compared later
 	}
 }
 
-func (e *evidence) class(name string) int {
+func (e *evidence) classIndex(name string) int {
 	if i := slices.Index(e.classes, name); i >= 0 {
 		return i
 	}
@@ -181,103 +181,103 @@
 }
 
 // addWindows adds the windows of a member that are not known yet. in is the status of the member.
-func (e *evidence) take(now int64, m *fleet.Member, in told) {
-	s := e.subjects[m.Name]
+func (e *evidence) addWindows(now int64, m *fleet.Member, status processStatus) {
+	s := e.processes[m.Name]
 	if s == nil {
-		s = &subject{}
-		e.subjects[m.Name] = s
+		s = &processEvidence{}
+		e.processes[m.Name] = s
 		i, _ := slices.BinarySearch(e.names, m.Name)
 		e.names = slices.Insert(e.names, i, m.Name)
 	}
-	is := neither
+	side := sideNone
 	switch {
 	case m.State != fleet.Serving:
-	case in.Change == e.change && in.State == Changed:
-		is = newer
-	case in.Change != e.change:
-		is = former
+	case status.Change == e.change && status.State == Changed:
+		side = sideNew
+	case status.Change != e.change:
+		side = sideOld
 	}
 	s.zone = m.Zone
-	if s.life != m.Incarnation {
-		s.life, s.last, s.seen, s.broken = m.Incarnation, 0, false, 0
-		s.shown, s.rate = 0, 0
-		s.cells, s.length, s.offered, s.served, s.used = nil, 0, 0, 0, 0
-		s.out = true
+	if s.incarnation != m.Incarnation {
+		s.incarnation, s.lastWindow, s.hasWindow, s.brokenBefore = m.Incarnation, 0, false, 0
+		s.shownRate, s.offeredRate = 0, 0
+		s.classSlots, s.length, s.offered, s.served, s.cpuUsed = nil, 0, 0, 0, 0
+		s.excluded = true
 	}
-	if is != s.side {
-		if is == newer {
-			s.warm = now + e.rules.Warm
+	if side != s.side {
+		if side == sideNew {
+			s.warmAt = now + e.rules.Warm
 		}
-		s.side, s.out, s.cells = is, true, nil
+		s.side, s.excluded, s.classSlots = side, true, nil
 	}
-	if n := len(m.Windows); e.asked && n > 0 {
+	if n := len(m.Windows); e.requested && n > 0 {
 		newest := m.Windows[n-1].Number
 		// Windows that are present when the evidence begins may be left from an earlier change, however long ago.
 		// Where the numbers fall, the windows were part of the entry of the process before and are sent as
 		// messages now; their figures were already added.
-		if e.fresh || s.seen && newest < s.last {
-			s.last, s.seen = newest, true
+		if e.fresh || s.hasWindow && newest < s.lastWindow {
+			s.lastWindow, s.hasWindow = newest, true
 		}
 	}
 	for i := range m.Windows {
 		w := &m.Windows[i]
-		if s.seen && w.Number <= s.last || w.Length <= 0 {
+		if s.hasWindow && w.Number <= s.lastWindow || w.Length <= 0 {
 			continue
 		}
 		// The first window of a process that has just become new may contain figures from before.
-		first := !s.seen
-		s.last, s.seen = w.Number, true
-		if s.side == newer {
-			if w.Broken > s.broken && e.broke == "" {
-				e.broke = m.Name
+		first := !s.hasWindow
+		s.lastWindow, s.hasWindow = w.Number, true
+		if s.side == sideNew {
+			if w.Broken > s.brokenBefore && e.firstBroken == "" {
+				e.firstBroken = m.Name
 			}
 		} else {
-			s.broken = max(s.broken, w.Broken)
+			s.brokenBefore = max(s.brokenBefore, w.Broken)
 		}
-		if s.side == neither || first && i+1 < len(m.Windows) && s.side == newer {
+		if s.side == sideNone || first && i+1 < len(m.Windows) && s.side == sideNew {
 			continue
 		}
-		if e.asked && s.side == newer && now-w.Length < s.warm {
+		if e.requested && s.side == sideNew && now-w.Length < s.warmAt {
 			continue // the window began before the process was warm or had changed
 		}
-		e.window(now, s, w)
+		e.addWindow(now, s, w)
 	}
 }
 
-func (e *evidence) window(now int64, s *subject, w *fleet.Window) {
-	all := 0.0
+func (e *evidence) addWindow(now int64, s *processEvidence, w *fleet.Window) {
+	offered := 0.0
 	for _, c := range w.Class {
-		i := e.class(c.Name)
-		for len(s.cells) <= i {
-			s.cells = append(s.cells, cell{})
+		i := e.classIndex(c.Name)
+		for len(s.classSlots) <= i {
+			s.classSlots = append(s.classSlots, classSlot{})
 		}
-		k := &s.cells[i]
+		slot := &s.classSlots[i]
 		n := float64(c.Offered)
-		all += n
+		offered += n
 		if c.Whole > 0 {
-			k.m[lost].add(pair{max(0, c.Whole-c.Worth), c.Whole})
+			slot.sums[measureWorth].add(ratio{max(0, c.Whole-c.Worth), c.Whole})
 		}
-		k.m[refused].add(pair{float64(c.Refused), n})
-		k.m[failed].add(pair{float64(c.Failed), n})
-		k.m[late].add(pair{float64(c.Late), n})
+		slot.sums[measureRefused].add(ratio{float64(c.Refused), n})
+		slot.sums[measureFailed].add(ratio{float64(c.Failed), n})
+		slot.sums[measureLate].add(ratio{float64(c.Late), n})
 		for b, x := range c.Waits {
-			k.waits[min(b, len(k.waits)-1)] += float64(x)
+			slot.waits[min(b, len(slot.waits)-1)] += float64(x)
 		}
 		s.offered += n
 		s.served += float64(c.Served)
 	}
-	if len(s.cells) == 0 {
-		s.cells = append(s.cells, cell{})
+	if len(s.classSlots) == 0 {
+		s.classSlots = append(s.classSlots, classSlot{})
 	}
 	if w.CPU > 0 {
-		s.cells[0].m[cpu].add(pair{float64(w.CPU), all})
+		s.classSlots[0].sums[measureCPU].add(ratio{float64(w.CPU), offered})
 	}
 	if w.Memory > 0 {
-		s.cells[0].m[memory].add(pair{float64(w.Memory), 1})
-		if e.stage >= 0 && !s.out && now >= e.since && (s.side == former || now >= s.warm) {
-			s.memory.add(float64(now-e.since)/60e6, float64(w.Memory))
+		s.classSlots[0].sums[measureMemory].add(ratio{float64(w.Memory), 1})
+		if e.stage >= 0 && !s.excluded && now >= e.stageSince && (s.side == sideOld || now >= s.warmAt) {
+			s.memoryTrend.add(float64(now-e.stageSince)/60e6, float64(w.Memory))
 		}
 	}
 	s.length += float64(w.Length) / 1e6
-	s.used += float64(w.CPU) / 1e6
+	s.cpuUsed += float64(w.CPU) / 1e6
 }
--- a/internal/stage/gather.go
+++ b/internal/stage/gather.go
@@ -6,40 +6,40 @@
 
 // gatherFigures reads the figures of all processes if this process conducts the change or would take over as
 // conductor, and requests them meanwhile.
-func (p *Part) gather(now int64, v *fleet.View, out *fleet.Out) {
+func (p *Part) gatherFigures(now int64, v *fleet.View, out *fleet.Out) {
 	c := &p.conductor
-	r := p.watch.runs()
-	if c.holds && c.rec.Phase == running {
-		r = c.rec.Target.Change
+	change := p.peers.runningChange()
+	if c.holdsLease && c.record.Phase == running {
+		change = c.record.Target.Change
 	}
-	if r == 0 || !c.claimed {
+	if change == 0 || !c.leaseClaimed {
 		c.evidence = nil
-		p.want(now, false, out)
+		p.requestFigures(now, false, out)
 		return
 	}
-	p.want(now, true, out)
+	p.requestFigures(now, true, out)
 	e := c.evidence
-	fresh := e == nil || e.change != r
+	fresh := e == nil || e.change != change
 	if fresh {
-		e = newEvidence(p.c.Rules, r, now, p.c.failpoints)
-		e.asked = p.c.Figures != nil
-		e.slotEnd = now + p.slot()
+		e = newEvidence(p.config.Rules, change, now, p.config.failpoints)
+		e.requested = p.config.Figures != nil
+		e.slotEnd = now + p.slotLength()
 		c.evidence = e
 	}
-	e.slot, e.fresh = p.slot(), fresh
-	if p.c.oracle != nil {
+	e.slotLength, e.fresh = p.slotLength(), fresh
+	if p.config.oracle != nil {
 		return
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if q := p.watch.peers[m.Name]; q != nil && !m.Suspect { // figures of a suspected process are out of date
-			e.take(now, m, q.told)
+		if known := p.peers.byName[m.Name]; known != nil && !m.Suspect { // figures of a suspected process are out of date
+			e.addWindows(now, m, known.status)
 			// A standby begins with a stage when its conductor does.
-			if t := q.told; !c.holds && t.Conducts == r && t.Judging && t.Stage > e.stage {
-				e.begin(now, t.Stage)
+			if status := known.status; !c.holdsLease && status.ConductedChange == change && status.Judging && status.Stage > e.stage {
+				e.beginStage(now, status.Stage)
 			}
-			if !e.told && q.in(r) {
-				e.begun(now)
+			if !e.changeStarted && known.inChange(change) {
+				e.markStarted(now)
 			}
 		}
 	}
@@ -47,18 +47,18 @@
 }
 
 // requestFigures says whether this process needs the figures of the others.
-func (p *Part) want(now int64, wanted bool, out *fleet.Out) {
-	if p.c.Figures != nil {
-		p.c.Figures.Want(now, wanted, out)
+func (p *Part) requestFigures(now int64, wanted bool, out *fleet.Out) {
+	if p.config.Figures != nil {
+		p.config.Figures.Want(now, wanted, out)
 	}
 }
 
 // slotLength returns the length of the intervals over which old and new are compared. It leaves room for the
 // windows of each process to arrive a little late, because a process without figures in half of the slots is not
 // compared.
-func (p *Part) slot() int64 {
-	if p.c.Figures == nil {
-		return p.c.Rules.Slot
+func (p *Part) slotLength() int64 {
+	if p.config.Figures == nil {
+		return p.config.Rules.Slot
 	}
-	return max(p.c.Rules.Slot, p.c.Figures.Length()/4*5)
+	return max(p.config.Rules.Slot, p.config.Figures.Length()/4*5)
 }
--- a/internal/stage/guards_test.go
+++ b/internal/stage/guards_test.go
@@ -16,65 +16,65 @@
 	"pewterwheel/internal/lease"
 )
 
-// figures generates the windows of a fleet, drawn anew for each test of the comparison.
-type figures struct {
-	r       *rand.Rand
-	differ  float64 // how much the refusal rates of the processes differ
-	trouble float64 // additional refusals of all processes, once a process has changed
-	worse   float64 // additional refusals of the new processes
-	base    float64
-	of      []float64
+// figuresModel generates the windows of a fleet, drawn anew for each test of the comparison.
+type figuresModel struct {
+	r        *rand.Rand
+	spread   float64 // how much the refusal rates of the processes differ
+	trouble  float64 // additional refusals of all processes, once a process has changed
+	worse    float64 // additional refusals of the new processes
+	meanRate float64
+	rates    []float64
 }
 
 // judge simulates 60 processes, 6 of which change, and returns the first decided finding of 40 slots.
-func (f *figures) judged(d failpoints, before int) finding {
-	rules := Rules{Warm: 1, Alpha: 0.02}.whole()
+func (f *figuresModel) judge(d failpoints, before int) finding {
+	rules := Rules{Warm: 1, Alpha: 0.02}.withDefaults()
 	e := newEvidence(rules, change, 0, d)
 	now, number := int64(0), uint64(0)
-	f.of = make([]float64, 60)
-	for i := range f.of {
-		f.of[i] = f.base * math.Exp(f.differ*f.r.NormFloat64())
+	f.rates = make([]float64, 60)
+	for i := range f.rates {
+		f.rates[i] = f.meanRate * math.Exp(f.spread*f.r.NormFloat64())
 	}
 	slot := func(changed bool) {
 		now, number = now+rules.Slot, number+1
-		for i, p := range f.of {
-			in := told{}
+		for i, p := range f.rates {
+			in := processStatus{}
 			if changed {
 				p += f.trouble
 				if i%10 == 0 {
-					in, p = told{Change: change, State: Changed}, p+f.worse
+					in, p = processStatus{Change: change, State: Changed}, p+f.worse
 				}
 			}
 			n := 200.0
 			refused := max(0, math.Round(n*p+math.Sqrt(n*p)*f.r.NormFloat64()))
 			m := fleet.Member{Entry: fleet.Entry{Name: fmt.Sprint("c", i), Incarnation: 1, Zone: "z", State: fleet.Serving, Windows: []fleet.Window{{
 				Number: number, Length: rules.Slot, Class: []fleet.ClassFigures{{Name: "x", Offered: uint64(n), Refused: uint64(refused)}}}}}}
-			e.take(now, &m, in)
+			e.addWindows(now, &m, in)
 		}
 		e.tick(now)
 	}
 	for range before {
 		slot(false)
 	}
-	e.begun(now)
+	e.markStarted(now)
 	slot(true)
-	e.begin(now+2, Twentieth)
+	e.beginStage(now+2, Twentieth)
 	now += 2
 	for range 40 {
 		slot(true)
-		if v := e.look(now); v.verdict != untold {
+		if v := e.evaluate(now); v.verdict != verdictUndecided {
 			return v
 		}
 	}
-	return finding{verdict: untold}
+	return finding{verdict: verdictUndecided}
 }
 
 // countHalts returns how many of 100 changes are halted.
-func halts(f figures, d failpoints, before int) int {
+func countHalts(f figuresModel, d failpoints, before int) int {
 	n := 0
 	for seed := range uint64(100) {
 		f.r = rand.New(rand.NewPCG(seed, 7))
-		if f.judged(d, before).verdict == harms {
+		if f.judge(d, before).verdict == verdictHarmful {
 			n++
 		}
 	}
@@ -83,23 +83,23 @@
 
 // Checks that a worse version is detected, that a trouble that affects both sides is not taken for harm, and that
 // differences between processes are not taken for an effect of the change.
-func TestJudgement(t *testing.T) {
+func TestComparison(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		f           figures
+		f           figuresModel
 		before      int
 		d           failpoints
 		least, most int // halted changes of 100
 	}{
-		{"harmless", figures{base: 0.02, differ: 0.3}, 12, failpoints{}, 0, 1},
-		{"one percentage point more refusals", figures{base: 0.02, differ: 0.3, worse: 0.01}, 12, failpoints{}, 95, 100},
-		{"one percentage point more refusals, no figures from before", figures{base: 0.02, differ: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
-		{"trouble of all processes", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{}, 0, 1},
-		{"processes that differ widely", figures{base: 0.02, differ: 0.8}, 0, failpoints{}, 0, 2},
-		{"unpaired: trouble of all processes is taken for harm", figures{base: 0.02, differ: 0.3, trouble: 0.1}, 12, failpoints{noPairs: true}, 75, 100},
-		{"calls taken as independent: differences are taken for harm", figures{base: 0.02, differ: 0.8}, 0, failpoints{noCluster: true}, 15, 100},
+		{"harmless", figuresModel{meanRate: 0.02, spread: 0.3}, 12, failpoints{}, 0, 1},
+		{"one percentage point more refusals", figuresModel{meanRate: 0.02, spread: 0.3, worse: 0.01}, 12, failpoints{}, 95, 100},
+		{"one percentage point more refusals, no figures from before", figuresModel{meanRate: 0.02, spread: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
+		{"trouble of all processes", figuresModel{meanRate: 0.02, spread: 0.3, trouble: 0.1}, 12, failpoints{}, 0, 1},
+		{"processes that differ widely", figuresModel{meanRate: 0.02, spread: 0.8}, 0, failpoints{}, 0, 2},
+		{"unpaired: trouble of all processes is taken for harm", figuresModel{meanRate: 0.02, spread: 0.3, trouble: 0.1}, 12, failpoints{unpaired: true}, 75, 100},
+		{"calls taken as independent: differences are taken for harm", figuresModel{meanRate: 0.02, spread: 0.8}, 0, failpoints{assumeIndependent: true}, 15, 100},
 	} {
-		if n := halts(c.f, c.d, c.before); n < c.least || n > c.most {
+		if n := countHalts(c.f, c.d, c.before); n < c.least || n > c.most {
 			t.Errorf("%s: %d of 100 halted, want %d to %d", c.name, n, c.least, c.most)
 		} else {
 			t.Logf("%s: %d of 100 halted", c.name, n)
@@ -112,25 +112,25 @@
 // more often.
 func TestSequentialBound(t *testing.T) {
 	const alpha, paths, steps = 0.05, 1500, 200
-	for _, stays := range []float64{0, 0.02} {
-		for _, d := range []failpoints{{}, {peeks: true}} {
+	for _, constant := range []float64{0, 0.02} {
+		for _, d := range []failpoints{{}, {fixedSampleTest: true}} {
 			r := rand.New(rand.NewPCG(9, 9))
 			halted := 0
 			for range paths {
-				x, drift := 0.0, math.Sqrt(stays)*r.NormFloat64()
+				x, drift := 0.0, math.Sqrt(constant)*r.NormFloat64()
 				for i := 1.0; i <= steps; i++ {
 					x += r.NormFloat64() + drift
-					c := comparison{diff: x / i, variance: 1/i + stays, freedom: 1e6, margin: 0.5}
-					if c.judge(alpha, 1e-12, d) == harms {
+					c := comparison{diff: x / i, variance: 1/i + constant, degrees: 1e6, margin: 0.5}
+					if c.judge(alpha, 1e-12, d) == verdictHarmful {
 						halted++
 						break
 					}
 				}
 			}
 			share := float64(halted) / paths
-			t.Logf("constant part of the variance %v, test for a single evaluation %v: %.3f halted", stays, d.peeks, share)
-			if d.peeks != (share > 0.1) || !d.peeks && share > 1.25*alpha {
-				t.Errorf("constant part of the variance %v, %+v: %.3f halted", stays, d, share)
+			t.Logf("constant part of the variance %v, test for a single evaluation %v: %.3f halted", constant, d.fixedSampleTest, share)
+			if d.fixedSampleTest != (share > 0.1) || !d.fixedSampleTest && share > 1.25*alpha {
+				t.Errorf("constant part of the variance %v, %+v: %.3f halted", constant, d, share)
 			}
 		}
 	}
@@ -138,25 +138,25 @@
 
 // checkPlan checks that a wave does not contain processes that must not be ordered at the same time.
 func checkPlan(p *plan) error {
-	wave, _ := p.next()
+	wave, _ := p.nextWave()
 	if len(wave) == 0 {
 		return nil
 	}
-	left, need, in := 0.0, 0.0, 0
-	told := map[string]bool{}
+	capacity, offered, in := 0.0, 0.0, 0
+	ordered := map[string]bool{}
 	for _, n := range wave {
-		told[n] = true
+		ordered[n] = true
 	}
 	zone := ""
-	for _, x := range p.places {
-		if x.here {
-			need += x.offered
-			if !x.busy && !told[x.name] {
-				left += x.shown
+	for _, x := range p.candidates {
+		if x.reachable {
+			offered += x.offered
+			if !x.changing && !ordered[x.name] {
+				capacity += x.shown
 			}
 		}
-		if told[x.name] {
-			if !x.here || x.busy || x.in != p.back {
+		if ordered[x.name] {
+			if !x.reachable || x.changing || x.inChange != p.rollback {
 				return fmt.Errorf("%s cannot be ordered", x.name)
 			}
 			if zone != "" && zone != x.zone {
@@ -164,42 +164,42 @@
 			}
 			zone = x.zone
 		}
-		if x.in && x.here && !p.back {
+		if x.inChange && x.reachable && !p.rollback {
 			in++
 		}
-		for _, y := range p.places {
-			if told[x.name] && (told[y.name] || y.busy) && y.name != x.name && p.neighbours(x.name, y.name) {
+		for _, y := range p.candidates {
+			if ordered[x.name] && (ordered[y.name] || y.changing) && y.name != x.name && p.neighbours(x.name, y.name) {
 				return errors.New("neighbours at once")
 			}
 		}
 	}
-	if p.back && p.last {
-		if busy := slices.ContainsFunc(p.places, func(x place) bool { return x.busy }); len(wave) == 1 && !busy {
+	if p.rollback && p.forced {
+		if busy := slices.ContainsFunc(p.candidates, func(x candidate) bool { return x.changing }); len(wave) == 1 && !busy {
 			return nil
 		}
 	}
-	if p.program && left < p.room()*need-1e-6 {
+	if p.program && capacity < p.capacityFactor()*offered-1e-6 {
 		return errors.New("under the capacity that is needed")
 	}
-	if size := Size(p.stage, len(p.places)); !p.back && p.stage != All && in+len(wave) > size+size/2+1 {
+	if size := StageSize(p.stage, len(p.candidates)); !p.rollback && p.stage != All && in+len(wave) > size+size/2+1 {
 		return fmt.Errorf("%d in a stage of %d", in+len(wave), size)
 	}
 	return nil
 }
 
 func drawPlan(t *rapid.T, d failpoints) *plan {
-	p := &plan{rules: Rules{Away: 1}.whole(), change: 5, program: true, back: rapid.Bool().Draw(t, "back"), last: rapid.Bool().Draw(t, "last"), stage: rapid.IntRange(One, All).Draw(t, "stage"),
+	p := &plan{rules: Rules{MaxUnreachable: 1}.withDefaults(), change: 5, program: true, rollback: rapid.Bool().Draw(t, "back"), forced: rapid.Bool().Draw(t, "last"), stage: rapid.IntRange(One, All).Draw(t, "stage"),
 		neighbours: func(a, b string) bool { return a[:2] == b[:2] }, failpoints: d}
 	n := rapid.IntRange(1, 40).Draw(t, "processes")
 	load := rapid.Float64Range(0.2, 1).Draw(t, "load")
 	for i := range n {
 		s := rapid.IntRange(0, 9).Draw(t, "state")
-		x := place{name: fmt.Sprintf("%c%c%d", 'a'+i/8, 'a'+i%8/2, i%2), zone: string(rune('x' + i%3)), here: s > 0, in: s > 6, busy: s == 9, shown: 10}
+		x := candidate{name: fmt.Sprintf("%c%c%d", 'a'+i/8, 'a'+i%8/2, i%2), zone: string(rune('x' + i%3)), reachable: s > 0, inChange: s > 6, changing: s == 9, shown: 10}
 		x.offered = 10 * load
-		if x.in {
-			p.told++
+		if x.inChange {
+			p.ordered++
 		}
-		p.places = append(p.places, x)
+		p.candidates = append(p.candidates, x)
 	}
 	return p
 }
@@ -215,7 +215,7 @@
 // crash runs a change in which the one new process dies, and returns the phase and reason in the record then.
 func crash(t *testing.T, d failpoints) string {
 	w := openedWorld(t, 4, d, func(w *world) { w.lossy = true })
-	said := ""
+	result := ""
 	for range 200 {
 		names, do := w.steps()
 		for k, f := range do {
@@ -242,28 +242,28 @@
 			}
 		}
 		for i, p := range w.parts {
-			if p.state == Changed && w.died == 0 && w.parts[0].watch.peers[w.entries[i].Name].told.State == Changed {
-				w.died++
-				if err := w.life(i, 0); err != nil {
+			if p.state == Changed && w.deathCount == 0 && w.parts[0].peers.byName[w.entries[i].Name].status.State == Changed {
+				w.deathCount++
+				if err := w.restart(i, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if r, _ := readRecord(w.lease.value); r.Reason != "" || over(r.Phase) {
-			said = phaseNames[r.Phase] + ": " + r.Reason
+		if r, _ := decodeRecord(w.lease.value); r.Reason != "" || isOver(r.Phase) {
+			result = phaseNames[r.Phase] + ": " + r.Reason
 			break
 		}
 	}
-	return said
+	return result
 }
 
 // Checks that disabling each safeguard leads to the failure that it guards against.
 func TestSafeguards(t *testing.T) {
-	find := func(n int, d failpoints, set func(w *world)) error {
+	searchError := func(n int, d failpoints, set func(w *world)) error {
 		_, _, _, err := search(openedWorld(t, n, d, set), 20000)
 		return err
 	}
-	plans := func(d failpoints) error {
+	planErrors := func(d failpoints) error {
 		var found error
 		for seed := range 300 {
 			p := rapid.Custom(func(t *rapid.T) *plan { return drawPlan(t, d) }).Example(seed)
@@ -278,11 +278,11 @@
 		err  error
 		want string
 	}{
-		{"orders sent before the record is stored", find(3, failpoints{tellsFirst: true}, func(w *world) {}), "ordered before the record was stored"},
-		{"fencing number ignored", find(3, failpoints{noFence: true}, func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }), "carries out an order with a lower fencing number"},
-		{"stages out of order", find(3, failpoints{anyOrder: true}, func(w *world) {}), "a stage is skipped"},
-		{"neighbours ignored", plans(failpoints{noNeighbours: true}), "neighbours at once"},
-		{"capacity ignored", plans(failpoints{noRoom: true}), "under the capacity"},
+		{"orders sent before the record is stored", searchError(3, failpoints{ordersBeforeRecord: true}, func(w *world) {}), "ordered before the record was stored"},
+		{"fencing number ignored", searchError(3, failpoints{ignoreFence: true}, func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }), "carries out an order with a lower fencing number"},
+		{"stages out of order", searchError(3, failpoints{skipStage: true}, func(w *world) {}), "a stage is skipped"},
+		{"neighbours ignored", planErrors(failpoints{ignoreNeighbours: true}), "neighbours at once"},
+		{"capacity ignored", planErrors(failpoints{ignoreCapacity: true}), "under the capacity"},
 	} {
 		if c.err == nil || !strings.Contains(c.err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, c.err, c.want)
@@ -291,7 +291,7 @@
 	if got := crash(t, failpoints{}); !strings.Contains(got, "died in the change") {
 		t.Errorf("a new process died: %q", got)
 	}
-	if got := crash(t, failpoints{noCrash: true}); got != "concluded: " {
+	if got := crash(t, failpoints{ignoreCrashes: true}); got != "concluded: " {
 		t.Errorf("a new process died, and crashes are not counted: %q", got)
 	}
 }
@@ -306,25 +306,25 @@
 		want error
 	}{
 		{Target{Change: 8, Settings: "x"}, &RunningError{Change: 8, Running: change, Conductor: "a"}},
-		{Target{Settings: "x"}, &TargetError{Why: "no change number is given"}},
-		{Target{Change: 8}, &TargetError{Change: 8, Why: "names neither a settings file nor a program"}},
-		{Target{Change: 8, Settings: strings.Repeat("x", MaxPath+1)}, &TargetError{Change: 8, Why: "path too long"}},
+		{Target{Settings: "x"}, &TargetError{Reason: "no change number is given"}},
+		{Target{Change: 8}, &TargetError{Change: 8, Reason: "names neither a settings file nor a program"}},
+		{Target{Change: 8, Settings: strings.Repeat("x", MaxPath+1)}, &TargetError{Change: 8, Reason: "path too long"}},
 	} {
 		if err := p.Propose(w.now, c.t, &out); err == nil || err.Error() != c.want.Error() {
 			t.Errorf("%v: %v, want %v", c.t, err, c.want)
 		}
 	}
-	q := New(Config{Name: "q", Lease: of{&fake{}, "q"}})
-	q.watch.over = 9
+	q := New(Config{Name: "q", Lease: processLease{&fakeLease{}, "q"}})
+	q.peers.highestOver = 9
 	var over *NumberError
-	if err := q.Propose(0, Target{Change: 9, Settings: "x"}, &out); !errors.As(err, &over) || over.Over != 9 {
+	if err := q.Propose(0, Target{Change: 9, Settings: "x"}, &out); !errors.As(err, &over) || over.HighestOver != 9 {
 		t.Errorf("a change that is over: %v", err)
 	}
 	// An order with a lower fencing number is answered with the highest one seen, and is not carried out.
-	q.viewed, q.fence = true, 5
+	q.hasView, q.highestFence = true, 5
 	out = fleet.Out{}
-	q.Message(0, fleet.Message{From: "z", Body: encode(speech{Order: true, Change: 10, Fence: 4, Write: 9, Verb: Apply, Target: Target{Change: 10}})}, &out)
-	var answer speech
+	q.Message(0, fleet.Message{From: "z", Body: encode(message{Order: true, Change: 10, Fence: 4, Write: 9, Verb: Apply, Target: Target{Change: 10}})}, &out)
+	var answer message
 	if len(out.Acts) != 0 || len(out.Send) != 1 || decode(out.Send[0].Body, &answer) != nil || answer.Fence != 5 || q.state != Unchanged {
 		t.Errorf("order with a lower fencing number: %+v", out)
 	}
@@ -338,25 +338,25 @@
 // Checks that the largest record and the largest messages fit, and that undecodable bytes change nothing.
 func TestSizesAndGarbage(t *testing.T) {
 	long := strings.Repeat("ä", 500)
-	r := record{Target: Target{math.MaxUint64, long[:MaxPath], math.MaxUint64, long[:MaxPath], math.MaxUint64}, Phase: halted, Stage: All, Told: 1 << 30,
-		Fence: math.MaxUint64, Reason: long, Over: math.MaxUint64}
+	r := record{Target: Target{math.MaxUint64, long[:MaxPath], math.MaxUint64, long[:MaxPath], math.MaxUint64}, Phase: halted, Stage: All, Ordered: 1 << 30,
+		Fence: math.MaxUint64, Reason: long, HighestOver: math.MaxUint64}
 	for range MaxWave {
 		r.Wave = append(r.Wave, math.MaxUint32)
 	}
 	if n := len(r.encode()); n > lease.MaxRecord {
 		t.Errorf("the largest record has %d bytes", n)
 	}
-	if back, err := readRecord(r.encode()); err != nil || back.Target != r.Target || len(back.Wave) != MaxWave {
+	if back, err := decodeRecord(r.encode()); err != nil || back.Target != r.Target || len(back.Wave) != MaxWave {
 		t.Errorf("decoded record: %+v, %v", back, err)
 	}
 	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
-		before := w.print()
+		before := w.fingerprint()
 		w.parts[1].Message(0, fleet.Message{From: "a", Body: b}, &fleet.Out{})
-		if w.print() != before && decode(b, &speech{}) != nil {
+		if w.fingerprint() != before && decode(b, &message{}) != nil {
 			t.Errorf("%x changed the state", b)
 		}
-		_, _ = readRecord(b)
+		_, _ = decodeRecord(b)
 	})
 }
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -10,23 +10,23 @@
 type verdict uint8
 
 const (
-	untold verdict = iota // neither of the two is shown
-	passes                // no measure is worse by its margin
-	harms
+	verdictUndecided verdict = iota // neither of the two is shown
+	verdictHarmless                 // no measure is worse by its margin
+	verdictHarmful
 )
 
 // comparison compares old and new in one measure: the difference of the means, and its uncertainty.
 type comparison struct {
-	diff     float64 // mean of the new processes less that of the old; positive is worse
-	variance float64 // variance of diff, including the differences between processes
-	freedom  float64 // degrees of freedom of the variance
-	margin   float64 // increase that must be detected
-	spared   float64 // increase that is tolerated
-	old, new float64 // values shown in the reason
-	most     float64 // highest value of an old process, on the scale of diff
-	nOld     int     // processes
-	nNew     int
-	calls    float64 // on the new side
+	diff      float64 // mean of the new processes less that of the old; positive is worse
+	variance  float64 // variance of diff, including the differences between processes
+	degrees   float64 // degrees of freedom of the variance
+	margin    float64 // increase that must be detected
+	tolerated float64 // increase that is tolerated
+	old, new  float64 // values shown in the reason
+	maxOld    float64 // highest value of an old process, on the scale of diff
+	nOld      int     // processes
+	nNew      int
+	newCalls  float64 // on the new side
 }
 
 // logLikelihoodRatio returns the logarithm of the mixture likelihood ratio of "the mean is above 0, with a prior
@@ -35,42 +35,42 @@
 // depends on the path only through diff, so it is a martingale while the mean is 0: however often it is evaluated,
 // it reaches 1/a with probability a at most (Ville). The degrees of freedom account for the few processes that the
 // variance was estimated from.
-func logOdds(diff, variance, freedom, tau float64) float64 {
+func logLikelihoodRatio(diff, variance, freedom, tau float64) float64 {
 	z := diff / math.Sqrt(variance)
 	if freedom < 200 {
-		z = normalOf(z, freedom)
+		z = normalQuantile(z, freedom)
 	}
-	part := tau * tau / (variance + tau*tau)
-	x := z * math.Sqrt(part)
+	share := tau * tau / (variance + tau*tau)
+	x := z * math.Sqrt(share)
 	tail := -math.Log(-x * math.Sqrt(2*math.Pi)) // of x*x/2 + log(CDF(x)), where the CDF is too small for a float
 	if x > -30 {
 		tail = x*x/2 + math.Log(distuv.UnitNormal.CDF(x))
 	}
-	return math.Ln2 + 0.5*math.Log1p(-part) + tail
+	return math.Ln2 + 0.5*math.Log1p(-share) + tail
 }
 
 // normalQuantile returns the normal deviate with the same tail probability as the given deviate of Student's t.
-func normalOf(t, freedom float64) float64 {
-	s := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(freedom, 1)}
-	p := max(s.Survival(math.Abs(t)), 1e-290)
-	return math.Copysign(-distuv.UnitNormal.Quantile(p), t)
+func normalQuantile(t, freedom float64) float64 {
+	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(freedom, 1)}
+	tail := max(student.Survival(math.Abs(t)), 1e-290)
+	return math.Copysign(-distuv.UnitNormal.Quantile(tail), t)
 }
 
 // judge reports whether a comparison shows harm, with a probability of at most alpha that the increase is within
 // the tolerance, or no harm, with a probability of at most beta that the increase reaches the margin.
-func (c comparison) judge(alpha, beta float64, d failpoints) verdict {
-	if d.peeks { // fault: a test for a single evaluation, applied at each
-		z := normalOf((c.diff-c.spared)/math.Sqrt(c.variance), c.freedom)
+func (c comparison) judge(alpha, beta float64, faults failpoints) verdict {
+	if faults.fixedSampleTest { // fault: a test for a single evaluation, applied at each
+		z := normalQuantile((c.diff-c.tolerated)/math.Sqrt(c.variance), c.degrees)
 		if z > distuv.UnitNormal.Quantile(1-alpha) {
-			return harms
+			return verdictHarmful
 		}
-	} else if logOdds(c.diff-c.spared, c.variance, c.freedom, c.margin) >= -math.Log(alpha) {
-		return harms
+	} else if logLikelihoodRatio(c.diff-c.tolerated, c.variance, c.degrees, c.margin) >= -math.Log(alpha) {
+		return verdictHarmful
 	}
-	if logOdds(c.margin-c.diff, c.variance, c.freedom, c.margin) >= -math.Log(beta) {
-		return passes
+	if logLikelihoodRatio(c.margin-c.diff, c.variance, c.degrees, c.margin) >= -math.Log(beta) {
+		return verdictHarmless
 	}
-	return untold
+	return verdictUndecided
 }
 
 // alphaShare is the part of Rules.Alpha that the comparisons of each stage may use. The last two stages share one
--- a/internal/stage/lease_test.go
+++ b/internal/stage/lease_test.go
@@ -14,7 +14,7 @@
 // Runs a change over seven processes with real leases, over a network that loses, duplicates and delays messages,
 // while conductors are killed or cut off. The change must end completely, without a skipped stage and without an
 // order carried out under a lower fencing number.
-func TestOverLeases(t *testing.T) {
+func TestChangeOverLeases(t *testing.T) {
 	const n, tick = 7, second / 20
 	type process struct {
 		lease  *lease.Part
@@ -33,26 +33,26 @@
 		who      int
 		act      fleet.Act
 	}
-	conducted := 0
+	takeOvers := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		var ps [n]*process
+		var processes [n]*process
 		var names []string
 		var mail []parcel
 		var jobs []job
-		var opened []int64
-		now, kills, worse, ended, stood := int64(1), 2, int(seed%5)-1, "", false
+		var openedStages []int64
+		now, kills, worse, ended, finished := int64(1), 2, int(seed%5)-1, "", false
 		target := Target{Change: change, Settings: "x"}
-		lose := 0.05
+		lossRate := 0.05
 		for i := range n {
 			names = append(names, string(rune('a'+i)))
 		}
-		use := func(i int, f func(p *process, out *fleet.Out)) {
-			p, out := ps[i], &fleet.Out{}
+		call := func(i int, f func(p *process, out *fleet.Out)) {
+			p, out := processes[i], &fleet.Out{}
 			f(p, out)
 			for _, m := range out.Send {
 				for range 1 + r.IntN(20)/19 {
-					if r.Float64() >= lose || m.To == p.entry.Name {
+					if r.Float64() >= lossRate || m.To == p.entry.Name {
 						mail = append(mail, parcel{now + tick*int64(1+r.IntN(3)), m})
 					}
 				}
@@ -63,12 +63,12 @@
 			for _, x := range out.Notes {
 				switch x.What {
 				case "stage":
-					opened = append(opened, x.N)
+					openedStages = append(openedStages, x.N)
 				case "conducts": // the process that opened the stage may have died before it noted so
-					conducted++
+					takeOvers++
 					_, name, _ := strings.Cut(x.Text, ", stage ")
-					if at := int64(slices.Index(stageNames[:], name)); len(opened) == 0 || at == opened[len(opened)-1]+1 {
-						opened = append(opened, at)
+					if at := int64(slices.Index(stageNames[:], name)); len(openedStages) == 0 || at == openedStages[len(openedStages)-1]+1 {
+						openedStages = append(openedStages, at)
 					}
 				case "over":
 					ended = x.Text
@@ -84,45 +84,45 @@
 				p.entry.Version++
 			}
 		}
-		begin := func(i int) {
-			if ps[i] == nil {
-				ps[i] = &process{entry: fleet.Entry{Name: names[i], Zone: "z", State: fleet.Serving}}
+		start := func(i int) {
+			if processes[i] == nil {
+				processes[i] = &process{entry: fleet.Entry{Name: names[i], Zone: "z", State: fleet.Serving}}
 			}
-			p := ps[i]
+			p := processes[i]
 			p.entry.Incarnation, p.entry.Version, p.entry.Parts = p.entry.Incarnation+1, 1, nil
 			p.lease = lease.New(lease.Config{Self: names[i], Incarnation: p.entry.Incarnation, Seed: seed, Roster: 1, Names: names, Lease: second})
 			p.stage = New(Config{Name: names[i], Zone: "z", Lease: p.lease, Running: p.wrote, Concluded: p.wrote, oracle: func(s int) bool { return s == worse },
-				Rules: Rules{Baseline: second, Warm: 1, Slot: 1, Look: 1, Patience: 20 * second, Lost: 5 * second, Away: 1}})
-			use(i, func(p *process, out *fleet.Out) { p.lease.Start(now, out); p.stage.Start(now, out) })
+				Rules: Rules{Baseline: second, Warm: 1, Slot: 1, Look: 1, Patience: 20 * second, Lost: 5 * second, MaxUnreachable: 1}})
+			call(i, func(p *process, out *fleet.Out) { p.lease.Start(now, out); p.stage.Start(now, out) })
 		}
 		for i := range n {
-			begin(i)
+			start(i)
 		}
-		for ; now < 300*second && !stood; now += tick {
+		for ; now < 300*second && !finished; now += tick {
 			// A proposal is lost with the process that holds it; an operator then gives it to the next process.
 			if at := now / tick; at%(40*second/tick) == 8*second/tick && ended == "" {
-				use(int(seed+uint64(at))%n, func(p *process, out *fleet.Out) {
-					if err := p.stage.Propose(now, target, out); err != nil && !Refused(err) {
+				call(int(seed+uint64(at))%n, func(p *process, out *fleet.Out) {
+					if err := p.stage.Propose(now, target, out); err != nil && !IsConflict(err) {
 						t.Fatal(err)
 					}
 				})
 			}
-			for i, p := range ps {
-				if p.stage.conductor.holds && kills > 0 && r.IntN(60) == 0 {
+			for i, p := range processes {
+				if p.stage.conductor.holdsLease && kills > 0 && r.IntN(60) == 0 {
 					if kills--; r.IntN(2) == 0 {
-						begin(i)
+						start(i)
 					} else {
 						p.cut = now + 4*second
 					}
 				}
 				if (now/tick+int64(i))%10 == 0 && now >= p.cut {
 					v := &fleet.View{Self: p.entry.Name}
-					for _, q := range ps {
+					for _, q := range processes {
 						v.Members = append(v.Members, fleet.Member{Entry: q.entry, Suspect: now < q.cut})
 					}
-					use(i, func(p *process, out *fleet.Out) { p.lease.View(now, v, out); p.stage.View(now, v, out) })
+					call(i, func(p *process, out *fleet.Out) { p.lease.View(now, v, out); p.stage.View(now, v, out) })
 				}
-				use(i, func(p *process, out *fleet.Out) {
+				call(i, func(p *process, out *fleet.Out) {
 					if now >= p.lease.Next() {
 						p.lease.Tick(now, out)
 					}
@@ -138,47 +138,47 @@
 				switch {
 				case now < x.at:
 					mail = append(mail, x)
-				case now < ps[from].cut || now < ps[to].cut:
+				case now < processes[from].cut || now < processes[to].cut:
 				case x.m.Kind == fleet.Lease:
-					use(to, func(p *process, out *fleet.Out) { p.lease.Message(now, x.m, out) })
+					call(to, func(p *process, out *fleet.Out) { p.lease.Message(now, x.m, out) })
 				default:
-					use(to, func(p *process, out *fleet.Out) { p.stage.Message(now, x.m, out) })
+					call(to, func(p *process, out *fleet.Out) { p.stage.Message(now, x.m, out) })
 				}
 			}
 			ready := jobs
 			jobs = nil
 			for _, j := range ready {
-				if p := ps[j.who]; now < j.at {
+				if p := processes[j.who]; now < j.at {
 					jobs = append(jobs, j)
 				} else if int64(p.entry.Incarnation) == j.life {
 					if j.act.What == Conclude {
 						p.wrote = target
 					}
-					use(j.who, func(p *process, out *fleet.Out) { p.stage.Done(now, j.act, nil, out) })
+					call(j.who, func(p *process, out *fleet.Out) { p.stage.Done(now, j.act, nil, out) })
 				}
 			}
-			stood = ended != "" && len(jobs) == 0
-			for _, p := range ps {
-				stood = stood && p.stage.state == Unchanged && p.stage.watch.over == change
+			finished = ended != "" && len(jobs) == 0
+			for _, p := range processes {
+				finished = finished && p.stage.state == Unchanged && p.stage.peers.highestOver == change
 			}
 		}
 		by := map[uint64]int{}
-		for _, p := range ps {
+		for _, p := range processes {
 			by[p.stage.running.Change]++
 		}
-		if !stood || len(by) != 1 || (ended[:6] == "halted") != (by[0] == n) {
-			t.Errorf("seed %d: ended %q, processes by change %v, stages %v", seed, ended, by, opened)
+		if !finished || len(by) != 1 || (ended[:6] == "halted") != (by[0] == n) {
+			t.Errorf("seed %d: ended %q, processes by change %v, stages %v", seed, ended, by, openedStages)
 		}
-		for i := 1; i < len(opened); i++ {
-			if opened[i] != opened[i-1]+1 {
-				t.Errorf("seed %d: stages %v", seed, opened)
+		for i := 1; i < len(openedStages); i++ {
+			if openedStages[i] != openedStages[i-1]+1 {
+				t.Errorf("seed %d: stages %v", seed, openedStages)
 			}
 		}
 		if worse >= 0 && by[0] != n {
 			t.Errorf("seed %d: worse at %s, and not rolled back: %s", seed, stageNames[worse], fmt.Sprint(by))
 		}
 	}
-	if conducted < 10 {
-		t.Errorf("another process took over as conductor only %d times", conducted)
+	if takeOvers < 10 {
+		t.Errorf("another process took over as conductor only %d times", takeOvers)
 	}
 }
--- a/internal/stage/rules.go
+++ b/internal/stage/rules.go
@@ -3,21 +3,21 @@
 // Rules are the limits of a change. Times are in microseconds, fractions parts of 1. A zero value stands for the
 // default.
 type Rules struct {
-	Baseline int64 // time for which figures are gathered before the first process changes: 2 minutes
-	Warm     int64 // time from the change of a process until its figures count: 30 s
-	Slot     int64 // length of the intervals over which old and new are compared: 10 s
-	Look     int64 // minimum time for which a stage is judged: 1 minute
-	Most     int64 // maximum time for which a stage without a clear result is judged: 10 minutes
-	Patience int64 // time in which a reachable process that was ordered must have changed: 1 minute
-	Lost     int64 // an ordered process that has been suspected for so long is no longer waited for: 20 s
-	Ask      int64 // time after which a proposal is dropped if the lease is not granted: 30 s
-	Repeat   int64 // interval at which an order is repeated: 1 s
-	Away     float64
-	Wave     int     // maximum number of processes that change at the same time: 8, at most MaxWave
-	Room     float64 // required ratio of the capacity that serving processes have shown to the offered load: 1.1
-	Alpha    float64 // probability that the comparison halts a harmless change, over all stages and measures: 0.005
-	Beta     float64 // probability that a stage passes although a measure is worse by its margin: 0.005
-	Margins  Margins
+	Baseline       int64 // time for which figures are gathered before the first process changes: 2 minutes
+	Warm           int64 // time from the change of a process until its figures count: 30 s
+	Slot           int64 // length of the intervals over which old and new are compared: 10 s
+	Look           int64 // minimum time for which a stage is judged: 1 minute
+	Most           int64 // maximum time for which a stage without a clear result is judged: 10 minutes
+	Patience       int64 // time in which a reachable process that was ordered must have changed: 1 minute
+	Lost           int64 // an ordered process that has been suspected for so long is no longer waited for: 20 s
+	Ask            int64 // time after which a proposal is dropped if the lease is not granted: 30 s
+	Repeat         int64 // interval at which an order is repeated: 1 s
+	MaxUnreachable float64
+	WaveSize       int     // maximum number of processes that change at the same time: 8, at most MaxWave
+	CapacityFactor float64 // required ratio of the capacity that serving processes have shown to the offered load: 1.1
+	Alpha          float64 // probability that the comparison halts a harmless change, over all stages and measures: 0.005
+	Beta           float64 // probability that a stage passes although a measure is worse by its margin: 0.005
+	Margins        Margins
 }
 
 // MaxWave is the upper limit of Rules.Wave: the record of a change names the processes that are being ordered.
@@ -36,41 +36,41 @@
 	Growth  float64 // growth of memory, bytes a minute: 2.5 MB
 }
 
-func or[T int | int64 | float64](v *T, d T) {
-	if *v <= 0 {
-		*v = d
+func setDefault[T int | int64 | float64](value *T, fallback T) {
+	if *value <= 0 {
+		*value = fallback
 	}
 }
 
 const second = int64(1_000_000)
 
 // Whole returns the rules with defaults in place of zero values.
-func (r Rules) Whole() Rules { return r.whole() }
+func (r Rules) Whole() Rules { return r.withDefaults() }
 
-func (r Rules) whole() Rules {
-	or(&r.Baseline, 120*second)
-	or(&r.Warm, 30*second)
-	or(&r.Slot, 10*second)
-	or(&r.Look, 60*second)
-	or(&r.Most, 600*second)
-	or(&r.Patience, 60*second)
-	or(&r.Lost, 20*second)
-	or(&r.Ask, 30*second)
-	or(&r.Repeat, second)
-	or(&r.Away, 0.05)
-	or(&r.Wave, 8)
-	r.Wave = min(r.Wave, MaxWave)
-	or(&r.Room, 1.1)
-	or(&r.Alpha, 0.005)
-	or(&r.Beta, 0.005)
-	m := &r.Margins
-	or(&m.Worth, 0.01)
-	or(&m.Refused, 0.005)
-	or(&m.Failed, 0.005)
-	or(&m.Late, 0.005)
-	or(&m.Wait, 0.15)
-	or(&m.CPU, 0.10)
-	or(&m.Memory, 0.25)
-	or(&m.Growth, 2.5e6)
+func (r Rules) withDefaults() Rules {
+	setDefault(&r.Baseline, 120*second)
+	setDefault(&r.Warm, 30*second)
+	setDefault(&r.Slot, 10*second)
+	setDefault(&r.Look, 60*second)
+	setDefault(&r.Most, 600*second)
+	setDefault(&r.Patience, 60*second)
+	setDefault(&r.Lost, 20*second)
+	setDefault(&r.Ask, 30*second)
+	setDefault(&r.Repeat, second)
+	setDefault(&r.MaxUnreachable, 0.05)
+	setDefault(&r.WaveSize, 8)
+	r.WaveSize = min(r.WaveSize, MaxWave)
+	setDefault(&r.CapacityFactor, 1.1)
+	setDefault(&r.Alpha, 0.005)
+	setDefault(&r.Beta, 0.005)
+	margins := &r.Margins
+	setDefault(&margins.Worth, 0.01)
+	setDefault(&margins.Refused, 0.005)
+	setDefault(&margins.Failed, 0.005)
+	setDefault(&margins.Late, 0.005)
+	setDefault(&margins.Wait, 0.15)
+	setDefault(&margins.CPU, 0.10)
+	setDefault(&margins.Memory, 0.25)
+	setDefault(&margins.Growth, 2.5e6)
 	return r
 }
--- a/internal/stage/search_test.go
+++ b/internal/stage/search_test.go
@@ -17,7 +17,7 @@
 
 // fakeLease is a lease with at most one holder. A record that is being written counts once it is stored, and is
 // lost if the holder changes first.
-type fake struct {
+type fakeLease struct {
 	claims  []string
 	holder  string
 	fence   uint64
@@ -26,85 +26,85 @@
 	pending []byte
 }
 
-func (f *fake) settle() {
+func (f *fakeLease) grant() {
 	if f.holder == "" && len(f.claims) > 0 {
 		f.holder, f.fence, f.pending = f.claims[0], f.fence+1, nil
 	}
 }
 
-func (f *fake) drop(name string) {
+func (f *fakeLease) release(name string) {
 	f.claims = slices.DeleteFunc(f.claims, func(n string) bool { return n == name })
 	if f.holder == name {
 		f.holder = ""
 	}
-	f.settle()
+	f.grant()
 }
 
 // processLease is the lease as one process sees it.
-type of struct {
-	f    *fake
-	name string
+type processLease struct {
+	lease *fakeLease
+	name  string
 }
 
-func (l of) Claim(int64, string, *fleet.Out) {
-	if !slices.Contains(l.f.claims, l.name) {
-		l.f.claims = append(l.f.claims, l.name)
+func (l processLease) Claim(int64, string, *fleet.Out) {
+	if !slices.Contains(l.lease.claims, l.name) {
+		l.lease.claims = append(l.lease.claims, l.name)
 	}
-	l.f.settle()
+	l.lease.grant()
 }
-func (l of) Release(int64, string, *fleet.Out) { l.f.drop(l.name) }
-func (l of) Held(int64, string) (lease.Grant, bool) {
-	return lease.Grant{Fence: l.f.fence, Value: l.f.value, Write: l.f.write}, l.f.holder == l.name
+func (l processLease) Release(int64, string, *fleet.Out) { l.lease.release(l.name) }
+func (l processLease) Held(int64, string) (lease.Grant, bool) {
+	return lease.Grant{Fence: l.lease.fence, Value: l.lease.value, Write: l.lease.write}, l.lease.holder == l.name
 }
-func (l of) Write(_ int64, _ string, v []byte, _ *fleet.Out) (uint64, error) {
+func (l processLease) Write(_ int64, _ string, v []byte, _ *fleet.Out) (uint64, error) {
 	if len(v) > lease.MaxRecord {
 		return 0, errors.New("too long")
 	}
-	l.f.pending = v
-	return l.f.write + 1, nil
+	l.lease.pending = v
+	return l.lease.write + 1, nil
 }
-func (l of) Holder(string) (string, uint64) { return l.f.holder, l.f.fence }
+func (l processLease) Holder(string) (string, uint64) { return l.lease.holder, l.lease.fence }
 
 const change = 7
 
 // world is the state of a few processes, their messages and acts, and the faults that may still occur.
 type world struct {
-	now        int64
-	lease      *fake
-	parts      []*Part
-	entries    []fleet.Entry
-	acts       [][]fleet.Act
-	wrote      []uint64 // change of the target in the file of the concluded target, by process
-	mail       []fleet.Message
-	viewed     [2]string // the state last shown to the processes that claim the lease, and to the others
-	drops      int
-	doubles    int
-	deaths     int
-	moves      int
-	refusals   int
-	worse      int // the stage that does worse
-	failpoints failpoints
-	program    bool
-	forgets    bool // the record is lost when the lease moves
-	lossy      bool
-	together   bool // all processes get the same view at once, for a smaller search
-	died       int
-	most       int // the highest stage that was stored
-	obeyed     []([2]uint64)
+	now          int64
+	lease        *fakeLease
+	parts        []*Part
+	entries      []fleet.Entry
+	acts         [][]fleet.Act
+	concluded    []uint64 // change of the target in the file of the concluded target, by process
+	mail         []fleet.Message
+	lastViewed   [2]string // the state last shown to the processes that claim the lease, and to the others
+	drops        int
+	doubles      int
+	deaths       int
+	moves        int
+	refusals     int
+	worse        int // the stage that does worse
+	failpoints   failpoints
+	program      bool
+	losesRecord  bool // the record is lost when the lease moves
+	lossy        bool
+	sharedView   bool // all processes get the same view at once, for a smaller search
+	deathCount   int
+	highestStage int // the highest stage that was stored
+	highestOrder []([2]uint64)
 }
 
 func (w *world) config(i int, running, concluded Target) Config {
-	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second, Repeat: 1, Away: 1}
-	if w.drops == 0 && w.deaths == 0 && w.died == 0 && !w.lossy {
+	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second, Repeat: 1, MaxUnreachable: 1}
+	if w.drops == 0 && w.deaths == 0 && w.deathCount == 0 && !w.lossy {
 		tiny.Repeat = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
-	return Config{Name: w.entries[i].Name, Zone: "z", Lease: of{w.lease, w.entries[i].Name}, Running: running, Concluded: concluded,
+	return Config{Name: w.entries[i].Name, Zone: "z", Lease: processLease{w.lease, w.entries[i].Name}, Running: running, Concluded: concluded,
 		Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.worse }}
 }
 
 func newWorld(n int, d failpoints) *world {
-	w := &world{lease: &fake{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n), acts: make([][]fleet.Act, n), wrote: make([]uint64, n),
-		obeyed: make([][2]uint64, n), worse: -1, failpoints: d}
+	w := &world{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n), acts: make([][]fleet.Act, n), concluded: make([]uint64, n),
+		highestOrder: make([][2]uint64, n), worse: -1, failpoints: d}
 	for i := range n {
 		w.entries[i] = fleet.Entry{Name: string(rune('a' + i)), Incarnation: 1, Zone: "z", State: fleet.Serving}
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
@@ -118,19 +118,19 @@
 	f.claims = slices.Clone(f.claims)
 	v.lease = &f
 	v.parts, v.entries, v.acts = make([]*Part, len(w.parts)), slices.Clone(w.entries), slices.Clone(w.acts)
-	v.wrote, v.mail, v.obeyed = slices.Clone(w.wrote), slices.Clone(w.mail), slices.Clone(w.obeyed)
+	v.concluded, v.mail, v.highestOrder = slices.Clone(w.concluded), slices.Clone(w.mail), slices.Clone(w.highestOrder)
 	for i, p := range w.parts {
 		q := *p
-		q.c = v.config(i, p.c.Running, p.c.Concluded)
-		q.c.Rules = p.c.Rules
-		q.watch.peers, q.watch.list = map[string]*peer{}, slices.Clone(p.watch.list)
-		for j, x := range q.watch.list {
+		q.config = v.config(i, p.config.Running, p.config.Concluded)
+		q.config.Rules = p.config.Rules
+		q.peers.byName, q.peers.sorted = map[string]*peer{}, slices.Clone(p.peers.sorted)
+		for j, x := range q.peers.sorted {
 			y := *x
-			q.watch.list[j], q.watch.peers[y.name] = &y, &y
+			q.peers.sorted[j], q.peers.byName[y.name] = &y, &y
 		}
 		c := &q.conductor
-		c.wave, c.answers, c.whys = slices.Clone(c.wave), maps.Clone(c.answers), maps.Clone(c.whys)
-		c.heard, c.lives = maps.Clone(c.heard), maps.Clone(c.lives)
+		c.wave, c.answers, c.answerDetails = slices.Clone(c.wave), maps.Clone(c.answers), maps.Clone(c.answerDetails)
+		c.reachableSince, c.incarnations = maps.Clone(c.reachableSince), maps.Clone(c.incarnations)
 		if c.evidence != nil {
 			e := *c.evidence
 			c.evidence = &e
@@ -143,22 +143,22 @@
 
 // fingerprint returns everything in a state that affects what can follow. Times are left out, because nothing here
 // depends on them.
-func (w *world) print() string {
+func (w *world) fingerprint() string {
 	var b strings.Builder
 	f := w.lease
 	fmt.Fprintf(&b, "%v %s %d %x %d %x|%d%d%d%d%d%v|", f.claims, f.holder, f.fence, f.value, f.write, f.pending, w.drops, w.doubles, w.deaths,
-		w.moves, w.refusals, w.viewed)
+		w.moves, w.refusals, w.lastViewed)
 	for i, p := range w.parts {
 		c := &p.conductor
-		fmt.Fprintf(&b, "%d %d %d %d %d %s %d %v %v %v %d %d %d|", p.running.Change, p.state, p.change, p.fence, p.write, p.verb, p.act, p.wantsBack,
-			p.handed, p.viewed, p.watch.over, p.watch.running, w.entries[i].Incarnation)
-		fmt.Fprintf(&b, "%v%v %d %d%d%v %v %v %v %v %d|", c.claimed, c.holds, c.proposal.Change, c.rec.Phase, c.rec.Stage, c.writing, c.wave,
-			c.answers, c.filledAt > 0, c.ended, w.wrote[i])
+		fmt.Fprintf(&b, "%d %d %d %d %d %s %d %v %v %v %d %d %d|", p.running.Change, p.state, p.change, p.highestFence, p.highestWrite, p.openVerb, p.openAct, p.rollbackPending,
+			p.handedOver, p.hasView, p.peers.highestOver, p.peers.highestRunning, w.entries[i].Incarnation)
+		fmt.Fprintf(&b, "%v%v %d %d%d%v %v %v %v %v %d|", c.leaseClaimed, c.holdsLease, c.proposal.Change, c.record.Phase, c.record.Stage, c.writePending, c.wave,
+			c.answers, c.stageFilledAt > 0, c.endNoted, w.concluded[i])
 		if e := c.evidence; e != nil {
-			fmt.Fprint(&b, e.told, e.stage, e.began < w.now)
+			fmt.Fprint(&b, e.changeStarted, e.stage, e.beganAt < w.now)
 		}
-		for _, x := range p.watch.list {
-			fmt.Fprintf(&b, "%d%d%d,", x.life, x.told.State, x.told.Phase)
+		for _, x := range p.peers.sorted {
+			fmt.Fprintf(&b, "%d%d%d,", x.incarnation, x.status.State, x.status.Phase)
 		}
 	}
 	m := make([]string, len(w.mail))
@@ -170,22 +170,22 @@
 	return b.String()
 }
 
-func at(name string) int { return int(name[0] - 'a') }
+func processIndex(name string) int { return int(name[0] - 'a') }
 
 // call calls a Part, collects its output and checks the invariants.
-func (w *world) do(i int, f func(p *Part, out *fleet.Out)) error {
+func (w *world) call(i int, f func(p *Part, out *fleet.Out)) error {
 	var out fleet.Out
 	f(w.parts[i], &out)
-	stored, err := readRecord(w.lease.value)
+	stored, err := decodeRecord(w.lease.value)
 	if err != nil {
 		return err
 	}
 	for _, m := range out.Send {
-		var s speech
+		var s message
 		if decode(m.Body, &s) != nil || len(m.Body) > fleet.MaxBody {
 			return errors.New("a message that cannot be decoded")
 		}
-		if s.Order && s.Verb == Apply && stored.Phase != concluding && (stored.Phase != running || !slices.Contains(stored.Wave, mark(m.To))) {
+		if s.Order && s.Verb == Apply && stored.Phase != concluding && (stored.Phase != running || !slices.Contains(stored.Wave, nameHash(m.To))) {
 			return fmt.Errorf("ordered before the record was stored: %s", m.To)
 		}
 		if !slices.ContainsFunc(w.mail, func(x fleet.Message) bool {
@@ -199,10 +199,10 @@
 		if n.What == Apply || n.What == Back {
 			var write uint64
 			_, _ = fmt.Sscanf(n.Text, "write %d", &write)
-			if is := [2]uint64{n.Fence, write}; slices.Compare(is[:], w.obeyed[i][:]) < 0 {
-				return fmt.Errorf("%s carries out an order with a lower fencing number: %v after %v", w.entries[i].Name, is, w.obeyed[i])
+			if is := [2]uint64{n.Fence, write}; slices.Compare(is[:], w.highestOrder[i][:]) < 0 {
+				return fmt.Errorf("%s carries out an order with a lower fencing number: %v after %v", w.entries[i].Name, is, w.highestOrder[i])
 			} else {
-				w.obeyed[i] = is
+				w.highestOrder[i] = is
 			}
 		}
 	}
@@ -216,11 +216,11 @@
 	// Drops messages that have no effect whenever they arrive: answers to an earlier record, and orders that will
 	// be refused.
 	w.mail = slices.DeleteFunc(w.mail, func(m fleet.Message) bool {
-		var s speech
+		var s message
 		_ = decode(m.Body, &s)
-		to := w.parts[at(m.To)]
+		to := w.parts[processIndex(m.To)]
 		if s.Order {
-			return !w.failpoints.noFence && (s.Fence < to.fence || s.Fence == to.fence && s.Write < to.write)
+			return !w.failpoints.ignoreFence && (s.Fence < to.highestFence || s.Fence == to.highestFence && s.Write < to.highestWrite)
 		}
 		return s.Fence != w.lease.fence || s.Write < w.lease.write
 	})
@@ -230,14 +230,14 @@
 			in++
 		}
 	}
-	if in > Size(w.most, len(w.parts)) {
-		return fmt.Errorf("%d processes are in stage %s", in, stageNames[w.most])
+	if in > StageSize(w.highestStage, len(w.parts)) {
+		return fmt.Errorf("%d processes are in stage %s", in, stageNames[w.highestStage])
 	}
 	return nil
 }
 
 // restart starts the next incarnation of a process. running is the number of the change whose target it runs with.
-func (w *world) life(i int, running uint64) error {
+func (w *world) restart(i int, running uint64) error {
 	t := func(n uint64) Target {
 		if n == 0 {
 			return Target{}
@@ -247,9 +247,9 @@
 	w.entries[i].Incarnation++
 	w.entries[i].Version, w.entries[i].Parts = 1, nil
 	w.acts[i] = nil
-	w.lease.drop(w.entries[i].Name)
-	w.parts[i] = New(w.config(i, t(running), t(w.wrote[i])))
-	return w.do(i, func(p *Part, out *fleet.Out) { p.Start(w.now, out) })
+	w.lease.release(w.entries[i].Name)
+	w.parts[i] = New(w.config(i, t(running), t(w.concluded[i])))
+	return w.call(i, func(p *Part, out *fleet.Out) { p.Start(w.now, out) })
 }
 
 func (w *world) target() Target {
@@ -261,7 +261,7 @@
 }
 
 // entriesText returns the statuses in all entries.
-func (w *world) shown() string {
+func (w *world) entriesText() string {
 	var b strings.Builder
 	for _, e := range w.entries {
 		fmt.Fprintf(&b, "%d %x,", e.Incarnation, e.Parts[fleet.Stage])
@@ -275,14 +275,14 @@
 	f := w.lease
 	if f.pending != nil {
 		add("store", func(w *world) error {
-			old, _ := readRecord(w.lease.value)
-			is, err := readRecord(w.lease.pending)
+			old, _ := decodeRecord(w.lease.value)
+			is, err := decodeRecord(w.lease.pending)
 			if err != nil {
 				return err
 			}
 			w.lease.value, w.lease.pending = w.lease.pending, nil
 			w.lease.write++
-			w.most = max(w.most, is.Stage)
+			w.highestStage = max(w.highestStage, is.Stage)
 			switch {
 			case is.Stage != old.Stage && is.Stage != old.Stage+1:
 				return fmt.Errorf("a stage is skipped or reopened: %d after %d", is.Stage, old.Stage)
@@ -295,27 +295,27 @@
 		})
 	}
 	for _, c := range f.claims {
-		i := at(c)
+		i := processIndex(c)
 		add("tick "+c, func(w *world) error {
-			return w.do(i, func(p *Part, out *fleet.Out) { p.Tick(w.now, out) })
+			return w.call(i, func(p *Part, out *fleet.Out) { p.Tick(w.now, out) })
 		})
 	}
-	seen := w.shown()
+	seen := w.entriesText()
 	for k := range 2 {
-		if w.viewed[k] == seen || w.together && k == 1 {
+		if w.lastViewed[k] == seen || w.sharedView && k == 1 {
 			continue
 		}
 		add([]string{"view conductors", "view others"}[k], func(w *world) error {
-			w.viewed[k] = seen
+			w.lastViewed[k] = seen
 			v := &fleet.View{}
 			for _, e := range w.entries {
 				v.Members = append(v.Members, fleet.Member{Entry: e})
 			}
 			for i := range w.parts {
-				if !w.together && slices.Contains(w.lease.claims, w.entries[i].Name) != (k == 0) {
+				if !w.sharedView && slices.Contains(w.lease.claims, w.entries[i].Name) != (k == 0) {
 					continue
 				}
-				if err := w.do(i, func(p *Part, out *fleet.Out) { p.View(w.now, v, out) }); err != nil {
+				if err := w.call(i, func(p *Part, out *fleet.Out) { p.View(w.now, v, out) }); err != nil {
 					return err
 				}
 			}
@@ -324,7 +324,7 @@
 	}
 	for k, m := range w.mail {
 		deliver := func(w *world) error {
-			return w.do(at(m.To), func(p *Part, out *fleet.Out) { p.Message(w.now, m, out) })
+			return w.call(processIndex(m.To), func(p *Part, out *fleet.Out) { p.Message(w.now, m, out) })
 		}
 		add("deliver to "+m.To, func(w *world) error { w.mail = slices.Delete(w.mail, k, k+1); return deliver(w) })
 		if w.doubles > 0 {
@@ -339,16 +339,16 @@
 			done := func(w *world, err error) error {
 				w.acts[i] = slices.DeleteFunc(w.acts[i], func(b fleet.Act) bool { return b.Number == a.Number })
 				if err == nil && a.What == Conclude {
-					w.wrote[i] = change
+					w.concluded[i] = change
 				}
-				if e := w.do(i, func(p *Part, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil || err != nil || !w.program || a.What == Conclude {
+				if e := w.call(i, func(p *Part, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil || err != nil || !w.program || a.What == Conclude {
 					return e
 				}
 				t, e := DecodeTarget(a.Body)
 				if e != nil {
 					return e
 				}
-				return w.life(i, t.Change)
+				return w.restart(i, t.Change)
 			}
 			add(a.What+" done "+w.entries[i].Name, func(w *world) error { return done(w, nil) })
 			if w.refusals > 0 && a.What == Apply {
@@ -356,19 +356,19 @@
 			}
 		}
 		if w.deaths > 0 {
-			add("die "+w.entries[i].Name, func(w *world) error { w.deaths--; w.died++; return w.life(i, w.wrote[i]) })
+			add("die "+w.entries[i].Name, func(w *world) error { w.deaths--; w.deathCount++; return w.restart(i, w.concluded[i]) })
 		}
 	}
 	if w.moves > 0 && f.holder != "" {
 		add("move", func(w *world) error {
 			w.moves--
-			if w.forgets {
+			if w.losesRecord {
 				w.lease.value = nil
 			}
 			l := w.lease
 			l.claims = append(slices.DeleteFunc(l.claims, func(n string) bool { return n == l.holder }), l.holder)
 			l.holder = ""
-			l.settle()
+			l.grant()
 			return nil
 		})
 	}
@@ -377,19 +377,19 @@
 
 // checkEnd checks that a change is over and that every process is on the right side of it. It is called when
 // nothing more happens without a fault.
-func (w *world) ended() error {
-	r, err := readRecord(w.lease.value)
+func (w *world) checkEnd() error {
+	r, err := decodeRecord(w.lease.value)
 	if err != nil {
 		return err
 	}
-	if r.Phase != none && !over(r.Phase) {
+	if r.Phase != none && !isOver(r.Phase) {
 		return fmt.Errorf("the change remains in phase %s, stage %d", phaseNames[r.Phase], r.Stage)
 	}
 	for i, p := range w.parts {
 		if (r.Phase == halted || r.Phase == none) && p.running.Change != 0 {
 			return fmt.Errorf("%s was not rolled back", w.entries[i].Name)
 		}
-		if r.Phase == concluded && p.running.Change != change && w.died == 0 {
+		if r.Phase == concluded && p.running.Change != change && w.deathCount == 0 {
 			return fmt.Errorf("%s was not changed", w.entries[i].Name)
 		}
 	}
@@ -398,7 +398,7 @@
 
 // search runs every order of events. It returns the number of states found, whether the search was complete, and
 // the first violation with the events that led to it. It stops without an error after most states.
-func search(start *world, most int) (states int, whole bool, way []string, err error) {
+func search(start *world, maxStates int) (states int, complete bool, path []string, err error) {
 	seen := map[uint64]bool{}
 	h := maphash.MakeSeed()
 	type node struct {
@@ -412,19 +412,19 @@
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		names, do := n.w.steps()
-		before, moved := n.w.print(), false
+		before, moved := n.w.fingerprint(), false
 		for k := range do {
 			v := n.w.clone()
 			v.now += second
-			bad := do[k](v)
-			p := v.print()
+			violation := do[k](v)
+			p := v.fingerprint()
 			next := &node{w: v, prev: n, name: names[k]}
-			if bad != nil {
+			if violation != nil {
 				for x := next; x != nil; x = x.prev {
-					way = append(way, x.name)
+					path = append(path, x.name)
 				}
-				slices.Reverse(way)
-				return len(seen), false, way, bad
+				slices.Reverse(path)
+				return len(seen), false, path, violation
 			}
 			if p == before {
 				continue
@@ -435,18 +435,18 @@
 				continue
 			}
 			seen[s] = true
-			if len(seen) >= most {
+			if len(seen) >= maxStates {
 				return len(seen), false, nil, nil
 			}
 			stack = append(stack, next)
 		}
 		if !moved {
-			if bad := n.w.ended(); bad != nil {
+			if violation := n.w.checkEnd(); violation != nil {
 				for x := n; x != nil; x = x.prev {
-					way = append(way, x.name)
+					path = append(path, x.name)
 				}
-				slices.Reverse(way)
-				return len(seen), false, way, bad
+				slices.Reverse(path)
+				return len(seen), false, path, violation
 			}
 		}
 	}
@@ -461,7 +461,7 @@
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
 	}
 	for i := range w.parts {
-		if err := w.do(i, func(p *Part, out *fleet.Out) { p.Start(0, out) }); err != nil {
+		if err := w.call(i, func(p *Part, out *fleet.Out) { p.Start(0, out) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -473,7 +473,7 @@
 			}
 		}
 	}
-	if err := w.do(0, func(p *Part, out *fleet.Out) {
+	if err := w.call(0, func(p *Part, out *fleet.Out) {
 		if err := p.Propose(0, w.target(), out); err != nil {
 			t.Fatal(err)
 		}
@@ -487,21 +487,21 @@
 // reopened or filled beyond its size, no process may be ordered before the record is stored or under a lower
 // fencing number, and every change must end completely.
 func TestSearch(t *testing.T) {
-	total, most := 0, 800
+	total, maxStates := 0, 800
 	if n, err := strconv.Atoi(os.Getenv("STAGE_STATES")); err == nil {
-		most = n // states of each case, for manual runs
+		maxStates = n // states of each case, for manual runs
 	}
 	for _, c := range []struct {
 		name string
 		n    int
 		set  func(w *world)
 	}{
-		{"nothing goes wrong", 3, func(w *world) { w.together = true }},
-		{"worse at the first stage", 3, func(w *world) { w.worse, w.together = One, true }},
-		{"worse at the third stage", 3, func(w *world) { w.worse, w.together = Quarter, true }},
-		{"conductor moves", 3, func(w *world) { w.moves, w.together = 1, true }},
-		{"a process refuses", 3, func(w *world) { w.refusals, w.together = 1, true }},
-		{"record lost", 3, func(w *world) { w.moves, w.forgets = 1, true }},
+		{"nothing goes wrong", 3, func(w *world) { w.sharedView = true }},
+		{"worse at the first stage", 3, func(w *world) { w.worse, w.sharedView = One, true }},
+		{"worse at the third stage", 3, func(w *world) { w.worse, w.sharedView = Quarter, true }},
+		{"conductor moves", 3, func(w *world) { w.moves, w.sharedView = 1, true }},
+		{"a process refuses", 3, func(w *world) { w.refusals, w.sharedView = 1, true }},
+		{"record lost", 3, func(w *world) { w.moves, w.losesRecord = 1, true }},
 		{"conductor moves, old views", 3, func(w *world) { w.moves = 1 }},
 		{"a process dies", 3, func(w *world) { w.lossy, w.deaths = true, 1 }},
 		{"lost and duplicated messages", 3, func(w *world) { w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth }},
@@ -510,19 +510,19 @@
 		{"four processes, conductor moves, duplicated message, worse", 4, func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
 	} {
 		w := openedWorld(t, c.n, failpoints{}, c.set)
-		bound := most
-		if w.together && w.moves == 0 {
+		bound := maxStates
+		if w.sharedView && w.moves == 0 {
 			bound = max(bound, 4000) // these cases are searched completely
 		}
-		states, whole, way, err := search(w, bound)
-		if bound != most && !whole && err == nil {
+		states, complete, path, err := search(w, bound)
+		if bound != maxStates && !complete && err == nil {
 			t.Errorf("%s: not searched completely", c.name)
 		}
 		total += states
 		if err != nil {
-			t.Errorf("%s: %v\n%s", c.name, err, strings.Join(way, "\n"))
+			t.Errorf("%s: %v\n%s", c.name, err, strings.Join(path, "\n"))
 		}
-		t.Logf("%-30s %6d states, complete %v", c.name, states, whole)
+		t.Logf("%-30s %6d states, complete %v", c.name, states, complete)
 	}
 	t.Logf("%d states", total)
 }
--- a/internal/stage/speech.go
+++ b/internal/stage/speech.go
@@ -37,70 +37,70 @@
 	halted           // over: all reachable processes are rolled back
 )
 
-func over(phase uint8) bool { return phase == concluded || phase == halted }
+func isOver(phase uint8) bool { return phase == concluded || phase == halted }
 
 const (
 	maxReason = 90  // bytes, in the record
-	maxWhy    = 200 // bytes, in a message or an entry
+	maxDetail = 200 // bytes, in a message or an entry
 )
 
 // message is an order of the conductor or the answer to one.
-type speech struct {
-	Order  bool   `cbor:"1,keyasint,omitempty"`
-	Change uint64 `cbor:"2,keyasint"`
-	Fence  uint64 `cbor:"3,keyasint"` // fencing number of the order; in an answer the highest seen
-	Write  uint64 `cbor:"4,keyasint"` // write of the record that the order is based on; in an answer the highest seen
-	Verb   string `cbor:"5,keyasint,omitempty"`
-	Target Target `cbor:"6,keyasint,omitempty"`
-	State  State  `cbor:"7,keyasint,omitempty"`
-	Why    string `cbor:"8,keyasint,omitempty"`
-	Life   uint64 `cbor:"9,keyasint,omitempty"` // in an answer: change of the target that the sender runs with
+type message struct {
+	Order         bool   `cbor:"1,keyasint,omitempty"`
+	Change        uint64 `cbor:"2,keyasint"`
+	Fence         uint64 `cbor:"3,keyasint"` // fencing number of the order; in an answer the highest seen
+	Write         uint64 `cbor:"4,keyasint"` // write of the record that the order is based on; in an answer the highest seen
+	Verb          string `cbor:"5,keyasint,omitempty"`
+	Target        Target `cbor:"6,keyasint,omitempty"`
+	State         State  `cbor:"7,keyasint,omitempty"`
+	Detail        string `cbor:"8,keyasint,omitempty" json:"Why"`
+	RunningChange uint64 `cbor:"9,keyasint,omitempty" json:"Life"` // in an answer: change of the target that the sender runs with
 }
 
 // processStatus is what a process announces of itself in its entry.
-type told struct {
-	Change  uint64 `cbor:"1,keyasint,omitempty"` // the change that it takes part in; 0: none
-	State   State  `cbor:"2,keyasint,omitempty"`
-	Fence   uint64 `cbor:"3,keyasint,omitempty"` // the highest fencing number seen, with the write seen under it
-	Write   uint64 `cbor:"4,keyasint,omitempty"`
-	Why     string `cbor:"5,keyasint,omitempty"`
-	Over    uint64 `cbor:"6,keyasint,omitempty"` // the highest change known to be over
-	Crashed uint64 `cbor:"7,keyasint,omitempty"` // a change in which it saw processes die, and how many
-	Crashes uint64 `cbor:"8,keyasint,omitempty"`
-	Goes    uint64 `cbor:"9,keyasint,omitempty"` // change of the target that it runs with
+type processStatus struct {
+	Change        uint64 `cbor:"1,keyasint,omitempty"` // the change that it takes part in; 0: none
+	State         State  `cbor:"2,keyasint,omitempty"`
+	Fence         uint64 `cbor:"3,keyasint,omitempty"` // the highest fencing number seen, with the write seen under it
+	Write         uint64 `cbor:"4,keyasint,omitempty"`
+	Detail        string `cbor:"5,keyasint,omitempty" json:"Why"`
+	HighestOver   uint64 `cbor:"6,keyasint,omitempty" json:"Over"`    // the highest change known to be over
+	CrashedChange uint64 `cbor:"7,keyasint,omitempty" json:"Crashed"` // a change in which it saw processes die, and how many
+	Crashes       uint64 `cbor:"8,keyasint,omitempty"`
+	RunningChange uint64 `cbor:"9,keyasint,omitempty" json:"Goes"` // change of the target that it runs with
 	// Only of a conductor:
-	Conducts uint64 `cbor:"10,keyasint,omitempty"`
-	Phase    uint8  `cbor:"11,keyasint,omitempty"`
-	Stage    int    `cbor:"12,keyasint,omitempty"`
-	Judging  bool   `cbor:"13,keyasint,omitempty"`
-	Reason   string `cbor:"14,keyasint,omitempty"`
+	ConductedChange uint64 `cbor:"10,keyasint,omitempty" json:"Conducts"`
+	Phase           uint8  `cbor:"11,keyasint,omitempty"`
+	Stage           int    `cbor:"12,keyasint,omitempty"`
+	Judging         bool   `cbor:"13,keyasint,omitempty"`
+	HaltReason      string `cbor:"14,keyasint,omitempty" json:"Reason"`
 }
 
 // record is the content of the record of the lease.
 type record struct {
-	Target Target   `cbor:"1,keyasint"`
-	Phase  uint8    `cbor:"2,keyasint"`
-	Stage  int      `cbor:"3,keyasint"`
-	Told   int      `cbor:"4,keyasint"`           // processes ordered so far, over all stages
-	Wave   []uint32 `cbor:"5,keyasint,omitempty"` // hashes of the names of the processes that are being ordered
-	Fence  uint64   `cbor:"6,keyasint"`           // fencing number under which this was written
-	Reason string   `cbor:"7,keyasint,omitempty"`
-	Over   uint64   `cbor:"8,keyasint,omitempty"` // the highest change that was over before this one
+	Target      Target   `cbor:"1,keyasint"`
+	Phase       uint8    `cbor:"2,keyasint"`
+	Stage       int      `cbor:"3,keyasint"`
+	Ordered     int      `cbor:"4,keyasint" json:"Told"` // processes ordered so far, over all stages
+	Wave        []uint32 `cbor:"5,keyasint,omitempty"`   // hashes of the names of the processes that are being ordered
+	Fence       uint64   `cbor:"6,keyasint"`             // fencing number under which this was written
+	Reason      string   `cbor:"7,keyasint,omitempty"`
+	HighestOver uint64   `cbor:"8,keyasint,omitempty" json:"Over"` // the highest change that was over before this one
 }
 
-func (r record) last() uint64 {
-	if over(r.Phase) {
-		return max(r.Over, r.Target.Change)
+func (r record) highestOver() uint64 {
+	if isOver(r.Phase) {
+		return max(r.HighestOver, r.Target.Change)
 	}
-	return r.Over
+	return r.HighestOver
 }
 
 func (r record) encode() []byte {
-	r.Reason = cut(r.Reason, maxReason)
+	r.Reason = truncate(r.Reason, maxReason)
 	return encode(r)
 }
 
-func readRecord(b []byte) (record, error) {
+func decodeRecord(b []byte) (record, error) {
 	var r record
 	if len(b) == 0 {
 		return r, nil
@@ -108,8 +108,8 @@
 	if err := decode(b, &r); err != nil {
 		return record{}, &RecordError{Err: err}
 	}
-	if len(b) > lease.MaxRecord || r.Stage < 0 || r.Stage >= stages || r.Phase > halted || len(r.Wave) > MaxWave || r.Told < 0 {
-		return record{}, &RecordError{Err: &TargetError{Change: r.Target.Change, Why: "a value is out of range"}}
+	if len(b) > lease.MaxRecord || r.Stage < 0 || r.Stage >= stages || r.Phase > halted || len(r.Wave) > MaxWave || r.Ordered < 0 {
+		return record{}, &RecordError{Err: &TargetError{Change: r.Target.Change, Reason: "a value is out of range"}}
 	}
 	return r, nil
 }
@@ -130,12 +130,12 @@
 func decode(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
 // truncate shortens a text to at most n bytes without splitting a character.
-func cut(s string, n int) string {
-	if len(s) <= n {
+func truncate(s string, size int) string {
+	if len(s) <= size {
 		return s
 	}
-	for n > 0 && s[n]&0xC0 == 0x80 {
-		n--
+	for size > 0 && s[size]&0xC0 == 0x80 {
+		size--
 	}
-	return s[:n]
+	return s[:size]
 }
