--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -43,7 +43,7 @@
 // New returns the guard of a process that has been serving since now.
 func New(now int64) *Guard { return &Guard{startedAt: now} }
 
-// Stop tells the guard that the service is being stopped. Alive says whether a process is still running.
+// Stop tells the guard that the service is being stopped. The parameter alive says whether a process is still running.
 func (g *Guard) Stop(alive bool) Step {
 	g.stopping, g.startScheduled = true, false
 	if !alive {
@@ -53,8 +53,8 @@
 }
 
 // Ended reports that a process has ended. It ended cleanly if it was asked to end and had answered all its calls.
-// Alive says whether another process is still running: then the one that ended has handed over, or the other one
-// took over from it, and the guard has nothing to do.
+// The parameter alive says whether another process is still running: then the one that ended has handed over, or
+// the other one took over from it, and the guard has nothing to do.
 func (g *Guard) Ended(now int64, clean, alive bool) Step {
 	if g.lastFailed = !clean; alive {
 		return Step{}
--- a/internal/stage/api.go
+++ b/internal/stage/api.go
@@ -27,7 +27,7 @@
 // Target is the configuration that a process runs with, or that a change asks it to run with. Its paths are valid
 // on the machine of every process.
 type Target struct {
-	Change         uint64 `cbor:"1,keyasint"`           // number of the change, from 1; every later change has a higher one
+	Change         uint64 `cbor:"1,keyasint"`           // number, from 1; every later change has a higher one
 	Settings       string `cbor:"2,keyasint,omitempty"` // path of the settings file; at most MaxPath bytes
 	SettingsDigest uint64 `cbor:"3,keyasint,omitempty"` // digest that the file must have when it is read
 	Program        string `cbor:"4,keyasint,omitempty"` // path of the program file; empty: only the settings change
--- a/internal/stage/conductor.go
+++ b/internal/stage/conductor.go
@@ -8,7 +8,8 @@
 	"pewterwheel/internal/lease"
 )
 
-var phaseNames = [...]string{"none", "running", "halted, going back", "passed, concluding", "concluded", "halted, all back"}
+var phaseNames = [...]string{"none", "running", "halted, going back", "passed, concluding", "concluded",
+	"halted, all back"}
 
 // conductor is the state of a process that holds the lease of the change or is claiming it.
 type conductor struct {
@@ -35,7 +36,7 @@
 	answerDetails        map[string]string
 	reachableSince       map[string]int64  // since when a process of the wave has been reachable without an answer
 	incarnations         map[string]uint64 // incarnations of the wave when it was ordered
-	noClaimUntil         int64             // this process does not claim the lease before this time, so that another one can order it
+	noClaimUntil         int64             // no claim before then, so that another process can order this one
 	stageFilledAt        int64             // when the stage got all its processes; 0: not yet
 	nextEvaluationAt     int64
 	lastFinding          finding
@@ -50,12 +51,14 @@
 	if !c.holdsLease || c.record.Phase == none {
 		return
 	}
-	status.ConductedChange, status.Phase, status.Stage, status.HaltReason = c.record.Target.Change, c.record.Phase, c.record.Stage, truncate(c.record.Reason, maxReason)
+	status.ConductedChange, status.Phase, status.Stage, status.HaltReason = c.record.Target.Change, c.record.Phase,
+		c.record.Stage, truncate(c.record.Reason, maxReason)
 	status.Judging = c.evidence != nil && c.evidence.stage == c.record.Stage
 }
 
 func (c *conductor) summary() string {
-	text := fmt.Sprintf("change %d: %s, stage %s, %d told", c.record.Target.Change, phaseNames[c.record.Phase], stageNames[c.record.Stage], c.record.Ordered)
+	text := fmt.Sprintf("change %d: %s, stage %s, %d told", c.record.Target.Change, phaseNames[c.record.Phase],
+		stageNames[c.record.Stage], c.record.Ordered)
 	switch {
 	case c.record.Reason != "":
 		text += ": " + c.record.Reason
@@ -154,7 +157,8 @@
 		return false
 	}
 	c.holdsLease, c.grant, c.record, c.conductingSince, c.writePending = true, g, rec, now, false
-	c.stageFilledAt, c.nextEvaluationAt, c.ordersSentAt, c.waitingFor, c.lastFinding, c.endNoted = 0, 0, 0, "", finding{}, false
+	c.stageFilledAt, c.nextEvaluationAt, c.ordersSentAt, c.waitingFor, c.lastFinding, c.endNoted = 0, 0, 0, "",
+		finding{}, false
 	c.rollbackBlockedSince = 0
 	c.setWave(now, nil)
 	for _, n := range p.peers.names {
@@ -165,14 +169,16 @@
 	p.highestFence, p.highestWrite = max(p.highestFence, g.Fence), max(p.highestWrite, g.Write)
 	p.peers.highestOver = max(p.peers.highestOver, rec.highestOver())
 	if rec.Phase != none {
-		p.addNote(out, "conducts", g.Fence, int64(rec.Target.Change), phaseNames[rec.Phase]+", stage "+stageNames[rec.Stage])
+		p.addNote(out, "conducts", g.Fence, int64(rec.Target.Change),
+			phaseNames[rec.Phase]+", stage "+stageNames[rec.Stage])
 	}
 	return true
 }
 
 func (c *conductor) setWave(now int64, names []string) {
 	c.wave, c.waveStartedAt, c.ordersSentAt = names, now, 0
-	c.answers, c.answerDetails, c.reachableSince, c.incarnations = map[string]State{}, map[string]string{}, map[string]int64{}, map[string]uint64{}
+	c.answers, c.answerDetails, c.reachableSince, c.incarnations = map[string]State{}, map[string]string{},
+		map[string]int64{}, map[string]uint64{}
 }
 
 // recordEvent says what the record that was just stored means.
@@ -204,7 +210,7 @@
 	c.nextRecord, c.pendingWrite, c.writePending, c.onStored = rec, write, true, then
 }
 
-// recordStored acts on a record that has been recordStored.
+// recordStored acts on a record that has been stored.
 func (p *Part) recordStored(now int64, out *fleet.Out) {
 	c := &p.conductor
 	change := c.record.Target.Change
@@ -244,7 +250,7 @@
 	}
 }
 
-// advance takes the next advance that the stored record calls for.
+// advance takes the next step that the stored record calls for.
 func (p *Part) advance(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if c.writePending {
@@ -291,7 +297,8 @@
 
 func (p *Part) noteStage(out *fleet.Out) {
 	c := &p.conductor
-	p.addNote(out, "stage", c.grant.Fence, int64(c.record.Stage), fmt.Sprintf("change %d, stage %s", c.record.Target.Change, stageNames[c.record.Stage]))
+	p.addNote(out, "stage", c.grant.Fence, int64(c.record.Stage),
+		fmt.Sprintf("change %d, stage %s", c.record.Target.Change, stageNames[c.record.Stage]))
 }
 
 // noteWaiting notes what the conductor is waiting for when that changes, and otherwise once a minute.
--- a/internal/stage/ending.go
+++ b/internal/stage/ending.go
@@ -30,7 +30,8 @@
 	} else if p.config.oracle(c.record.Stage) {
 		result = finding{verdict: verdictHarmful, measure: -1, text: "worse"}
 	}
-	if result.text != c.lastFinding.text && (result.verdict != verdictUndecided || c.lastFinding.verdict != result.verdict || c.lastFinding.text == "") {
+	if result.text != c.lastFinding.text && (result.verdict != verdictUndecided ||
+		c.lastFinding.verdict != result.verdict || c.lastFinding.text == "") {
 		p.addNote(out, "evidence", c.grant.Fence, int64(c.record.Stage), result.text)
 	}
 	c.lastFinding = result
@@ -157,7 +158,8 @@
 		// The record was lost with the electors that stored it. How far the change had come is unknown: the
 		// processes in it are rolled back.
 		c.haltReason = "the record of the change was lost"
-		p.storeRecord(now, record{Target: Target{Change: running}, Phase: goingBack, Reason: c.haltReason, HighestOver: c.record.highestOver()}, changeHalted, out)
+		p.storeRecord(now, record{Target: Target{Change: running}, Phase: goingBack, Reason: c.haltReason,
+			HighestOver: c.record.highestOver()}, changeHalted, out)
 		return
 	}
 	if c.record.Phase == none {
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -6,7 +6,7 @@
 	"pewterwheel/internal/fleet"
 )
 
-// The measureCount in which old and new are compared. In each, more is worse.
+// The measures in which old and new are compared. In each, more is worse.
 const (
 	measureWorth   = iota // worth not served, as a fraction of the whole
 	measureRefused        // as a fraction of those offered
@@ -19,8 +19,8 @@
 	measureCount
 )
 
-var measureNames = [measureCount]string{"worth lost", "refused", "failed", "late", "slow answers", "processor time per call", "memory",
-	"growth of memory"}
+var measureNames = [measureCount]string{"worth lost", "refused", "failed", "late", "slow answers",
+	"processor time per call", "memory", "growth of memory"}
 
 // maxClasses is the maximum number of classes that are compared separately; further ones count as the last.
 const maxClasses = 16
@@ -28,16 +28,16 @@
 // ratio is a sum and its base, for example the refused calls of all offered ones.
 type ratio struct{ num, den float64 }
 
-func (p *ratio) add(q ratio) {
-	p.num += q.num
-	p.den += q.den
+func (r *ratio) add(other ratio) {
+	r.num += other.num
+	r.den += other.den
 }
 
-func (p ratio) share() float64 {
-	if p.den == 0 {
+func (r ratio) share() float64 {
+	if r.den == 0 {
 		return 0
 	}
-	return p.num / p.den
+	return r.num / r.den
 }
 
 // classSlot is what one process showed in one class in one slot.
@@ -58,20 +58,20 @@
 // regression is a least squares fit of the memory of a process over time.
 type regression struct{ count, sumT, sumTT, sumM, sumTM float64 }
 
-func (l *regression) add(t, m float64) {
-	l.count++
-	l.sumT += t
-	l.sumTT += t * t
-	l.sumM += m
-	l.sumTM += t * m
+func (r *regression) add(t, m float64) {
+	r.count++
+	r.sumT += t
+	r.sumTT += t * t
+	r.sumM += m
+	r.sumTM += t * m
 }
 
-func (l regression) slope() float64 {
-	d := l.count*l.sumTT - l.sumT*l.sumT
-	if l.count < 3 || d <= 0 {
+func (r regression) slope() float64 {
+	d := r.count*r.sumTT - r.sumT*r.sumT
+	if r.count < 3 || d <= 0 {
 		return 0
 	}
-	return (l.count*l.sumTM - l.sumT*l.sumM) / d
+	return (r.count*r.sumTM - r.sumT*r.sumM) / d
 }
 
 // processEvidence is the evidence of one process.
@@ -110,10 +110,10 @@
 	names          []string // sorted
 	classes        []string
 	slowBucket     [maxClasses]int     // bucket of the histogram next to the old 99th percentile; 0: not known
-	slowMargin     [maxClasses]float64 // relative growth of the share above it when that percentile is worse by its margin
+	slowMargin     [maxClasses]float64 // relative growth of the share above it if waits are longer by the margin
 	slowBucketsSet bool
 	waitsBefore    [maxClasses][32]float64 // waits of all old processes before the change
-	changeStarted  bool                    // a process has been ordered: later figures are no longer from before the change
+	changeStarted  bool                    // a process has been ordered; later figures are not from before the change
 	stage          int                     // the stage that is judged; -1: none
 	stageSince     int64
 	closedSlots    int // slots closed so far
@@ -157,7 +157,7 @@
 		e.stage = All
 		return
 	}
-	e.closeSlot(now)
+	e.close(now)
 	if !e.slowBucketsSet {
 		e.setSlowBuckets() // this process took over later and has not seen the time before the change
 	}
@@ -180,7 +180,7 @@
 	return len(e.classes) - 1
 }
 
-// addWindows adds the windows of a member that are not known yet. in is the status of the member.
+// addWindows adds the windows of a member that are not known yet. status is what the member announced.
 func (e *evidence) addWindows(now int64, m *fleet.Member, status processStatus) {
 	s := e.processes[m.Name]
 	if s == nil {
--- a/internal/stage/figures_test.go
+++ b/internal/stage/figures_test.go
@@ -13,14 +13,14 @@
 	length  int64
 }
 
-func (a *fakeSubscriber) Want(_ int64, wanted bool, _ *fleet.Out) {
-	if wanted != a.wanted {
-		a.wanted = wanted
-		a.changes++
+func (s *fakeSubscriber) Want(_ int64, wanted bool, _ *fleet.Out) {
+	if wanted != s.wanted {
+		s.wanted = wanted
+		s.changes++
 	}
 }
 
-func (a *fakeSubscriber) Length() int64 { return a.length }
+func (s *fakeSubscriber) Length() int64 { return s.length }
 
 // gatherer is a Part that conducts a change, with a view of itself and three other processes.
 type gatherer struct {
@@ -30,9 +30,9 @@
 }
 
 func newGatherer(length int64) *gatherer {
-	a := &fakeSubscriber{length: length}
-	p := New(Config{Name: "a", Lease: processLease{&fakeLease{}, "a"}, Figures: a})
-	g := &gatherer{Part: p, subscriber: a}
+	subscriber := &fakeSubscriber{length: length}
+	p := New(Config{Name: "a", Lease: processLease{&fakeLease{}, "a"}, Figures: subscriber})
+	g := &gatherer{Part: p, subscriber: subscriber}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		e := fleet.Entry{Name: name, Incarnation: 1, Version: 1, Zone: "z", State: fleet.Serving}
 		g.view.Members = append(g.view.Members, fleet.Member{Entry: e})
@@ -96,7 +96,7 @@
 		if g.applyView(2 * second); e.slotLength != 75*second {
 			t.Errorf("windows of 60 s: slot %d", e.slotLength)
 		}
-		if e.closeSlot(100 * second); e.slotEnd != 175*second {
+		if e.close(100 * second); e.slotEnd != 175*second {
 			t.Errorf("the next slot ends at %d", e.slotEnd)
 		}
 	}
@@ -115,7 +115,8 @@
 	if s.offered != 0 || s.lastWindow != 2 {
 		t.Fatalf("%g calls, last window %d", s.offered, s.lastWindow)
 	}
-	if g.applyView(2*second, newWindow(2, 22*second, 1000), newWindow(3, 22*second, 70)); s.offered != 70 || s.lastWindow != 3 {
+	if g.applyView(2*second, newWindow(2, 22*second, 1000), newWindow(3, 22*second, 70)); s.offered != 70 ||
+		s.lastWindow != 3 {
 		t.Errorf("%g calls, last window %d", s.offered, s.lastWindow)
 	}
 }
@@ -156,7 +157,7 @@
 	e := g.conductor.evidence
 	g.applyView(2*second, newWindow(1, 22*second, 220))
 	for i, want := range []float64{10, 10, 0} {
-		if e.closeSlot(int64(30*i+30) * second); e.processes["b"].offeredRate != want {
+		if e.close(int64(30*i+30) * second); e.processes["b"].offeredRate != want {
 			t.Errorf("slot %d: %g calls a second, want %g", i, e.processes["b"].offeredRate, want)
 		}
 	}
--- a/internal/stage/gather.go
+++ b/internal/stage/gather.go
@@ -32,10 +32,11 @@
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		if known := p.peers.byName[m.Name]; known != nil && !m.Suspect { // figures of a suspected process are out of date
+		if known := p.peers.byName[m.Name]; known != nil && !m.Suspect { // those of a suspected one are out of date
 			e.addWindows(now, m, known.status)
 			// A standby begins with a stage when its conductor does.
-			if status := known.status; !c.holdsLease && status.ConductedChange == change && status.Judging && status.Stage > e.stage {
+			if status := known.status; !c.holdsLease && status.ConductedChange == change && status.Judging &&
+				status.Stage > e.stage {
 				e.beginStage(now, status.Stage)
 			}
 			if !e.changeStarted && known.inChange(change) {
--- a/internal/stage/guards_test.go
+++ b/internal/stage/guards_test.go
@@ -27,9 +27,9 @@
 }
 
 // judge simulates 60 processes, 6 of which change, and returns the first decided finding of 40 slots.
-func (f *figuresModel) judge(d failpoints, before int) finding {
+func (f *figuresModel) judge(faults failpoints, before int) finding {
 	rules := Rules{Warm: 1, Alpha: 0.02}.withDefaults()
-	e := newEvidence(rules, change, 0, d)
+	e := newEvidence(rules, change, 0, faults)
 	now, number := int64(0), uint64(0)
 	f.rates = make([]float64, 60)
 	for i := range f.rates {
@@ -38,18 +38,20 @@
 	slot := func(changed bool) {
 		now, number = now+rules.Slot, number+1
 		for i, p := range f.rates {
-			in := processStatus{}
+			status := processStatus{}
 			if changed {
 				p += f.trouble
 				if i%10 == 0 {
-					in, p = processStatus{Change: change, State: Changed}, p+f.worse
+					status, p = processStatus{Change: change, State: Changed}, p+f.worse
 				}
 			}
 			n := 200.0
 			refused := max(0, math.Round(n*p+math.Sqrt(n*p)*f.r.NormFloat64()))
-			m := fleet.Member{Entry: fleet.Entry{Name: fmt.Sprint("c", i), Incarnation: 1, Zone: "z", State: fleet.Serving, Windows: []fleet.Window{{
-				Number: number, Length: rules.Slot, Class: []fleet.ClassFigures{{Name: "x", Offered: uint64(n), Refused: uint64(refused)}}}}}}
-			e.addWindows(now, &m, in)
+			m := fleet.Member{Entry: fleet.Entry{Name: fmt.Sprint("c", i), Incarnation: 1, Zone: "z",
+				State: fleet.Serving, Windows: []fleet.Window{{
+					Number: number, Length: rules.Slot,
+					Class: []fleet.ClassFigures{{Name: "x", Offered: uint64(n), Refused: uint64(refused)}}}}}}
+			e.addWindows(now, &m, status)
 		}
 		e.tick(now)
 	}
@@ -70,11 +72,11 @@
 }
 
 // countHalts returns how many of 100 changes are halted.
-func countHalts(f figuresModel, d failpoints, before int) int {
+func countHalts(f figuresModel, faults failpoints, before int) int {
 	n := 0
 	for seed := range uint64(100) {
 		f.r = rand.New(rand.NewPCG(seed, 7))
-		if f.judge(d, before).verdict == verdictHarmful {
+		if f.judge(faults, before).verdict == verdictHarmful {
 			n++
 		}
 	}
@@ -92,12 +94,16 @@
 		least, most int // halted changes of 100
 	}{
 		{"harmless", figuresModel{meanRate: 0.02, spread: 0.3}, 12, failpoints{}, 0, 1},
-		{"one percentage point more refusals", figuresModel{meanRate: 0.02, spread: 0.3, worse: 0.01}, 12, failpoints{}, 95, 100},
-		{"one percentage point more refusals, no figures from before", figuresModel{meanRate: 0.02, spread: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
+		{"one percentage point more refusals", figuresModel{meanRate: 0.02, spread: 0.3, worse: 0.01}, 12, failpoints{},
+			95, 100},
+		{"one percentage point more refusals, no figures from before",
+			figuresModel{meanRate: 0.02, spread: 0.1, worse: 0.01}, 0, failpoints{}, 95, 100},
 		{"trouble of all processes", figuresModel{meanRate: 0.02, spread: 0.3, trouble: 0.1}, 12, failpoints{}, 0, 1},
 		{"processes that differ widely", figuresModel{meanRate: 0.02, spread: 0.8}, 0, failpoints{}, 0, 2},
-		{"unpaired: trouble of all processes is taken for harm", figuresModel{meanRate: 0.02, spread: 0.3, trouble: 0.1}, 12, failpoints{unpaired: true}, 75, 100},
-		{"calls taken as independent: differences are taken for harm", figuresModel{meanRate: 0.02, spread: 0.8}, 0, failpoints{assumeIndependent: true}, 15, 100},
+		{"unpaired: trouble of all processes is taken for harm",
+			figuresModel{meanRate: 0.02, spread: 0.3, trouble: 0.1}, 12, failpoints{unpaired: true}, 75, 100},
+		{"calls taken as independent: differences are taken for harm", figuresModel{meanRate: 0.02, spread: 0.8}, 0,
+			failpoints{assumeIndependent: true}, 15, 100},
 	} {
 		if n := countHalts(c.f, c.d, c.before); n < c.least || n > c.most {
 			t.Errorf("%s: %d of 100 halted, want %d to %d", c.name, n, c.least, c.most)
@@ -128,7 +134,8 @@
 				}
 			}
 			share := float64(halted) / paths
-			t.Logf("constant part of the variance %v, test for a single evaluation %v: %.3f halted", constant, d.fixedSampleTest, share)
+			t.Logf("constant part of the variance %v, test for a single evaluation %v: %.3f halted", constant,
+				d.fixedSampleTest, share)
 			if d.fixedSampleTest != (share > 0.1) || !d.fixedSampleTest && share > 1.25*alpha {
 				t.Errorf("constant part of the variance %v, %+v: %.3f halted", constant, d, share)
 			}
@@ -142,7 +149,7 @@
 	if len(wave) == 0 {
 		return nil
 	}
-	capacity, offered, in := 0.0, 0.0, 0
+	capacity, offered, changed := 0.0, 0.0, 0
 	ordered := map[string]bool{}
 	for _, n := range wave {
 		ordered[n] = true
@@ -165,7 +172,7 @@
 			zone = x.zone
 		}
 		if x.inChange && x.reachable && !p.rollback {
-			in++
+			changed++
 		}
 		for _, y := range p.candidates {
 			if ordered[x.name] && (ordered[y.name] || y.changing) && y.name != x.name && p.neighbours(x.name, y.name) {
@@ -174,27 +181,32 @@
 		}
 	}
 	if p.rollback && p.forced {
-		if busy := slices.ContainsFunc(p.candidates, func(x candidate) bool { return x.changing }); len(wave) == 1 && !busy {
+		if busy := slices.ContainsFunc(p.candidates, func(x candidate) bool { return x.changing }); len(wave) == 1 &&
+			!busy {
 			return nil
 		}
 	}
 	if p.program && capacity < p.capacityFactor()*offered-1e-6 {
 		return errors.New("under the capacity that is needed")
 	}
-	if size := StageSize(p.stage, len(p.candidates)); !p.rollback && p.stage != All && in+len(wave) > size+size/2+1 {
-		return fmt.Errorf("%d in a stage of %d", in+len(wave), size)
+	if size := StageSize(p.stage, len(p.candidates)); !p.rollback && p.stage != All &&
+		changed+len(wave) > size+size/2+1 {
+		return fmt.Errorf("%d in a stage of %d", changed+len(wave), size)
 	}
 	return nil
 }
 
-func drawPlan(t *rapid.T, d failpoints) *plan {
-	p := &plan{rules: Rules{MaxUnreachable: 1}.withDefaults(), change: 5, program: true, rollback: rapid.Bool().Draw(t, "back"), forced: rapid.Bool().Draw(t, "last"), stage: rapid.IntRange(One, All).Draw(t, "stage"),
-		neighbours: func(a, b string) bool { return a[:2] == b[:2] }, failpoints: d}
+func drawPlan(t *rapid.T, faults failpoints) *plan {
+	p := &plan{rules: Rules{MaxUnreachable: 1}.withDefaults(), change: 5, program: true,
+		rollback: rapid.Bool().Draw(t, "back"), forced: rapid.Bool().Draw(t, "last"),
+		stage: rapid.IntRange(One, All).Draw(t, "stage"), neighbours: func(a, b string) bool { return a[:2] == b[:2] },
+		failpoints: faults}
 	n := rapid.IntRange(1, 40).Draw(t, "processes")
 	load := rapid.Float64Range(0.2, 1).Draw(t, "load")
 	for i := range n {
 		s := rapid.IntRange(0, 9).Draw(t, "state")
-		x := candidate{name: fmt.Sprintf("%c%c%d", 'a'+i/8, 'a'+i%8/2, i%2), zone: string(rune('x' + i%3)), reachable: s > 0, inChange: s > 6, changing: s == 9, shown: 10}
+		x := candidate{name: fmt.Sprintf("%c%c%d", 'a'+i/8, 'a'+i%8/2, i%2), zone: string(rune('x' + i%3)),
+			reachable: s > 0, inChange: s > 6, changing: s == 9, shown: 10}
 		x.offered = 10 * load
 		if x.inChange {
 			p.ordered++
@@ -213,8 +225,8 @@
 }
 
 // crash runs a change in which the one new process dies, and returns the phase and reason in the record then.
-func crash(t *testing.T, d failpoints) string {
-	w := openedWorld(t, 4, d, func(w *world) { w.lossy = true })
+func crash(t *testing.T, faults failpoints) string {
+	w := openedWorld(t, 4, faults, func(w *world) { w.lossy = true })
 	result := ""
 	for range 200 {
 		names, do := w.steps()
@@ -242,7 +254,8 @@
 			}
 		}
 		for i, p := range w.parts {
-			if p.state == Changed && w.deathCount == 0 && w.parts[0].peers.byName[w.entries[i].Name].status.State == Changed {
+			if p.state == Changed && w.deathCount == 0 &&
+				w.parts[0].peers.byName[w.entries[i].Name].status.State == Changed {
 				w.deathCount++
 				if err := w.restart(i, 0); err != nil {
 					t.Fatal(err)
@@ -259,8 +272,8 @@
 
 // Checks that disabling each safeguard leads to the failure that it guards against.
 func TestSafeguards(t *testing.T) {
-	searchError := func(n int, d failpoints, set func(w *world)) error {
-		_, _, _, err := search(openedWorld(t, n, d, set), 20000)
+	searchError := func(n int, faults failpoints, set func(w *world)) error {
+		_, _, _, err := search(openedWorld(t, n, faults, set), 20000)
 		return err
 	}
 	planErrors := func(d failpoints) error {
@@ -278,8 +291,12 @@
 		err  error
 		want string
 	}{
-		{"orders sent before the record is stored", searchError(3, failpoints{ordersBeforeRecord: true}, func(w *world) {}), "ordered before the record was stored"},
-		{"fencing number ignored", searchError(3, failpoints{ignoreFence: true}, func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }), "carries out an order with a lower fencing number"},
+		{"orders sent before the record is stored",
+			searchError(3, failpoints{ordersBeforeRecord: true}, func(w *world) {}),
+			"ordered before the record was stored"},
+		{"fencing number ignored", searchError(3, failpoints{ignoreFence: true},
+			func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }),
+			"carries out an order with a lower fencing number"},
 		{"stages out of order", searchError(3, failpoints{skipStage: true}, func(w *world) {}), "a stage is skipped"},
 		{"neighbours ignored", planErrors(failpoints{ignoreNeighbours: true}), "neighbours at once"},
 		{"capacity ignored", planErrors(failpoints{ignoreCapacity: true}), "under the capacity"},
@@ -323,9 +340,12 @@
 	// An order with a lower fencing number is answered with the highest one seen, and is not carried out.
 	q.hasView, q.highestFence = true, 5
 	out = fleet.Out{}
-	q.Message(0, fleet.Message{From: "z", Body: encode(message{Order: true, Change: 10, Fence: 4, Write: 9, Verb: Apply, Target: Target{Change: 10}})}, &out)
+	q.Message(0, fleet.Message{From: "z",
+		Body: encode(message{Order: true, Change: 10, Fence: 4, Write: 9, Verb: Apply, Target: Target{Change: 10}})},
+		&out)
 	var answer message
-	if len(out.Acts) != 0 || len(out.Send) != 1 || decode(out.Send[0].Body, &answer) != nil || answer.Fence != 5 || q.state != Unchanged {
+	if len(out.Acts) != 0 || len(out.Send) != 1 || decode(out.Send[0].Body, &answer) != nil || answer.Fence != 5 ||
+		q.state != Unchanged {
 		t.Errorf("order with a lower fencing number: %+v", out)
 	}
 	for _, e := range Errors {
@@ -338,8 +358,8 @@
 // Checks that the largest record and the largest messages fit, and that undecodable bytes change nothing.
 func TestSizesAndGarbage(t *testing.T) {
 	long := strings.Repeat("ä", 500)
-	r := record{Target: Target{math.MaxUint64, long[:MaxPath], math.MaxUint64, long[:MaxPath], math.MaxUint64}, Phase: halted, Stage: All, Ordered: 1 << 30,
-		Fence: math.MaxUint64, Reason: long, HighestOver: math.MaxUint64}
+	r := record{Target: Target{math.MaxUint64, long[:MaxPath], math.MaxUint64, long[:MaxPath], math.MaxUint64},
+		Phase: halted, Stage: All, Ordered: 1 << 30, Fence: math.MaxUint64, Reason: long, HighestOver: math.MaxUint64}
 	for range MaxWave {
 		r.Wave = append(r.Wave, math.MaxUint32)
 	}
@@ -352,9 +372,9 @@
 	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
-		before := w.fingerprint()
+		before := w.print()
 		w.parts[1].Message(0, fleet.Message{From: "a", Body: b}, &fleet.Out{})
-		if w.fingerprint() != before && decode(b, &message{}) != nil {
+		if w.print() != before && decode(b, &message{}) != nil {
 			t.Errorf("%x changed the state", b)
 		}
 		_, _ = decodeRecord(b)
--- a/internal/stage/judge.go
+++ b/internal/stage/judge.go
@@ -35,10 +35,10 @@
 // depends on the path only through diff, so it is a martingale while the mean is 0: however often it is evaluated,
 // it reaches 1/a with probability a at most (Ville). The degrees of freedom account for the few processes that the
 // variance was estimated from.
-func logLikelihoodRatio(diff, variance, freedom, tau float64) float64 {
+func logLikelihoodRatio(diff, variance, degrees, tau float64) float64 {
 	z := diff / math.Sqrt(variance)
-	if freedom < 200 {
-		z = normalQuantile(z, freedom)
+	if degrees < 200 {
+		z = normalQuantile(z, degrees)
 	}
 	share := tau * tau / (variance + tau*tau)
 	x := z * math.Sqrt(share)
@@ -50,8 +50,8 @@
 }
 
 // normalQuantile returns the normal deviate with the same tail probability as the given deviate of Student's t.
-func normalQuantile(t, freedom float64) float64 {
-	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(freedom, 1)}
+func normalQuantile(t, degrees float64) float64 {
+	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: max(degrees, 1)}
 	tail := max(student.Survival(math.Abs(t)), 1e-290)
 	return math.Copysign(-distuv.UnitNormal.Quantile(tail), t)
 }
--- a/internal/stage/lease_test.go
+++ b/internal/stage/lease_test.go
@@ -17,28 +17,28 @@
 func TestChangeOverLeases(t *testing.T) {
 	const n, tick = 7, second / 20
 	type process struct {
-		lease  *lease.Part
-		stage  *Part
-		entry  fleet.Entry
-		wrote  Target
-		cut    int64 // cut off until then
-		obeyed uint64
+		lease        *lease.Part
+		stage        *Part
+		entry        fleet.Entry
+		concluded    Target
+		cut          int64 // cut off until then
+		highestFence uint64
 	}
-	type parcel struct {
+	type delivery struct {
 		at int64
 		m  fleet.Message
 	}
 	type job struct {
-		at, life int64
-		who      int
-		act      fleet.Act
+		at, incarnation int64
+		process         int
+		act             fleet.Act
 	}
 	takeOvers := 0
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		var processes [n]*process
 		var names []string
-		var mail []parcel
+		var mail []delivery
 		var jobs []job
 		var openedStages []int64
 		now, kills, worse, ended, finished := int64(1), 2, int(seed%5)-1, "", false
@@ -53,7 +53,7 @@
 			for _, m := range out.Send {
 				for range 1 + r.IntN(20)/19 {
 					if r.Float64() >= lossRate || m.To == p.entry.Name {
-						mail = append(mail, parcel{now + tick*int64(1+r.IntN(3)), m})
+						mail = append(mail, delivery{now + tick*int64(1+r.IntN(3)), m})
 					}
 				}
 			}
@@ -67,16 +67,18 @@
 				case "conducts": // the process that opened the stage may have died before it noted so
 					takeOvers++
 					_, name, _ := strings.Cut(x.Text, ", stage ")
-					if at := int64(slices.Index(stageNames[:], name)); len(openedStages) == 0 || at == openedStages[len(openedStages)-1]+1 {
+					if at := int64(slices.Index(stageNames[:], name)); len(openedStages) == 0 ||
+						at == openedStages[len(openedStages)-1]+1 {
 						openedStages = append(openedStages, at)
 					}
 				case "over":
 					ended = x.Text
 				case Apply, Back:
-					if x.Fence < p.obeyed {
-						t.Errorf("seed %d: %s carries out an order with fencing number %d after %d", seed, p.entry.Name, x.Fence, p.obeyed)
+					if x.Fence < p.highestFence {
+						t.Errorf("seed %d: %s carries out an order with fencing number %d after %d", seed, p.entry.Name,
+							x.Fence, p.highestFence)
 					}
-					p.obeyed = x.Fence
+					p.highestFence = x.Fence
 				}
 			}
 			if b, ok := out.Parts[fleet.Stage]; ok {
@@ -90,9 +92,13 @@
 			}
 			p := processes[i]
 			p.entry.Incarnation, p.entry.Version, p.entry.Parts = p.entry.Incarnation+1, 1, nil
-			p.lease = lease.New(lease.Config{Self: names[i], Incarnation: p.entry.Incarnation, Seed: seed, Roster: 1, Names: names, Lease: second})
-			p.stage = New(Config{Name: names[i], Zone: "z", Lease: p.lease, Running: p.wrote, Concluded: p.wrote, oracle: func(s int) bool { return s == worse },
-				Rules: Rules{Baseline: second, Warm: 1, Slot: 1, Look: 1, Patience: 20 * second, Lost: 5 * second, MaxUnreachable: 1}})
+			p.lease = lease.New(lease.Config{Self: names[i], Incarnation: p.entry.Incarnation, Seed: seed, Roster: 1,
+				Names: names, Lease: second})
+			p.stage = New(Config{Name: names[i], Zone: "z", Lease: p.lease, Running: p.concluded,
+				Concluded: p.concluded,
+				oracle:    func(s int) bool { return s == worse },
+				Rules: Rules{Baseline: second, Warm: 1, Slot: 1, Look: 1, Patience: 20 * second, Lost: 5 * second,
+					MaxUnreachable: 1}})
 			call(i, func(p *process, out *fleet.Out) { p.lease.Start(now, out); p.stage.Start(now, out) })
 		}
 		for i := range n {
@@ -148,13 +154,13 @@
 			ready := jobs
 			jobs = nil
 			for _, j := range ready {
-				if p := processes[j.who]; now < j.at {
+				if p := processes[j.process]; now < j.at {
 					jobs = append(jobs, j)
-				} else if int64(p.entry.Incarnation) == j.life {
+				} else if int64(p.entry.Incarnation) == j.incarnation {
 					if j.act.What == Conclude {
-						p.wrote = target
+						p.concluded = target
 					}
-					call(j.who, func(p *process, out *fleet.Out) { p.stage.Done(now, j.act, nil, out) })
+					call(j.process, func(p *process, out *fleet.Out) { p.stage.Done(now, j.act, nil, out) })
 				}
 			}
 			finished = ended != "" && len(jobs) == 0
--- a/internal/stage/look.go
+++ b/internal/stage/look.go
@@ -296,7 +296,7 @@
 			worst = f
 		}
 	}
-	// Long windows take longer to give minTime slots.
+	// Long windows take longer to give enough slots.
 	minTime := (minStageSlots + 1) * e.requestedSlot()
 	maxTime := max(e.rules.Most, minTime)
 	timeLimit := maxTime
--- a/internal/stage/part.go
+++ b/internal/stage/part.go
@@ -39,7 +39,7 @@
 
 var _ fleet.Module = (*Part)(nil)
 
-// tickInterval is how often a part checks its lease, its orders and its slots.
+// tickInterval is how often a Part checks its lease, its orders and its slots.
 const tickInterval = second / 5
 
 func newPart(c Config) *Part {
@@ -68,7 +68,8 @@
 	running := p.peers.runningChange()
 	p.isStandby = running != 0 && p.peers.isStandby(running)
 	// Guards against orders of a former conductor in a process that has just started.
-	if p.peers.highestFence > p.highestFence || p.peers.highestFence == p.highestFence && p.peers.highestWrite > p.highestWrite {
+	if p.peers.highestFence > p.highestFence ||
+		p.peers.highestFence == p.highestFence && p.peers.highestWrite > p.highestWrite {
 		p.highestFence, p.highestWrite = p.peers.highestFence, p.peers.highestWrite
 	}
 	p.gatherFigures(now, v, out)
@@ -89,7 +90,8 @@
 // Message handles an order or an answer.
 func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
 	var s message
-	if len(m.Body) > fleet.MaxBody || decode(m.Body, &s) != nil || len(s.Target.Settings) > MaxPath || len(s.Target.Program) > MaxPath {
+	if len(m.Body) > fleet.MaxBody || decode(m.Body, &s) != nil || len(s.Target.Settings) > MaxPath ||
+		len(s.Target.Program) > MaxPath {
 		p.counters.badMessages++
 		return
 	}
@@ -102,14 +104,15 @@
 	p.publishStatus(out)
 }
 
-// handleOrder carries out an handleOrder of the conductor and answers it.
+// handleOrder carries out an order of the conductor and answers it.
 func (p *Part) handleOrder(now int64, from string, s message, out *fleet.Out) {
 	// A process that has just started knows no fencing number yet; it ignores orders until it has its first view.
 	if p.handedOver || !p.hasView {
 		return
 	}
 	p.counters.orders++
-	if !p.config.failpoints.ignoreFence && (s.Fence < p.highestFence || s.Fence == p.highestFence && s.Write < p.highestWrite) {
+	if !p.config.failpoints.ignoreFence && (s.Fence < p.highestFence ||
+		s.Fence == p.highestFence && s.Write < p.highestWrite) {
 		p.counters.refusedOrders++
 		err := &FenceError{Change: s.Change, Fence: s.Fence, HighestSeen: p.highestFence, From: from}
 		p.addNote(out, "order refused", s.Fence, int64(s.Change), err.Error())
@@ -221,7 +224,8 @@
 }
 
 func (p *Part) sendAnswer(to string, change uint64, out *fleet.Out) {
-	s := message{Change: change, Fence: p.highestFence, Write: p.highestWrite, Detail: p.detail, RunningChange: p.running.Change}
+	s := message{Change: change, Fence: p.highestFence, Write: p.highestWrite, Detail: p.detail,
+		RunningChange: p.running.Change}
 	if p.change == change {
 		s.State = p.state
 	}
@@ -237,8 +241,9 @@
 	if p.handedOver {
 		return
 	}
-	status := processStatus{Change: p.change, State: p.state, Fence: p.highestFence, Write: p.highestWrite, Detail: p.detail, HighestOver: p.peers.highestOver,
-		CrashedChange: p.peers.crashedChange, Crashes: p.peers.crashes, RunningChange: p.running.Change}
+	status := processStatus{Change: p.change, State: p.state, Fence: p.highestFence, Write: p.highestWrite,
+		Detail: p.detail, HighestOver: p.peers.highestOver, CrashedChange: p.peers.crashedChange,
+		Crashes: p.peers.crashes, RunningChange: p.running.Change}
 	p.conductor.fillStatus(&status)
 	if b := encode(status); string(b) != string(p.published) {
 		p.published = b
@@ -247,7 +252,8 @@
 }
 
 func (p *Part) addNote(out *fleet.Out, what string, fence uint64, number int64, text string) {
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Stage, What: what, Thing: Thing, Fence: fence, N: number, Text: text})
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Stage, What: what, Thing: Thing, Fence: fence, N: number,
+		Text: text})
 }
 
 func (p *Part) propose(now int64, t Target, out *fleet.Out) error {
@@ -275,7 +281,7 @@
 	return nil
 }
 
-// knownRunning returns the change that is knownRunning to be running or was proposed here; 0: none.
+// knownRunning returns the change that is known to be running or was proposed here; 0: none.
 func (p *Part) knownRunning() uint64 {
 	if r := p.peers.runningChange(); r != 0 {
 		return r
@@ -312,9 +318,10 @@
 		return c.summary()
 	}
 	for _, n := range p.peers.names {
-		if t := p.peers.byName[n].status; t.ConductedChange != 0 && t.ConductedChange >= p.peers.highestRunning && t.ConductedChange >= p.peers.highestOver {
-			return fmt.Sprintf("change %d: %s, stage %s, told by %s: %s", t.ConductedChange, phaseNames[min(t.Phase, halted)],
-				stageNames[min(max(t.Stage, 0), stages-1)], n, t.HaltReason)
+		if t := p.peers.byName[n].status; t.ConductedChange != 0 && t.ConductedChange >= p.peers.highestRunning &&
+			t.ConductedChange >= p.peers.highestOver {
+			return fmt.Sprintf("change %d: %s, stage %s, told by %s: %s", t.ConductedChange,
+				phaseNames[min(t.Phase, halted)], stageNames[min(max(t.Stage, 0), stages-1)], n, t.HaltReason)
 		}
 	}
 	return "no change"
--- a/internal/stage/plan.go
+++ b/internal/stage/plan.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-// rank returns the position of a process or a zone in the rank of a change. The rank differs from change to
+// rank returns the position of a process or a zone in the order of a change. The order differs from change to
 // change, so that it is not always the same process that goes first.
 func rank(change uint64, name string) uint64 {
 	var b [8]byte
@@ -62,7 +62,7 @@
 type plan struct {
 	rules         Rules
 	change        uint64
-	program       bool // the program changes: a process serves nothing meanwhile; a reload of settings costs no capacity
+	program       bool // the program changes: the process serves nothing meanwhile; a reload costs no capacity
 	rollback      bool // processes are rolled back
 	forced        bool // rollback was blocked for long: one at a time goes back whatever the offered load
 	self          string
@@ -120,7 +120,7 @@
 	onlyConductorLeft = "only self" // only the conductor itself is left; another process has to order it
 )
 
-// nextWave chooses the processes of one zone that change nextWave, or returns the reason why there are none now.
+// nextWave chooses the processes of one zone that change next, or returns the reason why there are none now.
 func (p *plan) nextWave() (wave []string, why string) {
 	if len(p.candidates) == 0 {
 		return nil, "no process is known"
@@ -164,7 +164,7 @@
 	}
 	eligible, selfEligible := 0, false
 	for _, zone := range zones {
-		list := make([]candidate, 0, len(p.candidates)) // processes of the zone, zoneIn the order of the change
+		list := make([]candidate, 0, len(p.candidates)) // processes of the zone, in the order of the change
 		zoneIn := 0
 		for _, x := range p.candidates {
 			if x.zone == zone {
@@ -174,7 +174,9 @@
 				}
 			}
 		}
-		slices.SortFunc(list, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.rank, b.rank), strings.Compare(a.name, b.name)) })
+		slices.SortFunc(list, func(a, b candidate) int {
+			return cmp.Or(cmp.Compare(a.rank, b.rank), strings.Compare(a.name, b.name))
+		})
 		room := quotas[zone] - zoneIn
 		if p.rollback {
 			room = zoneIn
@@ -220,7 +222,8 @@
 	case eligible == 0 || waveSize <= 0:
 		return nil, stageFull
 	}
-	if maxUnreachable := max(1, int(p.rules.MaxUnreachable*float64(len(p.candidates)))); !p.rollback && unreachable > maxUnreachable {
+	if maxUnreachable := max(1, int(p.rules.MaxUnreachable*float64(len(p.candidates)))); !p.rollback &&
+		unreachable > maxUnreachable {
 		return nil, "waits: too many processes are starting, ending or suspected"
 	}
 	if len(wave) == 0 && why == "" {
@@ -253,12 +256,14 @@
 	return p.rules.CapacityFactor
 }
 
-func zoneOf(places []candidate, name string) string {
-	i, ok := slices.BinarySearchFunc(places, name, func(x candidate, n string) int { return strings.Compare(x.name, n) })
+func zoneOf(candidates []candidate, name string) string {
+	i, ok := slices.BinarySearchFunc(candidates, name, func(x candidate, n string) int {
+		return strings.Compare(x.name, n)
+	})
 	if !ok {
 		return ""
 	}
-	return places[i].zone
+	return candidates[i].zone
 }
 
 // neighbourChanging reports whether a neighbour of the i-th process of a zone is changing or is in the wave.
--- a/internal/stage/rules.go
+++ b/internal/stage/rules.go
@@ -15,12 +15,12 @@
 	MaxUnreachable float64
 	WaveSize       int     // maximum number of processes that change at the same time: 8, at most MaxWave
 	CapacityFactor float64 // required ratio of the capacity that serving processes have shown to the offered load: 1.1
-	Alpha          float64 // probability that the comparison halts a harmless change, over all stages and measures: 0.005
+	Alpha          float64 // probability that a harmless change is halted, over all stages and measures: 0.005
 	Beta           float64 // probability that a stage passes although a measure is worse by its margin: 0.005
 	Margins        Margins
 }
 
-// MaxWave is the upper limit of Rules.Wave: the record of a change names the processes that are being ordered.
+// MaxWave is the upper limit of Rules.WaveSize: the record of a change names the processes that are being ordered.
 const MaxWave = 16
 
 // Margins are the increases of each measure that must be detected. Increases of up to a quarter of a margin, for
--- a/internal/stage/search_test.go
+++ b/internal/stage/search_test.go
@@ -94,17 +94,19 @@
 }
 
 func (w *world) config(i int, running, concluded Target) Config {
-	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second, Repeat: 1, MaxUnreachable: 1}
+	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second,
+		Repeat: 1, MaxUnreachable: 1}
 	if w.drops == 0 && w.deaths == 0 && w.deathCount == 0 && !w.lossy {
 		tiny.Repeat = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
-	return Config{Name: w.entries[i].Name, Zone: "z", Lease: processLease{w.lease, w.entries[i].Name}, Running: running, Concluded: concluded,
-		Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.worse }}
+	return Config{Name: w.entries[i].Name, Zone: "z", Lease: processLease{w.lease, w.entries[i].Name}, Running: running,
+		Concluded: concluded, Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.worse }}
 }
 
-func newWorld(n int, d failpoints) *world {
-	w := &world{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n), acts: make([][]fleet.Act, n), concluded: make([]uint64, n),
-		highestOrder: make([][2]uint64, n), worse: -1, failpoints: d}
+func newWorld(n int, faults failpoints) *world {
+	w := &world{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n),
+		acts: make([][]fleet.Act, n), concluded: make([]uint64, n),
+		highestOrder: make([][2]uint64, n), worse: -1, failpoints: faults}
 	for i := range n {
 		w.entries[i] = fleet.Entry{Name: string(rune('a' + i)), Incarnation: 1, Zone: "z", State: fleet.Serving}
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
@@ -141,18 +143,20 @@
 	return &v
 }
 
-// fingerprint returns everything in a state that affects what can follow. Times are left out, because nothing here
+// print returns everything in a state that affects what can follow. Times are left out, because nothing here
 // depends on them.
-func (w *world) fingerprint() string {
+func (w *world) print() string {
 	var b strings.Builder
 	f := w.lease
-	fmt.Fprintf(&b, "%v %s %d %x %d %x|%d%d%d%d%d%v|", f.claims, f.holder, f.fence, f.value, f.write, f.pending, w.drops, w.doubles, w.deaths,
-		w.moves, w.refusals, w.lastViewed)
+	fmt.Fprintf(&b, "%v %s %d %x %d %x|%d%d%d%d%d%v|", f.claims, f.holder, f.fence, f.value, f.write, f.pending,
+		w.drops, w.doubles, w.deaths, w.moves, w.refusals, w.lastViewed)
 	for i, p := range w.parts {
 		c := &p.conductor
-		fmt.Fprintf(&b, "%d %d %d %d %d %s %d %v %v %v %d %d %d|", p.running.Change, p.state, p.change, p.highestFence, p.highestWrite, p.openVerb, p.openAct, p.rollbackPending,
+		fmt.Fprintf(&b, "%d %d %d %d %d %s %d %v %v %v %d %d %d|", p.running.Change, p.state, p.change, p.highestFence,
+			p.highestWrite, p.openVerb, p.openAct, p.rollbackPending,
 			p.handedOver, p.hasView, p.peers.highestOver, p.peers.highestRunning, w.entries[i].Incarnation)
-		fmt.Fprintf(&b, "%v%v %d %d%d%v %v %v %v %v %d|", c.leaseClaimed, c.holdsLease, c.proposal.Change, c.record.Phase, c.record.Stage, c.writePending, c.wave,
+		fmt.Fprintf(&b, "%v%v %d %d%d%v %v %v %v %v %d|", c.leaseClaimed, c.holdsLease, c.proposal.Change,
+			c.record.Phase, c.record.Stage, c.writePending, c.wave,
 			c.answers, c.stageFilledAt > 0, c.endNoted, w.concluded[i])
 		if e := c.evidence; e != nil {
 			fmt.Fprint(&b, e.changeStarted, e.stage, e.beganAt < w.now)
@@ -185,7 +189,8 @@
 		if decode(m.Body, &s) != nil || len(m.Body) > fleet.MaxBody {
 			return errors.New("a message that cannot be decoded")
 		}
-		if s.Order && s.Verb == Apply && stored.Phase != concluding && (stored.Phase != running || !slices.Contains(stored.Wave, nameHash(m.To))) {
+		if s.Order && s.Verb == Apply && stored.Phase != concluding &&
+			(stored.Phase != running || !slices.Contains(stored.Wave, nameHash(m.To))) {
 			return fmt.Errorf("ordered before the record was stored: %s", m.To)
 		}
 		if !slices.ContainsFunc(w.mail, func(x fleet.Message) bool {
@@ -200,7 +205,8 @@
 			var write uint64
 			_, _ = fmt.Sscanf(n.Text, "write %d", &write)
 			if is := [2]uint64{n.Fence, write}; slices.Compare(is[:], w.highestOrder[i][:]) < 0 {
-				return fmt.Errorf("%s carries out an order with a lower fencing number: %v after %v", w.entries[i].Name, is, w.highestOrder[i])
+				return fmt.Errorf("%s carries out an order with a lower fencing number: %v after %v", w.entries[i].Name,
+					is, w.highestOrder[i])
 			} else {
 				w.highestOrder[i] = is
 			}
@@ -220,18 +226,19 @@
 		_ = decode(m.Body, &s)
 		to := w.parts[processIndex(m.To)]
 		if s.Order {
-			return !w.failpoints.ignoreFence && (s.Fence < to.highestFence || s.Fence == to.highestFence && s.Write < to.highestWrite)
+			return !w.failpoints.ignoreFence && (s.Fence < to.highestFence ||
+				s.Fence == to.highestFence && s.Write < to.highestWrite)
 		}
 		return s.Fence != w.lease.fence || s.Write < w.lease.write
 	})
-	in := 0
+	changed := 0
 	for _, p := range w.parts {
 		if p.running.Change == change {
-			in++
+			changed++
 		}
 	}
-	if in > StageSize(w.highestStage, len(w.parts)) {
-		return fmt.Errorf("%d processes are in stage %s", in, stageNames[w.highestStage])
+	if changed > StageSize(w.highestStage, len(w.parts)) {
+		return fmt.Errorf("%d processes are in stage %s", changed, stageNames[w.highestStage])
 	}
 	return nil
 }
@@ -286,7 +293,8 @@
 			switch {
 			case is.Stage != old.Stage && is.Stage != old.Stage+1:
 				return fmt.Errorf("a stage is skipped or reopened: %d after %d", is.Stage, old.Stage)
-			case is.Phase < old.Phase && !(old.Phase == halted && is.Phase == goingBack) && !(old.Phase == concluded && is.Phase == concluding):
+			case is.Phase < old.Phase && !(old.Phase == halted && is.Phase == goingBack) &&
+				!(old.Phase == concluded && is.Phase == concluding):
 				return fmt.Errorf("phase %d after %d", is.Phase, old.Phase)
 			case old.Phase == goingBack && is.Phase != goingBack && is.Phase != halted:
 				return errors.New("a halted change was continued")
@@ -341,7 +349,8 @@
 				if err == nil && a.What == Conclude {
 					w.concluded[i] = change
 				}
-				if e := w.call(i, func(p *Part, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil || err != nil || !w.program || a.What == Conclude {
+				if e := w.call(i, func(p *Part, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil ||
+					err != nil || !w.program || a.What == Conclude {
 					return e
 				}
 				t, e := DecodeTarget(a.Body)
@@ -352,11 +361,13 @@
 			}
 			add(a.What+" done "+w.entries[i].Name, func(w *world) error { return done(w, nil) })
 			if w.refusals > 0 && a.What == Apply {
-				add("refuse "+w.entries[i].Name, func(w *world) error { w.refusals--; return done(w, errors.New("no")) })
+				add("refuse "+w.entries[i].Name,
+					func(w *world) error { w.refusals--; return done(w, errors.New("no")) })
 			}
 		}
 		if w.deaths > 0 {
-			add("die "+w.entries[i].Name, func(w *world) error { w.deaths--; w.deathCount++; return w.restart(i, w.concluded[i]) })
+			add("die "+w.entries[i].Name,
+				func(w *world) error { w.deaths--; w.deathCount++; return w.restart(i, w.concluded[i]) })
 		}
 	}
 	if w.moves > 0 && f.holder != "" {
@@ -397,7 +408,7 @@
 }
 
 // search runs every order of events. It returns the number of states found, whether the search was complete, and
-// the first violation with the events that led to it. It stops without an error after most states.
+// the first violation with the events that led to it. It stops without an error after maxStates states.
 func search(start *world, maxStates int) (states int, complete bool, path []string, err error) {
 	seen := map[uint64]bool{}
 	h := maphash.MakeSeed()
@@ -412,12 +423,12 @@
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		names, do := n.w.steps()
-		before, moved := n.w.fingerprint(), false
+		before, moved := n.w.print(), false
 		for k := range do {
 			v := n.w.clone()
 			v.now += second
 			violation := do[k](v)
-			p := v.fingerprint()
+			p := v.print()
 			next := &node{w: v, prev: n, name: names[k]}
 			if violation != nil {
 				for x := next; x != nil; x = x.prev {
@@ -454,8 +465,8 @@
 }
 
 // openedWorld returns a world in which all processes have started and the first one has proposed the change.
-func openedWorld(t testing.TB, n int, d failpoints, set func(w *world)) *world {
-	w := newWorld(n, d)
+func openedWorld(t testing.TB, n int, faults failpoints, set func(w *world)) *world {
+	w := newWorld(n, faults)
 	set(w)
 	for i := range w.parts {
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
@@ -504,10 +515,15 @@
 		{"record lost", 3, func(w *world) { w.moves, w.losesRecord = 1, true }},
 		{"conductor moves, old views", 3, func(w *world) { w.moves = 1 }},
 		{"a process dies", 3, func(w *world) { w.lossy, w.deaths = true, 1 }},
-		{"lost and duplicated messages", 3, func(w *world) { w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth }},
+		{"lost and duplicated messages", 3, func(w *world) {
+			w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth
+		}},
 		{"program, a process dies", 3, func(w *world) { w.lossy, w.program, w.deaths = true, true, 1 }},
-		{"program, conductor moves, worse", 3, func(w *world) { w.lossy, w.program, w.moves, w.worse = true, true, 1, One }},
-		{"four processes, conductor moves, duplicated message, worse", 4, func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
+		{"program, conductor moves, worse", 3, func(w *world) {
+			w.lossy, w.program, w.moves, w.worse = true, true, 1, One
+		}},
+		{"four processes, conductor moves, duplicated message, worse", 4,
+			func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
 	} {
 		w := openedWorld(t, c.n, failpoints{}, c.set)
 		bound := maxStates
--- a/internal/stage/slots.go
+++ b/internal/stage/slots.go
@@ -13,14 +13,14 @@
 // tick closes the slot if it is over.
 func (e *evidence) tick(now int64) {
 	if now >= e.slotEnd {
-		e.closeSlot(now)
+		e.close(now)
 	}
 }
 
-// closeSlot compares the figures of each process in the slot with those of the old processes of its zone, class by
+// close compares the figures of each process in the slot with those of the old processes of its zone, class by
 // class, and keeps the excess. A trouble that affects the whole zone, or all processes, is on both sides and
 // cancels out.
-func (e *evidence) closeSlot(now int64) {
+func (e *evidence) close(now int64) {
 	e.slotEnd = now + e.slotLength
 	if !e.slowBucketsSet {
 		e.addWaitsBefore()
@@ -211,7 +211,7 @@
 	if e.changeStarted {
 		return
 	}
-	e.closeSlot(now)
+	e.close(now)
 	e.changeStarted = true
 	e.setSlowBuckets()
 }
--- a/internal/stage/soon.go
+++ b/internal/stage/soon.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	// Compares by zone, and within a zone by rank in the change, as the plan does; the first processes that are
-	// remaining change next.
+	// left change next.
 	ahead, remaining := 0, 0
 	for _, n := range p.peers.names {
 		other := p.peers.byName[n]
@@ -24,7 +24,8 @@
 			continue
 		}
 		remaining++
-		if n != name && (compareRank(running, other.zone, peer.zone) < 0 || other.zone == peer.zone && compareRank(running, n, name) < 0) {
+		if n != name && (compareRank(running, other.zone, peer.zone) < 0 ||
+			other.zone == peer.zone && compareRank(running, n, name) < 0) {
 			ahead++
 		}
 	}
--- a/internal/stage/speech.go
+++ b/internal/stage/speech.go
@@ -49,12 +49,12 @@
 	Order         bool   `cbor:"1,keyasint,omitempty"`
 	Change        uint64 `cbor:"2,keyasint"`
 	Fence         uint64 `cbor:"3,keyasint"` // fencing number of the order; in an answer the highest seen
-	Write         uint64 `cbor:"4,keyasint"` // write of the record that the order is based on; in an answer the highest seen
+	Write         uint64 `cbor:"4,keyasint"` // write of the record behind the order; in an answer the highest seen
 	Verb          string `cbor:"5,keyasint,omitempty"`
 	Target        Target `cbor:"6,keyasint,omitempty"`
 	State         State  `cbor:"7,keyasint,omitempty"`
 	Detail        string `cbor:"8,keyasint,omitempty" json:"Why"`
-	RunningChange uint64 `cbor:"9,keyasint,omitempty" json:"Life"` // in an answer: change of the target that the sender runs with
+	RunningChange uint64 `cbor:"9,keyasint,omitempty" json:"Life"` // in an answer: change of the target of the sender
 }
 
 // processStatus is what a process announces of itself in its entry.
@@ -65,7 +65,7 @@
 	Write         uint64 `cbor:"4,keyasint,omitempty"`
 	Detail        string `cbor:"5,keyasint,omitempty" json:"Why"`
 	HighestOver   uint64 `cbor:"6,keyasint,omitempty" json:"Over"`    // the highest change known to be over
-	CrashedChange uint64 `cbor:"7,keyasint,omitempty" json:"Crashed"` // a change in which it saw processes die, and how many
+	CrashedChange uint64 `cbor:"7,keyasint,omitempty" json:"Crashed"` // change in which processes died, and how many
 	Crashes       uint64 `cbor:"8,keyasint,omitempty"`
 	RunningChange uint64 `cbor:"9,keyasint,omitempty" json:"Goes"` // change of the target that it runs with
 	// Only of a conductor:
@@ -108,7 +108,8 @@
 	if err := decode(b, &r); err != nil {
 		return record{}, &RecordError{Err: err}
 	}
-	if len(b) > lease.MaxRecord || r.Stage < 0 || r.Stage >= stages || r.Phase > halted || len(r.Wave) > MaxWave || r.Ordered < 0 {
+	if len(b) > lease.MaxRecord || r.Stage < 0 || r.Stage >= stages || r.Phase > halted || len(r.Wave) > MaxWave ||
+		r.Ordered < 0 {
 		return record{}, &RecordError{Err: &TargetError{Change: r.Target.Change, Reason: "a value is out of range"}}
 	}
 	return r, nil
--- a/internal/stage/watch.go
+++ b/internal/stage/watch.go
@@ -23,7 +23,7 @@
 // reachable reports whether a process serves and is not suspected.
 func (p *peer) reachable() bool { return p.inView && !p.suspect && p.state == fleet.Serving }
 
-// inChange reports whether a process takes part inChange a change. A process that refused counts until its refusal is
+// inChange reports whether a process takes part in a change. A process that refused counts until its refusal is
 // settled.
 func (p *peer) inChange(change uint64) bool {
 	return p.status.Change == change && p.status.State != Unchanged && change != 0
@@ -41,7 +41,7 @@
 	highestRunning uint64 // the highest change that any process conducts or takes part in
 	crashedChange  uint64 // the change whose crashes are counted, and the number of them that this process knows
 	crashes        uint64
-	firstCrashed   string // name of the process that crashed first
+	lastCrashed    string // name of the process whose crash was counted last
 	failpoints     failpoints
 }
 
@@ -49,26 +49,26 @@
 // only once each.
 const forgetAfter = 3600 * second
 
-// update applies a update.
-func (w *peerTable) update(now int64, v *fleet.View) {
-	for _, p := range w.sorted {
+// update applies a view.
+func (t *peerTable) update(now int64, v *fleet.View) {
+	for _, p := range t.sorted {
 		p.inView = false
 	}
 	next := 0
 	for i := range v.Members {
 		m := &v.Members[i]
-		for next < len(w.names) && w.names[next] < m.Name {
+		for next < len(t.names) && t.names[next] < m.Name {
 			next++
 		}
-		if next == len(w.names) || w.names[next] != m.Name {
-			if w.byName[m.Name] != nil {
+		if next == len(t.names) || t.names[next] != m.Name {
+			if t.byName[m.Name] != nil {
 				continue // the view is not sorted
 			}
 			p := &peer{name: m.Name}
-			w.byName[m.Name] = p
-			w.names, w.sorted = slices.Insert(w.names, next, m.Name), slices.Insert(w.sorted, next, p)
+			t.byName[m.Name] = p
+			t.names, t.sorted = slices.Insert(t.names, next, m.Name), slices.Insert(t.sorted, next, p)
 		}
-		p := w.sorted[next]
+		p := t.sorted[next]
 		p.inView, p.zone = true, m.Zone
 		if m.Suspect != p.suspect {
 			p.suspect, p.suspectSince = m.Suspect, now
@@ -86,12 +86,12 @@
 			}
 			p.rawStatus = raw
 		}
-		w.countCrash(m, p, status)
+		t.countCrash(m, p, status)
 		p.incarnation, p.version, p.state, p.status = m.Incarnation, m.Version, m.State, status
-		w.merge(status)
+		t.merge(status)
 	}
 	anyExpired := false
-	for _, p := range w.sorted {
+	for _, p := range t.sorted {
 		// A process that is missing from the view has left or has not been heard from for long; it is treated as
 		// suspected.
 		if !p.inView && !p.suspect {
@@ -101,10 +101,10 @@
 	}
 	if anyExpired {
 		expired := func(p *peer) bool { return !p.inView && now-p.suspectSince > forgetAfter }
-		w.names = slices.DeleteFunc(w.names, func(n string) bool { return expired(w.byName[n]) })
-		w.sorted = slices.DeleteFunc(w.sorted, func(p *peer) bool {
+		t.names = slices.DeleteFunc(t.names, func(n string) bool { return expired(t.byName[n]) })
+		t.sorted = slices.DeleteFunc(t.sorted, func(p *peer) bool {
 			if expired(p) {
-				delete(w.byName, p.name)
+				delete(t.byName, p.name)
 			}
 			return expired(p)
 		})
@@ -112,28 +112,28 @@
 }
 
 // merge takes over what another process announces.
-func (w *peerTable) merge(status processStatus) {
-	if status.Fence > w.highestFence || status.Fence == w.highestFence && status.Write > w.highestWrite {
-		w.highestFence, w.highestWrite = status.Fence, status.Write
+func (t *peerTable) merge(status processStatus) {
+	if status.Fence > t.highestFence || status.Fence == t.highestFence && status.Write > t.highestWrite {
+		t.highestFence, t.highestWrite = status.Fence, status.Write
 	}
-	w.highestOver = max(w.highestOver, status.HighestOver)
+	t.highestOver = max(t.highestOver, status.HighestOver)
 	if isOver(status.Phase) {
-		w.highestOver = max(w.highestOver, status.ConductedChange)
+		t.highestOver = max(t.highestOver, status.ConductedChange)
 	} else {
-		w.highestRunning = max(w.highestRunning, status.ConductedChange)
+		t.highestRunning = max(t.highestRunning, status.ConductedChange)
 	}
 	if status.State != Unchanged {
-		w.highestRunning = max(w.highestRunning, status.Change)
+		t.highestRunning = max(t.highestRunning, status.Change)
 	}
-	if status.CrashedChange > w.crashedChange || status.CrashedChange == w.crashedChange && status.Crashes > w.crashes {
-		w.crashedChange, w.crashes = status.CrashedChange, status.Crashes
+	if status.CrashedChange > t.crashedChange || status.CrashedChange == t.crashedChange && status.Crashes > t.crashes {
+		t.crashedChange, t.crashes = status.CrashedChange, status.Crashes
 	}
 }
 
 // countCrash counts a process that died while it took part in a change: it has a new incarnation that was not
 // started by the change. A process that was already draining or leaving, as its operators asked, is not counted.
-func (w *peerTable) countCrash(m *fleet.Member, p *peer, next processStatus) {
-	if m.Incarnation == p.incarnation || p.incarnation == 0 || p.status.Change == 0 || w.failpoints.ignoreCrashes {
+func (t *peerTable) countCrash(m *fleet.Member, p *peer, next processStatus) {
+	if m.Incarnation == p.incarnation || p.incarnation == 0 || p.status.Change == 0 || t.failpoints.ignoreCrashes {
 		return
 	}
 	change := p.status.Change
@@ -149,18 +149,18 @@
 	default:
 		return
 	}
-	if change > w.crashedChange {
-		w.crashedChange, w.crashes = change, 0
+	if change > t.crashedChange {
+		t.crashedChange, t.crashes = change, 0
 	}
-	if w.crashedChange == change {
-		w.crashes++
-		w.firstCrashed = m.Name
+	if t.crashedChange == change {
+		t.crashes++
+		t.lastCrashed = m.Name
 	}
 }
 
 // anyInChange reports whether a reachable process is still in a change.
-func (w *peerTable) anyInChange(change uint64) bool {
-	for _, p := range w.sorted {
+func (t *peerTable) anyInChange(change uint64) bool {
+	for _, p := range t.sorted {
 		if p.inChange(change) && p.reachable() {
 			return true
 		}
@@ -169,35 +169,35 @@
 }
 
 // runningChange returns the change that is known to be running; 0: none.
-func (w *peerTable) runningChange() uint64 {
-	if w.highestRunning > w.highestOver || w.anyInChange(w.highestRunning) {
-		return w.highestRunning
+func (t *peerTable) runningChange() uint64 {
+	if t.highestRunning > t.highestOver || t.anyInChange(t.highestRunning) {
+		return t.highestRunning
 	}
 	return 0
 }
 
 // isStandby reports whether this is one of the few processes that would take over as conductor. A process that is
 // the last one on its side of the change is not, because another process has to order it.
-func (w *peerTable) isStandby(change uint64) bool {
+func (t *peerTable) isStandby(change uint64) bool {
 	const maxStandbys = 3
-	self := w.byName[w.self]
-	if self == nil || !self.reachable() || w.onlyOneOnSide(self, change) {
+	self := t.byName[t.self]
+	if self == nil || !self.reachable() || t.onlyOneOnSide(self, change) {
 		return false
 	}
-	before := 0
-	for _, p := range w.sorted {
-		if p != self && p.reachable() && compareRank(^change, p.name, w.self) < 0 && !w.onlyOneOnSide(p, change) {
-			before++
+	ahead := 0
+	for _, p := range t.sorted {
+		if p != self && p.reachable() && compareRank(^change, p.name, t.self) < 0 && !t.onlyOneOnSide(p, change) {
+			ahead++
 		}
 	}
-	return before < maxStandbys
+	return ahead < maxStandbys
 }
 
 // onlyOneOnSide reports whether all other reachable processes are on one side of the change and this one on the
 // other.
-func (w *peerTable) onlyOneOnSide(one *peer, change uint64) bool {
+func (t *peerTable) onlyOneOnSide(one *peer, change uint64) bool {
 	side, others := one.inChange(change), 0
-	for _, p := range w.sorted {
+	for _, p := range t.sorted {
 		if p != one && p.reachable() {
 			if p.inChange(change) == side {
 				return false
--- a/internal/stage/waves.go
+++ b/internal/stage/waves.go
@@ -13,7 +13,7 @@
 	rec := c.record
 	change := rec.Target.Change
 	if peers := &p.peers; peers.crashedChange == change && peers.crashes > 0 {
-		crashed := peers.firstCrashed
+		crashed := peers.lastCrashed
 		if crashed == "" {
 			crashed = "a process"
 		}
@@ -47,20 +47,21 @@
 	c := &p.conductor
 	change := c.record.Target.Change
 	pending := c.wave[:0:0]
-	for _, n := range c.wave {
-		q := p.peers.byName[n]
-		state, answered := c.answers[n]
+	for _, name := range c.wave {
+		q := p.peers.byName[name]
+		state, answered := c.answers[name]
 		if q != nil && q.status.Change == change && !answered {
 			state = q.status.State
 		}
 		switch verb {
 		case Apply:
 			if state == Refusing {
-				p.halt(now, n+" refuses: "+c.answerDetails[n], out)
+				p.halt(now, name+" refuses: "+c.answerDetails[name], out)
 				return
 			}
-			if incarnation := c.incarnations[n]; incarnation != 0 && q != nil && q.incarnation > incarnation && !q.inChange(change) && !p.config.failpoints.ignoreCrashes {
-				p.halt(now, n+" died in the change", out)
+			if incarnation := c.incarnations[name]; incarnation != 0 && q != nil && q.incarnation > incarnation &&
+				!q.inChange(change) && !p.config.failpoints.ignoreCrashes {
+				p.halt(now, name+" died in the change", out)
 				return
 			}
 			// The entry decides, because all other processes go by it, and a successor publishes it first.
@@ -68,7 +69,8 @@
 				continue
 			}
 		default:
-			if q != nil && q.inView && !q.inChange(change) && (answered && state == Unchanged || q.status.Fence == c.grant.Fence && q.status.Write >= c.grant.Write) {
+			if q != nil && q.inView && !q.inChange(change) &&
+				(answered && state == Unchanged || q.status.Fence == c.grant.Fence && q.status.Write >= c.grant.Write) {
 				continue
 			}
 		}
@@ -78,21 +80,21 @@
 				since = max(since, q.suspectSince)
 			}
 			if now-since >= p.config.Rules.Lost {
-				p.addNote(out, "cut off", c.grant.Fence, int64(change), n)
+				p.addNote(out, "cut off", c.grant.Fence, int64(change), name)
 				continue
 			}
-			delete(c.reachableSince, n)
-		} else if reachableSince, ok := c.reachableSince[n]; !ok {
-			c.reachableSince[n] = now
+			delete(c.reachableSince, name)
+		} else if reachableSince, ok := c.reachableSince[name]; !ok {
+			c.reachableSince[name] = now
 		} else if now-reachableSince >= p.config.Rules.Patience {
 			if verb == Apply {
-				p.halt(now, n+" was ordered to change and has not changed in time", out)
+				p.halt(now, name+" was ordered to change and has not changed in time", out)
 				return
 			}
-			p.addNote(out, "does not go back", c.grant.Fence, int64(change), n)
+			p.addNote(out, "does not go back", c.grant.Fence, int64(change), name)
 			continue
 		}
-		pending = append(pending, n)
+		pending = append(pending, name)
 	}
 	c.wave = pending
 	if len(pending) == 0 || c.ordersSentAt != 0 && now-c.ordersSentAt < p.config.Rules.Repeat {
@@ -107,7 +109,8 @@
 // sendOrder sends an order to one process, with the fencing number of the lease.
 func (p *Part) sendOrder(now int64, to, verb string, out *fleet.Out) {
 	c := &p.conductor
-	s := message{Order: true, Change: c.record.Target.Change, Fence: c.grant.Fence, Write: c.grant.Write, Verb: verb, Target: c.record.Target}
+	s := message{Order: true, Change: c.record.Target.Change, Fence: c.grant.Fence, Write: c.grant.Write, Verb: verb,
+		Target: c.record.Target}
 	if to == p.config.Name {
 		p.handleOrder(now, to, s, out)
 		return
@@ -119,7 +122,8 @@
 func (p *Part) recordAnswer(_ int64, from string, s message) {
 	c := &p.conductor
 	// Ignores answers to an earlier conductor or from before this record.
-	if !c.holdsLease || s.Change != c.record.Target.Change || s.Fence != c.grant.Fence || s.Write != c.grant.Write || !slices.Contains(c.wave, from) {
+	if !c.holdsLease || s.Change != c.record.Target.Change || s.Fence != c.grant.Fence || s.Write != c.grant.Write ||
+		!slices.Contains(c.wave, from) {
 		return
 	}
 	c.answers[from], c.answerDetails[from] = s.State, s.Detail
@@ -163,7 +167,8 @@
 
 // yieldLease releases the lease because the conductor itself is the only process that is left.
 func (p *Part) yieldLease(now int64, out *fleet.Out) {
-	p.addNote(out, "steps aside", p.conductor.grant.Fence, int64(p.conductor.record.Target.Change), "only the conductor is left")
+	p.addNote(out, "steps aside", p.conductor.grant.Fence, int64(p.conductor.record.Target.Change),
+		"only the conductor is left")
 	p.conductor.noClaimUntil = now + p.config.Rules.Ask
 	p.releaseLease(now, out)
 }
@@ -179,7 +184,8 @@
 		rec.Wave = append(rec.Wave, nameHash(n))
 	}
 	for _, n := range p.peers.names {
-		if q := p.peers.byName[n]; q.suspect && !q.inChange(rec.Target.Change) && len(rec.Wave) < MaxWave && slices.Contains(previous, nameHash(n)) {
+		if q := p.peers.byName[n]; q.suspect && !q.inChange(rec.Target.Change) && len(rec.Wave) < MaxWave &&
+			slices.Contains(previous, nameHash(n)) {
 			rec.Wave = append(rec.Wave, nameHash(n))
 		}
 	}
@@ -187,11 +193,21 @@
 	p.storeRecord(now, rec, waveStored, out)
 }
 
-func (p *Part) makePlan(back bool) *plan {
+func (p *Part) makePlan(rollback bool) *plan {
 	c := &p.conductor
 	change := c.record.Target.Change
-	result := &plan{rules: p.config.Rules, change: change, program: c.record.Target.Program != p.concluded.Program || c.record.Target.ProgramDigest != p.concluded.ProgramDigest, rollback: back, self: p.config.Name, stage: c.record.Stage,
-		ordered: c.record.Ordered, neighbours: p.config.Neighbours, failpoints: p.config.failpoints}
+	result := &plan{
+		rules:  p.config.Rules,
+		change: change,
+		program: c.record.Target.Program != p.concluded.Program ||
+			c.record.Target.ProgramDigest != p.concluded.ProgramDigest,
+		rollback:   rollback,
+		self:       p.config.Name,
+		stage:      c.record.Stage,
+		ordered:    c.record.Ordered,
+		neighbours: p.config.Neighbours,
+		failpoints: p.config.failpoints,
+	}
 	for _, n := range p.peers.names {
 		q := p.peers.byName[n]
 		if !q.inView {
@@ -213,7 +229,7 @@
 	// A process is taken to have at least the capacity that the 90th percentile of its zone has shown.
 	shownByZone := map[string][]float64{}
 	for _, x := range result.candidates {
-		if x.reachable && x.shown > 0 && x.inChange == back {
+		if x.reachable && x.shown > 0 && x.inChange == rollback {
 			shownByZone[x.zone] = append(shownByZone[x.zone], x.shown)
 		}
 	}
@@ -222,7 +238,7 @@
 	}
 	for i := range result.candidates {
 		x := &result.candidates[i]
-		if l := shownByZone[x.zone]; len(l) > 0 && x.inChange == back {
+		if l := shownByZone[x.zone]; len(l) > 0 && x.inChange == rollback {
 			x.shown = max(x.shown, l[(len(l)-1)*9/10])
 		}
 	}
