--- a/internal/stage/failpoints.go
+++ b/internal/stage/failpoints.go
@@ -1,14 +1,14 @@
 package stage
 
-// failpoints take safeguards out, one at a time, for the tests that show that each is missed.
+// failpoints disable safeguards, one at a time, for the tests that show that each one is needed.
 type failpoints struct {
-	tellsFirst   bool // the record is not written before processes are told
-	noFence      bool // orders of a lower number are obeyed
-	anyOrder     bool // stages are skipped
-	noPairs      bool // new figures are held against old ones of before
-	noCluster    bool // processes are taken for alike, calls for independent
-	peeks        bool // a test for one look is taken at every look
-	noNeighbours bool
-	noRoom       bool // capacity is not looked at
-	noCrash      bool // crashes are not counted
+	ordersBeforeRecord bool // orders are sent before the record is stored
+	ignoreFence        bool // orders with a lower fencing number are carried out
+	skipStage          bool // stages are skipped
+	unpaired           bool // new figures are compared with old ones from before the change
+	assumeIndependent  bool // processes are treated as alike and calls as independent
+	fixedSampleTest    bool // a test for a single evaluation is applied at each
+	ignoreNeighbours   bool
+	ignoreCapacity     bool // capacity is not checked
+	ignoreCrashes      bool // crashes are not counted
 }
--- a/internal/stage/watch.go
+++ b/internal/stage/watch.go
@@ -7,137 +7,139 @@
 	"pewterwheel/internal/fleet"
 )
 
-// peer is one process as this one last heard it.
+// peer is the last known state of one process.
 type peer struct {
-	name          string
-	life, version uint64
-	zone          string
-	state         fleet.State
-	suspect       bool
-	since         int64 // since when it is suspected, or gone from the view
-	known         bool  // stands in the newest view
-	told          told
-	raw           []byte // that told was read from
+	name                 string
+	incarnation, version uint64
+	zone                 string
+	state                fleet.State
+	suspect              bool
+	suspectSince         int64 // since when it has been suspected or missing from the view
+	inView               bool  // is in the newest view
+	status               processStatus
+	rawStatus            []byte // encoded form of status
 }
 
-// here tells that a process serves and is heard.
-func (p *peer) here() bool { return p.known && !p.suspect && p.state == fleet.Serving }
+// reachable reports whether a process serves and is not suspected.
+func (p *peer) reachable() bool { return p.inView && !p.suspect && p.state == fleet.Serving }
 
-// in tells that a process is in a change: a refusal is over with the answer.
-func (p *peer) in(change uint64) bool {
-	return p.told.Change == change && p.told.State != Unchanged && change != 0
+// inChange reports whether a process takes part in a change. A process that refused counts until its refusal is
+// settled.
+func (p *peer) inChange(change uint64) bool {
+	return p.status.Change == change && p.status.State != Unchanged && change != 0
 }
 
-// watch is what a process knows of the others, from their entries.
-type watch struct {
-	self       string
-	peers      map[string]*peer
-	names      []string // of all ever seen that are not forgotten, sorted
-	list       []*peer  // the same
-	fence      uint64   // the highest that anybody tells, with the write under it
-	write      uint64
-	over       uint64 // the highest change that anybody knows to be over
-	running    uint64 // the highest change that anybody conducts or is in
-	crashed    uint64 // the change whose crashes are counted here, and how many this process saw
-	crashes    uint64
-	who        string // the first of them
-	failpoints failpoints
+// peerTable is what a process knows of the others from their entries.
+type peerTable struct {
+	self           string
+	byName         map[string]*peer
+	names          []string // names of all peers that are not forgotten, sorted
+	sorted         []*peer  // the peers in the order of names
+	highestFence   uint64   // the highest fencing number that any process has announced, with the write under it
+	highestWrite   uint64
+	highestOver    uint64 // the highest change that any process knows to be over
+	highestRunning uint64 // the highest change that any process conducts or takes part in
+	crashedChange  uint64 // the change whose crashes are counted, and the number of them that this process knows
+	crashes        uint64
+	lastCrashed    string // name of the process whose crash was counted last
+	failpoints     failpoints
 }
 
-// forget is after how long a name that is in no view any more is forgotten. Guards against names that are used once
-// each.
-const forget = 3600 * second
+// forgetAfter is how long a name that is missing from the view is kept. Bounds the memory used if names are used
+// only once each.
+const forgetAfter = 3600 * second
 
-// view reads a view.
-func (w *watch) view(now int64, v *fleet.View) {
-	for _, p := range w.list {
-		p.known = false
+// update applies a view.
+func (t *peerTable) update(now int64, v *fleet.View) {
+	for _, p := range t.sorted {
+		p.inView = false
 	}
-	at := 0
+	next := 0
 	for i := range v.Members {
 		m := &v.Members[i]
-		for at < len(w.names) && w.names[at] < m.Name {
-			at++
+		for next < len(t.names) && t.names[next] < m.Name {
+			next++
 		}
-		if at == len(w.names) || w.names[at] != m.Name {
-			if w.peers[m.Name] != nil {
-				continue // the view is out of order
+		if next == len(t.names) || t.names[next] != m.Name {
+			if t.byName[m.Name] != nil {
+				continue // the view is not sorted
 			}
 			p := &peer{name: m.Name}
-			w.peers[m.Name] = p
-			w.names, w.list = slices.Insert(w.names, at, m.Name), slices.Insert(w.list, at, p)
+			t.byName[m.Name] = p
+			t.names, t.sorted = slices.Insert(t.names, next, m.Name), slices.Insert(t.sorted, next, p)
 		}
-		p := w.list[at]
-		p.known, p.zone = true, m.Zone
+		p := t.sorted[next]
+		p.inView, p.zone = true, m.Zone
 		if m.Suspect != p.suspect {
-			p.suspect, p.since = m.Suspect, now
+			p.suspect, p.suspectSince = m.Suspect, now
 		}
-		if p.life == m.Incarnation && p.version == m.Version {
+		if p.incarnation == m.Incarnation && p.version == m.Version {
 			continue
 		}
-		if m.Incarnation < p.life {
-			continue // an entry of an earlier life tells nothing any more
+		if m.Incarnation < p.incarnation {
+			continue // an entry of an earlier incarnation is out of date
 		}
-		t, b := p.told, m.Parts[fleet.Stage]
-		if p.life != m.Incarnation || !bytes.Equal(b, p.raw) {
-			if t = (told{}); len(b) > fleet.MaxBody || len(b) > 0 && decode(b, &t) != nil {
-				t = told{} // what cannot be read tells nothing
+		status, raw := p.status, m.Parts[fleet.Stage]
+		if p.incarnation != m.Incarnation || !bytes.Equal(raw, p.rawStatus) {
+			if status = (processStatus{}); len(raw) > fleet.MaxBody || len(raw) > 0 && decode(raw, &status) != nil {
+				status = processStatus{} // a status that cannot be decoded counts as empty
 			}
-			p.raw = b
+			p.rawStatus = raw
 		}
-		w.lives(m, p, t)
-		p.life, p.version, p.state, p.told = m.Incarnation, m.Version, m.State, t
-		w.learn(t)
-	}
-	forgets := false
-	for _, p := range w.list {
-		// Who is not in the view any more has left, or has not been heard for long: it is cut off, as if suspected.
-		if !p.known && !p.suspect {
-			p.suspect, p.since = true, now
+		t.countCrash(m, p, status)
+		p.incarnation, p.version, p.state, p.status = m.Incarnation, m.Version, m.State, status
+		t.merge(status)
+	}
+	anyExpired := false
+	for _, p := range t.sorted {
+		// A process that is missing from the view has left or has not been heard from for long; it is treated as
+		// suspected.
+		if !p.inView && !p.suspect {
+			p.suspect, p.suspectSince = true, now
 		}
-		forgets = forgets || !p.known && now-p.since > forget
-	}
-	if forgets {
-		gone := func(p *peer) bool { return !p.known && now-p.since > forget }
-		w.names = slices.DeleteFunc(w.names, func(n string) bool { return gone(w.peers[n]) })
-		w.list = slices.DeleteFunc(w.list, func(p *peer) bool {
-			if gone(p) {
-				delete(w.peers, p.name)
+		anyExpired = anyExpired || !p.inView && now-p.suspectSince > forgetAfter
+	}
+	if anyExpired {
+		expired := func(p *peer) bool { return !p.inView && now-p.suspectSince > forgetAfter }
+		t.names = slices.DeleteFunc(t.names, func(n string) bool { return expired(t.byName[n]) })
+		t.sorted = slices.DeleteFunc(t.sorted, func(p *peer) bool {
+			if expired(p) {
+				delete(t.byName, p.name)
 			}
-			return gone(p)
+			return expired(p)
 		})
 	}
 }
 
-// learn takes over what another process tells.
-func (w *watch) learn(t told) {
-	if t.Fence > w.fence || t.Fence == w.fence && t.Write > w.write {
-		w.fence, w.write = t.Fence, t.Write
-	}
-	w.over = max(w.over, t.Over)
-	if over(t.Phase) {
-		w.over = max(w.over, t.Conducts)
+// merge takes over what another process announces.
+func (t *peerTable) merge(status processStatus) {
+	if status.Fence > t.highestFence || status.Fence == t.highestFence && status.Write > t.highestWrite {
+		t.highestFence, t.highestWrite = status.Fence, status.Write
+	}
+	t.highestOver = max(t.highestOver, status.HighestOver)
+	if isOver(status.Phase) {
+		t.highestOver = max(t.highestOver, status.ConductedChange)
 	} else {
-		w.running = max(w.running, t.Conducts)
+		t.highestRunning = max(t.highestRunning, status.ConductedChange)
 	}
-	if t.State != Unchanged {
-		w.running = max(w.running, t.Change)
+	if status.State != Unchanged {
+		t.highestRunning = max(t.highestRunning, status.Change)
 	}
-	if t.Crashed > w.crashed || t.Crashed == w.crashed && t.Crashes > w.crashes {
-		w.crashed, w.crashes = t.Crashed, t.Crashes
+	if status.CrashedChange > t.crashedChange || status.CrashedChange == t.crashedChange && status.Crashes > t.crashes {
+		t.crashedChange, t.crashes = status.CrashedChange, status.Crashes
 	}
 }
 
-// lives counts a process that died while it was in a change: a later life of it has begun, and not the one that the
-// change starts. A process that was ending before, as its operators wanted, is none.
-func (w *watch) lives(m *fleet.Member, p *peer, next told) {
-	if m.Incarnation == p.life || p.life == 0 || p.told.Change == 0 || w.failpoints.noCrash {
+// countCrash counts a process that died while it took part in a change: it has a new incarnation that was not
+// started by the change. A process that was already draining or leaving, as its operators asked, is not counted.
+func (t *peerTable) countCrash(m *fleet.Member, p *peer, next processStatus) {
+	if m.Incarnation == p.incarnation || p.incarnation == 0 || p.status.Change == 0 || t.failpoints.ignoreCrashes {
 		return
 	}
-	c := p.told.Change
-	switch p.told.State {
+	change := p.status.Change
+	switch p.status.State {
 	case Changing:
-		if next.Change == c && (next.State == Changed || next.State == Returning) {
+		if next.Change == change && (next.State == Changed || next.State == Returning) {
 			return
 		}
 	case Changed:
@@ -147,56 +149,57 @@
 	default:
 		return
 	}
-	if c > w.crashed {
-		w.crashed, w.crashes = c, 0
+	if change > t.crashedChange {
+		t.crashedChange, t.crashes = change, 0
 	}
-	if w.crashed == c {
-		w.crashes++
-		w.who = m.Name
+	if t.crashedChange == change {
+		t.crashes++
+		t.lastCrashed = m.Name
 	}
 }
 
-// straggles tells whether somebody who is heard is still in a change.
-func (w *watch) straggles(change uint64) bool {
-	for _, p := range w.list {
-		if p.in(change) && p.here() {
+// anyInChange reports whether a reachable process is still in a change.
+func (t *peerTable) anyInChange(change uint64) bool {
+	for _, p := range t.sorted {
+		if p.inChange(change) && p.reachable() {
 			return true
 		}
 	}
 	return false
 }
 
-// runs is the change that is known to run; 0: none.
-func (w *watch) runs() uint64 {
-	if w.running > w.over || w.straggles(w.running) {
-		return w.running
+// runningChange returns the change that is known to be running; 0: none.
+func (t *peerTable) runningChange() uint64 {
+	if t.highestRunning > t.highestOver || t.anyInChange(t.highestRunning) {
+		return t.highestRunning
 	}
 	return 0
 }
 
-// follows tells whether this is one of the few processes that would conduct a change after its conductor. The one
-// that is left alone in its version is none, for another has to tell it.
-func (w *watch) follows(change uint64) bool {
-	const few = 3
-	me := w.peers[w.self]
-	if me == nil || !me.here() || w.alone(me, change) {
+// isStandby reports whether this is one of the few processes that would take over as conductor. A process that is
+// the last one on its side of the change is not, because another process has to order it.
+func (t *peerTable) isStandby(change uint64) bool {
+	const maxStandbys = 3
+	self := t.byName[t.self]
+	if self == nil || !self.reachable() || t.onlyOneOnSide(self, change) {
 		return false
 	}
-	before := 0
-	for _, p := range w.list {
-		if p != me && p.here() && byOrder(^change, p.name, w.self) < 0 && !w.alone(p, change) {
-			before++
+	ahead := 0
+	for _, p := range t.sorted {
+		if p != self && p.reachable() && compareRank(^change, p.name, t.self) < 0 && !t.onlyOneOnSide(p, change) {
+			ahead++
 		}
 	}
-	return before < few
+	return ahead < maxStandbys
 }
 
-// alone tells that all others that are heard are on one side of the change, and this one on the other.
-func (w *watch) alone(one *peer, change uint64) bool {
-	mine, others := one.in(change), 0
-	for _, p := range w.list {
-		if p != one && p.here() {
-			if p.in(change) == mine {
+// onlyOneOnSide reports whether all other reachable processes are on one side of the change and this one on the
+// other.
+func (t *peerTable) onlyOneOnSide(one *peer, change uint64) bool {
+	side, others := one.inChange(change), 0
+	for _, p := range t.sorted {
+		if p != one && p.reachable() {
+			if p.inChange(change) == side {
 				return false
 			}
 			others++
