--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -35,98 +35,98 @@
 	Update membership.Update
 }
 
-func (s *Session) arrive(a Arrival) {
-	switch a.Kind {
+func (s *Session) handleArrival(arrival Arrival) {
+	switch arrival.Kind {
 	case Accepted:
-		s.accepted(a)
+		s.callerAccepted(arrival)
 	case Asked:
-		s.asked(a)
+		s.controlAccepted(arrival)
 	case Dialled:
-		s.dialledTo(a)
+		s.dialFinished(arrival)
 	case Data:
 		s.Counters[state.Reads]++
-		s.Counters[state.Copied] += uint64(len(a.Data))
-		switch role := s.roles[a.Conn].(type) {
+		s.Counters[state.Copied] += uint64(len(arrival.Data))
+		switch role := s.connOwners[arrival.Conn].(type) {
 		case *state.Caller:
 			if len(role.In) == 0 {
 				role.Part = s.now
 			}
-			role.In = s.read(a, role.In, func(m wire.Message) {
+			role.In = s.readMessages(arrival, role.In, func(message wire.Message) {
 				role.Part = s.now
-				s.fromCaller(role, m, a.At)
+				s.handleCallerMessage(role, message, arrival.At)
 			})
 		case *state.Lane:
 			if role.Spoken.Heard = s.now; len(role.In) == 0 {
 				role.Partial = s.now
 			}
-			role.In = s.read(a, role.In, func(m wire.Message) {
+			role.In = s.readMessages(arrival, role.In, func(message wire.Message) {
 				role.Partial = s.now
-				s.fromOffice(role, m, a.At)
+				s.handleOfficeMessage(role, message, arrival.At)
 			})
 		case *journal:
-			s.fromJournal(a.Data)
+			s.handleJournalData(arrival.Data)
 		case *state.Asker:
-			s.fromAsker(role, a.Data)
+			s.handleControlData(role, arrival.Data)
 		}
 	case Flooded:
 		s.Counters[state.BadIn]++
-		if caller, ok := s.roles[a.Conn].(*state.Caller); ok {
-			s.turnOut(caller, errFlood)
-		} else if s.roles[a.Conn] != nil {
-			s.drop(a.Conn, errFlood)
+		if caller, ok := s.connOwners[arrival.Conn].(*state.Caller); ok {
+			s.disconnectCaller(caller, errBufferExceeded)
+		} else if s.connOwners[arrival.Conn] != nil {
+			s.closeConn(arrival.Conn, errBufferExceeded)
 		}
 	case Closed:
-		s.closed(a.Conn, a.Err)
+		s.connClosed(arrival.Conn, arrival.Err)
 	case Stop:
-		if s.stop == 0 {
-			s.stop = s.now
-			s.wheel.Set(s.stop+goOn, state.Timer{Kind: state.TimerLeave})
-			s.wheel.Set(s.lastAnswer(), state.Timer{Kind: state.TimerStop})
-			s.log.Info("stopping", "open", s.open(), "standing", len(s.stands))
+		if s.stoppedAt == 0 {
+			s.stoppedAt = s.now
+			s.wheel.Set(s.stoppedAt+acceptAfterStop, state.Timer{Kind: state.TimerLeave})
+			s.wheel.Set(s.lastAnswerTime(), state.Timer{Kind: state.TimerStop})
+			s.log.Info("stopping", "open", s.countOpen(), "standing", len(s.established))
 		}
 	case Left:
-		s.left = true
+		s.listenerClosed = true
 	case Report:
 		s.Report()
 	case Reload:
-		s.reload(a)
+		s.reload(arrival)
 	}
 }
 
 // read takes the whole messages out of what a connection has sent and returns the rest. A length that no
 // message can have ends the connection: where the next message would begin is not known.
-func (s *Session) read(a Arrival, rest []byte, each func(wire.Message)) []byte {
-	buf, whole := a.Data, false // good for this round
-	var behind []byte           // what came behind the message that had begun, which alone is put together
+func (s *Session) readMessages(arrival Arrival, rest []byte, handle func(wire.Message)) []byte {
+	buf, anyComplete := arrival.Data, false // good for this round
+	var following []byte                    // what came behind the message that had begun, which alone is put together
 	if len(rest) > 0 {
-		part := min(len(a.Data), wire.Missing(rest, a.Data))
-		s.Counters[state.Copied] += uint64(part)
-		buf, behind = append(rest, a.Data[:part]...), a.Data[part:]
+		missing := min(len(arrival.Data), wire.Missing(rest, arrival.Data))
+		s.Counters[state.Copied] += uint64(missing)
+		buf, following = append(rest, arrival.Data[:missing]...), arrival.Data[missing:]
 	}
-	for ; ; whole = true {
-		if s.roles[a.Conn] == nil {
+	for ; ; anyComplete = true {
+		if s.connOwners[arrival.Conn] == nil {
 			return nil // what came before has ended the connection
 		}
-		m, n, err := wire.NextInto(buf, s.params)
-		if m.Params != nil {
-			s.params = m.Params
+		message, n, err := wire.NextInto(buf, s.params)
+		if message.Params != nil {
+			s.params = message.Params
 		}
 		if err != nil {
 			s.Counters[state.BadIn]++
 			s.log.Debug("connection unreadable", "error", err)
-			if caller, ok := s.roles[a.Conn].(*state.Caller); ok {
-				s.turnOut(caller, err)
+			if caller, ok := s.connOwners[arrival.Conn].(*state.Caller); ok {
+				s.disconnectCaller(caller, err)
 			} else {
-				s.drop(a.Conn, err)
+				s.closeConn(arrival.Conn, err)
 			}
 			return nil
 		}
-		if n == 0 && len(buf) == 0 && len(behind) > 0 {
-			buf, behind = behind, nil
+		if n == 0 && len(buf) == 0 && len(following) > 0 {
+			buf, following = following, nil
 			continue
 		}
 		if n == 0 {
-			if !whole && len(rest) > 0 {
+			if !anyComplete && len(rest) > 0 {
 				return buf // it has grown, and that is all
 			}
 			if len(buf) == 0 || cap(rest) > 4*len(buf)+256 {
@@ -135,65 +135,65 @@
 			s.Counters[state.Copied] += uint64(len(buf))
 			return append(rest[:0], buf...)
 		}
-		each(m)
+		handle(message)
 		buf = buf[n:]
 	}
 }
 
 // drop closes a connection of which nothing more is wanted, once what there is for it is written.
-func (s *Session) drop(conn state.Conn, err error) {
-	switch role := s.roles[conn].(type) {
+func (s *Session) closeConn(conn state.Conn, err error) {
+	switch role := s.connOwners[conn].(type) {
 	case *state.Caller:
 		s.writeCaller(role)
 	case *state.Lane:
 		s.writeOffice(role)
 	}
 	_ = conn.Close() // its end is what is asked for
-	s.closed(conn, err)
+	s.connClosed(conn, err)
 }
 
-func (s *Session) closed(conn state.Conn, err error) {
-	role := s.roles[conn]
-	delete(s.roles, conn)
+func (s *Session) connClosed(conn state.Conn, err error) {
+	role := s.connOwners[conn]
+	delete(s.connOwners, conn)
 	switch role := role.(type) {
 	case *state.Caller:
-		s.callerLeft(role)
+		s.callerDisconnected(role)
 	case *state.Lane:
-		s.officeLost(role, err)
+		s.officeDisconnected(role, err)
 	case *journal:
-		s.journalLost(err)
+		s.journalDisconnected(err)
 	case *state.Asker:
-		s.askerLeft(role)
+		s.controlDisconnected(role)
 	}
 }
 
 // dial opens a connection to an office, or to the journal if it is nil.
 func (s *Session) dial(address string, lane *state.Lane) uint64 {
-	s.dialled++
-	id := s.dialled
+	s.lastDialID++
+	id := s.lastDialID
 	s.dials[id] = lane
-	s.wheel.Set(s.now+s.dialLimit, state.Timer{Kind: state.TimerDial, ID: id})
+	s.wheel.Set(s.now+s.dialTimeout, state.Timer{Kind: state.TimerDial, ID: id})
 	s.net.Dial(address, id)
 	return id
 }
 
-func (s *Session) dialledTo(a Arrival) {
-	lane, ok := s.dials[a.Dial]
+func (s *Session) dialFinished(arrival Arrival) {
+	lane, ok := s.dials[arrival.Dial]
 	if !ok { // it took too long, and was given up
-		if a.Conn != nil {
-			_ = a.Conn.Close() // nothing was written to it
+		if arrival.Conn != nil {
+			_ = arrival.Conn.Close() // nothing was written to it
 		}
 		return
 	}
-	delete(s.dials, a.Dial)
+	delete(s.dials, arrival.Dial)
 	switch {
-	case a.Err != nil && lane == nil:
-		s.journalLost(a.Err)
-	case a.Err != nil:
-		s.officeUnreached(lane, a.Err)
+	case arrival.Err != nil && lane == nil:
+		s.journalDisconnected(arrival.Err)
+	case arrival.Err != nil:
+		s.officeDialFailed(lane, arrival.Err)
 	case lane == nil:
-		s.journalOpen(a.Conn)
+		s.journalConnected(arrival.Conn)
 	default:
-		s.officeOpen(lane, a.Conn)
+		s.officeConnected(lane, arrival.Conn)
 	}
 }
--- a/internal/session/crowd_test.go
+++ b/internal/session/crowd_test.go
@@ -9,7 +9,7 @@
 )
 
 // burst is so many set-ups on one connection, each of a class, beginning with an id.
-func burst(first, n int, class string) string {
+func setUpBurst(first, n int, class string) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, `[01 %016x 10["%s"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["x"]]`, first+i, class, first+i, i%2)
@@ -19,21 +19,21 @@
 
 // A round that brings more set-ups than it may hold is dealt with at once: the dear ones go to the module, and the others are
 // refused in that round, with the time to stay away, each once. Who gave up in the same round gets nothing.
-func TestCrowdedRound(t *testing.T) {
+func TestOverloadedRound(t *testing.T) {
 	p := newPlayer(t)
-	p.s.maxHeld = 1000
+	p.s.maxCalls = 1000
 	for range 100 {
-		p.s.door.Took(100, 0, 10_000_000)
+		p.s.admission.Took(100, 0, 10_000_000)
 	}
-	most := p.s.door.Most(225)
+	most := p.s.admission.Most(225)
 	p.step()
 	conn := func(name, text string) Arrival {
 		p.play("10 " + name + " open")
 		return Arrival{Kind: Data, At: p.now, Conn: p.conns[name], Data: parse(t, text)}
 	}
 	p.until(10_000)
-	as := []Arrival{conn("a", burst(0x1000, 200, "balance-check")), conn("b", burst(0x2000, 20, "sale-auth")),
-		conn("c", burst(0x3000, 5, "sale-auth")+"[0c 0000000000003002 3a[10]]")}
+	as := []Arrival{conn("a", setUpBurst(0x1000, 200, "balance-check")), conn("b", setUpBurst(0x2000, 20, "sale-auth")),
+		conn("c", setUpBurst(0x3000, 5, "sale-auth")+"[0c 0000000000003002 3a[10]]")}
 	p.lines = nil
 	p.step(as...)
 	out := strings.Join(p.lines, "\n")
@@ -53,16 +53,16 @@
 	if !strings.Contains(out, "< [01 0000000000002013") && !strings.Contains(out, "< [01 0000000000003004") {
 		t.Errorf("the newest of the dear ones was not sent first:\n%s", out)
 	}
-	if n := p.s.open(); n != most {
+	if n := p.s.countOpen(); n != most {
 		t.Errorf("%d calls are open, want %d", n, most)
 	}
-	for _, rule := range brokenRules(t, p.lines) {
+	for _, rule := range ruleViolations(t, p.lines) {
 		t.Error(rule)
 	}
 	// A round with room for all is as it was.
 	p.lines = nil
 	p.play("20 d open")
-	p.play("20 d > " + burst(0x4000, most, "balance-check"))
+	p.play("20 d > " + setUpBurst(0x4000, most, "balance-check"))
 	if got := strings.Join(p.lines, "\n"); strings.Contains(got, "3a[2a]") {
 		t.Errorf("%d set-ups in a round that may hold as many: %s", most, got)
 	}
--- a/internal/session/descriptors.go
+++ b/internal/session/descriptors.go
@@ -6,67 +6,67 @@
 const (
 	// ownDescriptors are the program's own: its three streams, what it waits with, what it listens on, the journal's connection,
 	// a configuration that is read, and connects to be given up.
-	ownDescriptors = 16
+	baseDescriptors = 16
 	// leastCallers are let in however long the list is.
-	leastCallers = 16
+	minCallers = 16
 	// One part in callersPart of the descriptors is what usual callers may hold: connections to offices are opened ahead of
 	// their first set-up only as far as they leave that.
-	callersPart = 3
+	callerReserveDivisor = 3
 	// listeners is the callers' address and the second one.
-	listeners = 2
+	listenerCount = 2
 	// mostTaken bounds what Taken gives.
-	mostTaken = 16
+	maxPendingAccepts = 16
 )
 
 // Taken is how many new connections of one address may wait for the loop where there are so many descriptors. Further ones
 // wait in the listener's backlog, where they take none.
-func Taken(sockets int) int { return min(mostTaken, max(1, sockets/32)) }
+func Taken(sockets int) int { return min(maxPendingAccepts, max(1, sockets/32)) }
 
-func askers(sockets int) int { return min(mostAskers, max(2, sockets/16)) }
+func controlConnLimit(sockets int) int { return min(maxControlConns, max(2, sockets/16)) }
 
 // reserved is what is neither for callers nor for offices. At each address as many as may wait for the loop are also being
 // taken in by it, one more waits to be queued, and one is being copied.
-func reserved(sockets int) int {
-	return ownDescriptors + listeners*(2*Taken(sockets)+2) + askers(sockets)
+func reservedDescriptors(sockets int) int {
+	return baseDescriptors + listenerCount*(2*Taken(sockets)+2) + controlConnLimit(sockets)
 }
 
 // mostCallers is how many callers' connections there may be now.
-func (s *Session) mostCallers() int {
-	return min(s.maxCallers, max(leastCallers, s.room-len(s.offices.All())-s.lanes.count))
+func (s *Session) callerLimit() int {
+	return min(s.maxCallers, max(minCallers, s.descriptorLimit-len(s.offices.All())-s.lanes.count))
 }
 
 // justCome is how long a new caller's first message may be on its way: a set-up that crosses the end of its connection is sent
 // again once only.
-const justCome = 50_000
+const newCallerGrace = 50_000
 
 // unreadFor is how long callers on whose connections something waits to be read may keep new ones out.
-const unreadFor = 500_000
+const unreadCallerGrace = 500_000
 
 // Places is how many of so many new callers there is room for, or room can be made; past unreadFor all of them may come, and
 // be closed on. Guards against closing on new callers by dozens because those that came just before were not read yet.
 func (s *Session) Places(want int) int {
-	n, unread := s.mostCallers()-len(s.callers), false
-	for _, c := range s.callers {
-		if n >= want {
+	places, unread := s.callerLimit()-len(s.callers), false
+	for _, caller := range s.callers {
+		if places >= want {
 			break
 		}
-		if len(c.Open) > 0 {
+		if len(caller.Open) > 0 {
 			continue
 		}
-		if c.Conn.Waiting() {
+		if caller.Conn.Waiting() {
 			unread = true
 			continue
 		}
-		n++
+		places++
 	}
-	if n > 0 {
+	if places > 0 {
 		s.fullSince = 0
-		return min(n, want)
+		return min(places, want)
 	}
 	if s.fullSince == 0 {
 		s.fullSince = s.now
 	}
-	if unread && s.now-s.fullSince < unreadFor {
+	if unread && s.now-s.fullSince < unreadCallerGrace {
 		return 0
 	}
 	return want
--- a/internal/session/descriptors_test.go
+++ b/internal/session/descriptors_test.go
@@ -7,18 +7,18 @@
 )
 
 // The shares never add up to more descriptors than there are, where callers are not let in below the least.
-func TestDescriptorsAreSharedOut(t *testing.T) {
+func TestDescriptorShares(t *testing.T) {
 	for _, c := range []struct{ sockets, offices int }{{64, 8}, {128, 24}, {256, 24}, {256, 100}, {1024, 24}, {1024, 600}} {
 		p := newPlayerOf(t, Config{Sockets: c.sockets, Seed: 7})
 		p.step()
 		for i := range c.offices - 2 {
 			p.play(fmt.Sprintf("10 j > {%016x 02 %08x 7f000001 %04x 00 00 00 0000 000003e8 0000000000000000}", i+2, i+16, 2000+i))
 		}
-		callers := p.s.mostCallers()
-		if sum := callers + c.offices + reserved(c.sockets); sum > c.sockets || callers < leastCallers {
+		callers := p.s.callerLimit()
+		if sum := callers + c.offices + reservedDescriptors(c.sockets); sum > c.sockets || callers < minCallers {
 			t.Errorf("%d descriptors, %d offices: %d callers, %d in all", c.sockets, c.offices, callers, sum)
 		}
-		if usual := c.sockets / callersPart; c.offices <= 24 && callers < usual {
+		if usual := c.sockets / callerReserveDivisor; c.offices <= 24 && callers < usual {
 			t.Errorf("%d descriptors, %d offices: %d callers, usual ones hold %d", c.sockets, c.offices, callers, usual)
 		}
 	}
--- a/internal/session/exchange_test.go
+++ b/internal/session/exchange_test.go
@@ -49,39 +49,39 @@
 "most_held":20,"retry_after":true},"rules":{"answer_slack_us":20000,"cold_us":13000000,"drain_grace_us":1000000,
 "fall_multiple":3,"fall_us":1500000,"start_capacity":0.28}}`
 
-const known = `{"pos":1,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[
+const knownList = `{"pos":1,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[
 {"host":"s-00000001","dial":"127.0.0.1:1001","site":"lisboa","block":0,"health":"SERVING","share":1},
 {"host":"s-00000002","dial":"127.0.0.1:1002","site":"lisboa","block":1,"health":"SERVING","share":1}]}}]}`
 
-var addresses = map[string]string{"127.0.0.1:1001": "o1", "127.0.0.1:1002": "o2", "127.0.0.1:1003": "o3", "journal": "j", "journal2": "j2"}
+var connNames = map[string]string{"127.0.0.1:1001": "o1", "127.0.0.1:1002": "o2", "127.0.0.1:1003": "o3", "journal": "j", "journal2": "j2"}
 
 // player is the world round a session, its clock included.
 type player struct {
-	t      testing.TB
-	s      *Session
-	now    int64
-	conns  map[string]*fakeConn
-	policy map[string]string
-	ready  []Arrival
-	lines  []string
-	ended  bool
+	t               testing.TB
+	s               *Session
+	now             int64
+	conns           map[string]*fakeConn
+	connectPolicy   map[string]string
+	pendingArrivals []Arrival
+	lines           []string
+	ended           bool
 	// leaving: no new callers are wanted any more. holds: it is told only by the test that nobody waits.
-	leaving, holds bool
-	laner          *fakeLaner              // nil: calls are given no lanes
-	wrote          func(*fakeConn, []byte) // takes what is written, in place of the lines; nil: they do
-	shut, came     func(*fakeConn)         // are told of connections that were closed, and that came up; nil: not
-	greets         func(*fakeConn) []byte  // what an office says first on a new connection; nil: nothing
-	split          func(n int) int         // where what arrives is split, of so many bytes; nil: nowhere
+	listenerClosing, holdsListenerClosed bool
+	laner                                *fakeLaner              // nil: calls are given no lanes
+	onWrite                              func(*fakeConn, []byte) // takes what is written, in place of the lines; nil: they do
+	onClose, onConnect                   func(*fakeConn)         // are told of connections that were closed, and that came up; nil: not
+	greeting                             func(*fakeConn) []byte  // what an office says first on a new connection; nil: nothing
+	split                                func(n int) int         // where what arrives is split, of so many bytes; nil: nowhere
 }
 
 type fakeConn struct {
-	p    *player
-	name string
-	dead bool
+	p      *player
+	name   string
+	closed bool
 	// Something waits on it: it has come and was not read yet, or is not written whole.
 	waiting bool
 	// Its peer has ended it, which was not told yet. Not all that was written has left; none of what will be does at once.
-	gone, unsent, fills bool
+	peerClosed, unsent, blocksWrites bool
 }
 
 func (c *fakeConn) Waiting() bool { return c.waiting || c.unsent }
@@ -90,17 +90,17 @@
 
 func (c *fakeConn) Unsent() bool { return c.unsent }
 
-func (c *fakeConn) Gone() bool { return c.gone }
+func (c *fakeConn) Gone() bool { return c.peerClosed }
 
 func (c *fakeConn) Trust() {}
 
 func (c *fakeConn) Write(b []byte) (int, error) {
-	if c.dead {
+	if c.closed {
 		return 0, errors.New("closed")
 	}
-	c.unsent = c.unsent || c.fills
-	if c.p.wrote != nil {
-		c.p.wrote(c, b)
+	c.unsent = c.unsent || c.blocksWrites
+	if c.p.onWrite != nil {
+		c.p.onWrite(c, b)
 		return len(b), nil
 	}
 	c.p.note(c.name + " < " + render(b))
@@ -108,11 +108,11 @@
 }
 
 func (c *fakeConn) Close() error {
-	if !c.dead {
-		c.dead = true
+	if !c.closed {
+		c.closed = true
 		c.p.note(c.name + " shut")
-		if c.p.shut != nil {
-			c.p.shut(c)
+		if c.p.onClose != nil {
+			c.p.onClose(c)
 		}
 	}
 	return nil
@@ -123,50 +123,50 @@
 }
 
 func (p *player) Dial(address string, id uint64) {
-	name := addresses[address]
-	a := Arrival{Kind: Dialled, At: p.now, Dial: id}
-	switch p.policy[name] {
+	name := connNames[address]
+	arrival := Arrival{Kind: Dialled, At: p.now, Dial: id}
+	switch p.connectPolicy[name] {
 	case "silent":
 		return
 	case "refuse":
-		a.Err = fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
+		arrival.Err = fmt.Errorf("connect: %w", syscall.ECONNREFUSED)
 	case "short":
-		a.Err = fmt.Errorf("socket: %w", syscall.EMFILE)
+		arrival.Err = fmt.Errorf("socket: %w", syscall.EMFILE)
 	default:
 		if p.s != nil && p.s.dials[id] != nil && p.s.dials[id].Number != 0 {
 			name = fmt.Sprintf("%s.%d", name, p.s.dials[id].Number)
 		}
 		conn := &fakeConn{p: p, name: name}
-		p.conns[name], a.Conn = conn, conn
-		if p.came != nil && name[0] == 'o' {
-			p.came(conn)
+		p.conns[name], arrival.Conn = conn, conn
+		if p.onConnect != nil && name[0] == 'o' {
+			p.onConnect(conn)
 		}
 	}
-	p.ready = append(p.ready, a)
-	if conn, up := a.Conn.(*fakeConn); up && p.greets != nil && name[0] == 'o' {
-		if data := p.greets(conn); len(data) > 0 {
-			p.ready = append(p.ready, Arrival{Kind: Data, At: p.now, Conn: conn, Data: data})
+	p.pendingArrivals = append(p.pendingArrivals, arrival)
+	if conn, up := arrival.Conn.(*fakeConn); up && p.greeting != nil && name[0] == 'o' {
+		if data := p.greeting(conn); len(data) > 0 {
+			p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Data, At: p.now, Conn: conn, Data: data})
 		}
 	}
 }
 
 // Leave ends listening in the next round, or when a test says so.
 func (p *player) Leave() {
-	if p.leaving = true; !p.holds {
-		p.ready = append(p.ready, Arrival{Kind: Left, At: p.now})
+	if p.listenerClosing = true; !p.holdsListenerClosed {
+		p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Left, At: p.now})
 	}
 }
 
 func (p *player) step(arrivals ...Arrival) {
 	p.s.Step(p.now, arrivals)
-	for _, a := range arrivals { // the buffer is used again after the round: nobody may look at it any more
-		for i := range a.Data {
-			a.Data[i] = 0xdb
+	for _, arrival := range arrivals { // the buffer is used again after the round: nobody may look at it any more
+		for i := range arrival.Data {
+			arrival.Data[i] = 0xdb
 		}
 	}
-	for len(p.ready) > 0 {
-		ready := p.ready
-		p.ready = nil
+	for len(p.pendingArrivals) > 0 {
+		ready := p.pendingArrivals
+		p.pendingArrivals = nil
 		p.s.Step(p.now, ready)
 	}
 	if p.s.Done() && !p.ended {
@@ -210,7 +210,7 @@
 		conn = &fakeConn{p: p, name: name}
 		p.conns[name] = conn
 		if p.laner != nil {
-			p.laner.opens = name
+			p.laner.nextCaller = name
 		}
 		kind := Accepted
 		if name[0] == 'q' {
@@ -218,15 +218,15 @@
 		}
 		p.step(Arrival{Kind: kind, At: p.now, Conn: conn})
 	case "reset":
-		conn.dead = true
+		conn.closed = true
 	case "waiting", "idle":
 		conn.waiting = words[2] == "waiting"
 	case "gone":
-		conn.gone = true
+		conn.peerClosed = true
 	case "stuck", "taken":
 		conn.unsent = words[2] == "stuck"
 	case "close":
-		conn.dead = true
+		conn.closed = true
 		p.step(Arrival{Kind: Closed, At: p.now, Conn: conn, Err: io.EOF})
 	case ">":
 		var as []Arrival
@@ -238,7 +238,7 @@
 		}
 		p.step(append(as, Arrival{Kind: Data, At: p.now, Conn: conn, Data: data})...)
 	default:
-		p.policy[name] = words[2]
+		p.connectPolicy[name] = words[2]
 	}
 }
 
@@ -277,15 +277,15 @@
 
 // render writes bytes in that notation.
 func render(b []byte) string {
-	m, n, err := wire.Next(b)
+	message, n, err := wire.Next(b)
 	if text, ok := strings.CutSuffix(string(b), "\n"); ok && n == 0 {
 		return `"` + strings.ReplaceAll(text, "\n", `" 0a "`) + `" 0a`
 	}
-	if err != nil || n == 0 || m.Bad {
+	if err != nil || n == 0 || message.Bad {
 		return hex.EncodeToString(b)
 	}
-	text := fmt.Sprintf("[%02x %016x", byte(m.Type), m.Call)
-	for _, p := range m.Params {
+	text := fmt.Sprintf("[%02x %016x", byte(message.Type), message.Call)
+	for _, p := range message.Params {
 		value := `"` + string(p.Value) + `"`
 		if p.Code == wire.ParamCause || strings.ContainsFunc(string(p.Value), func(r rune) bool { return r < ' ' || r > '~' || r == '"' }) {
 			value = hex.EncodeToString(p.Value)
@@ -301,9 +301,9 @@
 func newPlayer(t *testing.T) *player { return newPlayerOf(t, Config{Sockets: 1024, Seed: 7}) }
 
 func newPlayerOf(t testing.TB, cfg Config) *player {
-	p := &player{t: t, conns: map[string]*fakeConn{}, policy: map[string]string{}}
+	p := &player{t: t, conns: map[string]*fakeConn{}, connectPolicy: map[string]string{}}
 	var first wire.Known
-	for text, into := range map[string]any{settings: &cfg.Settings, known: &first} {
+	for text, into := range map[string]any{settings: &cfg.Settings, knownList: &first} {
 		if err := json.Unmarshal([]byte(text), into); err != nil {
 			t.Fatal(err)
 		}
@@ -360,7 +360,7 @@
 
 // A call is answered in the very round in which its caller gives it up: one of the two counts, whichever is read first,
 // and the office is told if nobody has the call.
-func TestAnswerAndGiveUpInOneRound(t *testing.T) {
+func TestAnswerAndCancellationInOneRound(t *testing.T) {
 	up := `[01 %s 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`
 	for _, id := range []string{"0000000000000001", "8000000000000001", "8000000000000000", "ffffffffffffffff"} {
 		for _, first := range []string{"answer", "giveup"} {
@@ -381,8 +381,8 @@
 				t.Errorf("%s, %s first: the office was told %d times; %q", id, first, n, p.lines)
 			}
 			answered := strings.Contains(strings.Join(p.lines, "\n"), "a < [09 "+id)
-			if answered != (first == "answer") || len(p.s.calls)+len(p.s.stands) != 0 {
-				t.Errorf("%s, %s first: %d calls, %d stand; %q", id, first, len(p.s.calls), len(p.s.stands), p.lines)
+			if answered != (first == "answer") || len(p.s.calls)+len(p.s.established) != 0 {
+				t.Errorf("%s, %s first: %d calls, %d stand; %q", id, first, len(p.s.calls), len(p.s.established), p.lines)
 			}
 		}
 	}
@@ -419,7 +419,7 @@
 					p.play(line)
 				}
 			}
-			for _, broken := range brokenRules(t, p.lines) {
+			for _, broken := range ruleViolations(t, p.lines) {
 				t.Error(broken)
 			}
 			got := strings.Join(p.lines, "\n") + "\n"
@@ -437,7 +437,7 @@
 // brokenRules reads a recording for what must hold in any: one final answer for a call, one attempt out at a
 // time, six at most, and none within the guard after one that was reset or given up. It also holds while
 // recording, so that a wrong recording is not made unnoticed.
-func brokenRules(t *testing.T, lines []string) (broken []string) {
+func ruleViolations(t *testing.T, lines []string) (broken []string) {
 	final, out, sends, guard := map[uint64]wire.Type{}, map[uint64]string{}, map[uint64]int{}, map[uint64]int64{}
 	for _, line := range lines {
 		words := strings.SplitN(line, " ", 4)
@@ -458,31 +458,31 @@
 			continue
 		}
 		for b := parse(t, words[3]); len(b) > 0; {
-			m, n, err := wire.Next(b)
+			message, n, err := wire.Next(b)
 			if err != nil || n == 0 {
 				break
 			}
 			b = b[n:]
-			switch ends := m.Type == wire.TypeAnswer || m.Type == wire.TypeRelease; {
-			case office && words[2] == "<" && m.Type == wire.TypeSetUp:
-				if out[m.Call] != "" || ms < guard[m.Call] {
-					broken = append(broken, fmt.Sprintf("%s: out at %q, guard until %d", line, out[m.Call], guard[m.Call]))
+			switch ends := message.Type == wire.TypeAnswer || message.Type == wire.TypeRelease; {
+			case office && words[2] == "<" && message.Type == wire.TypeSetUp:
+				if out[message.Call] != "" || ms < guard[message.Call] {
+					broken = append(broken, fmt.Sprintf("%s: out at %q, guard until %d", line, out[message.Call], guard[message.Call]))
 				}
-				if sends[m.Call]++; sends[m.Call] > 6 {
+				if sends[message.Call]++; sends[message.Call] > 6 {
 					broken = append(broken, line+": too many attempts")
 				}
-				out[m.Call] = words[1]
-			case office && ends && out[m.Call] == words[1]:
-				delete(out, m.Call)
-				if words[2] == "<" || m.Cause() == wire.CauseCut {
-					guard[m.Call] = ms + 200
+				out[message.Call] = words[1]
+			case office && ends && out[message.Call] == words[1]:
+				delete(out, message.Call)
+				if words[2] == "<" || message.Cause() == wire.CauseCut {
+					guard[message.Call] = ms + 200
 				}
 			case !office && words[2] == "<" && ends:
 				// The release of a call that stood may come again on another connection; nothing else may.
-				if was := final[m.Call]; was != 0 && (m.Type == wire.TypeAnswer || was == wire.TypeRelease) {
+				if was := final[message.Call]; was != 0 && (message.Type == wire.TypeAnswer || was == wire.TypeRelease) {
 					broken = append(broken, line+": a second final answer")
 				} else if was == 0 {
-					final[m.Call] = m.Type
+					final[message.Call] = message.Type
 				}
 			}
 		}
@@ -490,7 +490,7 @@
 	return broken
 }
 
-func TestBrokenRulesAreSeen(t *testing.T) {
+func TestRuleViolationsAreDetected(t *testing.T) {
 	for want, recording := range map[string]string{
 		"":         "1 o1 < [01 0000000000000001];2 o1 > [0c 0000000000000001 3a[22]];2 o2 < [01 0000000000000001]",
 		"out at":   "1 o1 < [01 0000000000000001];2 o2 < [01 0000000000000001]",
@@ -498,7 +498,7 @@
 		"answer":   "1 a < [09 0000000000000001];2 b < [09 0000000000000001]",
 		"a second": "1 a < [0c 0000000000000001 3a[2a]];2 a < [0c 0000000000000001 3a[2a]]",
 	} {
-		got := strings.Join(brokenRules(t, strings.Split(recording, ";")), "; ")
+		got := strings.Join(ruleViolations(t, strings.Split(recording, ";")), "; ")
 		if !strings.Contains(got, want) || want == "" && got != "" {
 			t.Errorf("%s\ngave %q, want %q", recording, got, want)
 		}
@@ -508,7 +508,7 @@
 // A long day in short: callers, ids and offices are always new, some offices come at the address of one that has
 // gone, answers come, are refused, come spoilt or not at all, and callers leave at any point. Nothing of it is kept
 // once it is over: each map, list and timer is empty but for what serves.
-func TestLongDayLeavesNothing(t *testing.T) {
+func TestLongRunLeavesNoState(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	const rounds = 400
@@ -542,20 +542,20 @@
 		p.until(p.now + 200_000)
 		office(n, 2)
 	}
-	p.until(p.now + 4*remember)
-	for _, c := range slices.Clone(p.s.callers) {
-		p.step(Arrival{Kind: Closed, At: p.now, Conn: c.Conn})
+	p.until(p.now + 4*endedCallTTL)
+	for _, caller := range slices.Clone(p.s.callers) {
+		p.step(Arrival{Kind: Closed, At: p.now, Conn: caller.Conn})
 	}
-	p.until(p.now + 2*remember)
+	p.until(p.now + 2*endedCallTTL)
 	s := p.s
-	for what, n := range map[string]int{"calls": len(s.calls), "standing calls": len(s.stands), "unsent releases": len(s.unsent),
-		"remembered ids": len(s.over), "bytes": int(s.bytes), "dials": len(s.dials), "callers": len(s.callers)} {
+	for what, n := range map[string]int{"calls": len(s.calls), "standing calls": len(s.established), "unsent releases": len(s.unsentReleases),
+		"remembered ids": len(s.endedCalls), "bytes": int(s.callBytes), "dials": len(s.dials), "callers": len(s.callers)} {
 		if n != 0 {
 			t.Errorf("%d %s are left", n, what)
 		}
 	}
 	// The module's tick, the sweep, the journal's and the connections' watch; the two offices that serve, and the journal.
-	if timers, roles := s.wheel.Len(), len(s.roles); timers > 8 || roles > 3 || len(s.offices.All()) != 2 {
+	if timers, roles := s.wheel.Len(), len(s.connOwners); timers > 8 || roles > 3 || len(s.offices.All()) != 2 {
 		t.Errorf("%d timers, %d connections, %d offices are left", timers, roles, len(s.offices.All()))
 	}
 	for _, o := range s.offices.All() {
@@ -571,7 +571,7 @@
 // Open set-ups take a part of memory at most, whatever their number, and give it back.
 func TestOpenSetUpsAreBoundedByMemory(t *testing.T) {
 	p := newPlayer(t)
-	p.s.maxBytes, p.s.maxHeld = 32<<20/heldPart, 20_000
+	p.s.maxCallBytes, p.s.maxCalls = 32<<20/memoryDivisor, 20_000
 	p.step()
 	long := strings.Repeat("x", 15<<10)
 	for n := range 1000 {
@@ -586,20 +586,20 @@
 		t.Errorf("%d set-ups of 15 KiB are open in 32 MB", n)
 	}
 	p.until(20_000_000)
-	if len(p.s.calls) != 0 || p.s.bytes != 0 {
-		t.Errorf("%d calls and %d bytes are left", len(p.s.calls), p.s.bytes)
+	if len(p.s.calls) != 0 || p.s.callBytes != 0 {
+		t.Errorf("%d calls and %d bytes are left", len(p.s.calls), p.s.callBytes)
 	}
 }
 
 // After SIGTERM the program does not end while callers may wait to be taken in, and answers those that did.
-func TestEndsOnceNobodyWaitsToBeTakenIn(t *testing.T) {
+func TestShutdownWaitsForListenerBacklog(t *testing.T) {
 	p := newPlayer(t)
-	p.holds = true
+	p.holdsListenerClosed = true
 	p.step()
 	p.play("100 term")
 	p.until(1_500_000)
-	if p.ended || !p.leaving {
-		t.Fatalf("ended: %v; asked to listen for no more: %v", p.ended, p.leaving)
+	if p.ended || !p.listenerClosing {
+		t.Fatalf("ended: %v; asked to listen for no more: %v", p.ended, p.listenerClosing)
 	}
 	p.play("1500 a open")
 	p.play(`1500 a > [01 00000000000000a1 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`)
@@ -615,7 +615,7 @@
 }
 
 // Room for a new caller is made by ending one on which nothing waits, though another has been quiet for longer.
-func TestRoomIsNotMadeWhereSomethingWaits(t *testing.T) {
+func TestCallerWithPendingDataIsNotClosed(t *testing.T) {
 	p := newPlayer(t)
 	p.s.maxCallers = 2
 	p.step()
@@ -631,7 +631,7 @@
 var _ state.Conn = (*fakeConn)(nil)
 
 // Long messages that come many in one read: only the one that is split is put together, not all that came with it.
-func TestOnlyASplitMessageIsPutTogether(t *testing.T) {
+func TestOnlySplitMessagesAreReassembled(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 a open")
@@ -640,7 +640,7 @@
 	for range 40 {
 		all, _ = long.Append(all)
 	}
-	all = append(all, parse(t, upFor(1, 0))...)
+	all = append(all, parse(t, setUpMessage(1, 0))...)
 	before, reads := p.s.Counters[state.Copied], uint64(0)
 	for came := range slices.Chunk(all, 64<<10) {
 		p.now += 1000
@@ -651,7 +651,7 @@
 	if beside > reads*wire.MaxMessage {
 		t.Errorf("%d bytes were copied again of %d in %d reads", beside, len(all), reads)
 	}
-	if !p.wroteFor("o1", 1, 1) {
+	if !p.wroteMessage("o1", 1, 1) {
 		t.Errorf("the set-up behind them was not read:\n%s", strings.Join(p.lines, "\n"))
 	}
 }
--- a/internal/session/gone_test.go
+++ b/internal/session/gone_test.go
@@ -11,16 +11,16 @@
 )
 
 // upFor is a caller's set-up whose first choice is the office at a place.
-func upFor(call, place int) string {
+func setUpMessage(call, place int) string {
 	return fmt.Sprintf(`[01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["offer"]]`, call, call, place)
 }
 
-func answerOf(call int) string { return fmt.Sprintf(`[09 %016x 3d["d"]]`, call) }
+func answerMessage(call int) string { return fmt.Sprintf(`[09 %016x 3d["d"]]`, call) }
 
-func giveUpOf(call int) string { return fmt.Sprintf("[0c %016x 3a[10]]", call) }
+func cancelMessage(call int) string { return fmt.Sprintf("[0c %016x 3a[10]]", call) }
 
 // wrote tells whether a message of that type was written for a call on connections whose name begins so.
-func (p *player) wroteFor(conn string, kind, call int) bool {
+func (p *player) wroteMessage(conn string, kind, call int) bool {
 	return slices.ContainsFunc(p.lines, func(line string) bool {
 		words := strings.Fields(line)
 		return len(words) > 2 && strings.HasPrefix(words[1], conn) && words[2] == "<" &&
@@ -34,62 +34,62 @@
 }
 
 // held has the caller b ask for call 3, which waits for a slot: the two offices have one set-up each, the caller a's.
-func held(t *testing.T) *player {
+func newPlayerWithHeldCall(t *testing.T) *player {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 a open")
 	p.play("5 b open")
-	p.play("10 a > " + upFor(1, 0))
-	p.play("12 a > " + upFor(2, 1))
-	p.play("20 b > " + upFor(3, 0))
-	if p.wroteFor("o", 1, 3) {
+	p.play("10 a > " + setUpMessage(1, 0))
+	p.play("12 a > " + setUpMessage(2, 1))
+	p.play("20 b > " + setUpMessage(3, 0))
+	if p.wroteMessage("o", 1, 3) {
 		t.Fatal("the third call did not wait for a slot")
 	}
 	return p
 }
 
 // A caller ends its connection while its call waits; the slot comes free before its end is told. No attempt begins.
-func TestNoAttemptForACallerThatHasGone(t *testing.T) {
-	p := held(t)
+func TestNoAttemptForDisconnectedCaller(t *testing.T) {
+	p := newPlayerWithHeldCall(t)
 	p.play("200 b gone")
-	p.play("300 o1 > " + answerOf(1))
+	p.play("300 o1 > " + answerMessage(1))
 	p.until(1_000_000)
-	if p.wroteFor("o", 1, 3) {
+	if p.wroteMessage("o", 1, 3) {
 		t.Errorf("an attempt began for a caller that had gone:\n%s", strings.Join(p.lines, "\n"))
 	}
 	p.play("1000 b close")
-	p.play("1001 a > " + upFor(4, 0)) // the slot was not lost by it
+	p.play("1001 a > " + setUpMessage(4, 0)) // the slot was not lost by it
 	p.until(2_000_000)
-	if !p.wroteFor("o1", 1, 4) {
+	if !p.wroteMessage("o1", 1, 4) {
 		t.Errorf("the office gets nothing more:\n%s", strings.Join(p.lines, "\n"))
 	}
 }
 
 // The same with a caller that is there: the attempt begins.
-func TestAttemptForACallerThatIsThere(t *testing.T) {
-	p := held(t)
-	p.play("300 o1 > " + answerOf(1))
+func TestAttemptForConnectedCaller(t *testing.T) {
+	p := newPlayerWithHeldCall(t)
+	p.play("300 o1 > " + answerMessage(1))
 	p.until(1_000_000)
-	if !p.wroteFor("o1", 1, 3) {
+	if !p.wroteMessage("o1", 1, 3) {
 		t.Errorf("no attempt began:\n%s", strings.Join(p.lines, "\n"))
 	}
 }
 
 // The connect for a call comes up slowly, and its caller has gone meanwhile, or given up; the other call that waits goes on.
-func TestNoAttemptOnASlowConnect(t *testing.T) {
+func TestNoAttemptForCallEndedDuringConnect(t *testing.T) {
 	for _, how := range []string{"gone", "given up", "not heard yet"} {
 		p := newPlayer(t)
 		p.step()
 		for _, line := range []string{"5 a open", "5 b open", "6 o1 silent", "7 o1 close", "7 o2 silent", "8 o2 close"} {
 			p.play(line)
 		}
-		p.play("10 a > " + upFor(1, 0))
-		p.play("10 b > " + upFor(2, 1))
+		p.play("10 a > " + setUpMessage(1, 0))
+		p.play("10 b > " + setUpMessage(2, 1))
 		switch how {
 		case "gone":
 			p.play("100 b gone")
 		case "given up":
-			p.play("100 b > " + giveUpOf(2))
+			p.play("100 b > " + cancelMessage(2))
 		}
 		if how == "not heard yet" { // nothing is read for a quarter of a second; then the offices' connections are told first
 			p.until(150_000)
@@ -100,76 +100,76 @@
 		p.now = 400_000
 		var up []Arrival
 		for i, office := range []string{"s-00000001", "s-00000002"} {
-			l := p.lane(office)
-			if len(l.Queue) == 0 && (how != "given up" || i == 0) {
+			lane := p.lane(office)
+			if len(lane.Queue) == 0 && (how != "given up" || i == 0) {
 				t.Fatalf("%s: no set-up waits for %s", how, office)
 			}
 			conn := &fakeConn{p: p, name: fmt.Sprintf("o%d", i+1)}
 			p.conns[conn.name] = conn
-			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: l.Dialling, Conn: conn})
+			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: lane.Dialling, Conn: conn})
 		}
 		p.step(up...)
 		if how == "not heard yet" {
-			if p.wroteFor("o2", 1, 2) {
+			if p.wroteMessage("o2", 1, 2) {
 				t.Errorf("%s: an attempt began", how)
 			}
 			p.play("401 b idle")
-			p.play("401 b > " + giveUpOf(2))
+			p.play("401 b > " + cancelMessage(2))
 		}
 		p.until(1_500_000)
-		if !p.wroteFor("o1", 1, 1) || p.wroteFor("o", 1, 2) {
+		if !p.wroteMessage("o1", 1, 1) || p.wroteMessage("o", 1, 2) {
 			t.Errorf("%s: the office was to get call 1 and not call 2:\n%s", how, strings.Join(p.lines, "\n"))
 		}
 	}
 }
 
 // After a stand-still an attempt waits while something of its caller is unread, and no longer than two watches.
-func TestAttemptAfterAStandStill(t *testing.T) {
+func TestAttemptAfterProcessPause(t *testing.T) {
 	for _, how := range []string{"given up", "something else"} {
-		p := held(t)
+		p := newPlayerWithHeldCall(t)
 		p.conns["b"].waiting = true
 		p.now = 400_000 // nothing ran since 20 ms
-		p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, answerOf(1))})
-		if p.wroteFor("o", 1, 3) {
+		p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, answerMessage(1))})
+		if p.wroteMessage("o", 1, 3) {
 			t.Errorf("%s: an attempt began before its caller was heard", how)
 		}
 		if how == "given up" {
-			p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["b"], Data: parse(t, giveUpOf(3))})
+			p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["b"], Data: parse(t, cancelMessage(3))})
 		}
 		p.until(500_000) // something of it stays unread
-		if began := p.wroteFor("o1", 1, 3); began != (how == "something else") {
+		if began := p.wroteMessage("o1", 1, 3); began != (how == "something else") {
 			t.Errorf("%s: an attempt began: %t\n%s", how, began, strings.Join(p.lines, "\n"))
 		}
 	}
 }
 
 // What was written to an office does not leave: further set-ups wait here, where they can be taken back.
-func TestNoAttemptBehindAWriteThatWaits(t *testing.T) {
+func TestNoSetUpBehindUnsentData(t *testing.T) {
 	for _, how := range []string{"given up", "gone", "drained", "waits"} {
 		p := newPlayer(t)
 		p.step()
 		for _, line := range []string{"5 a open", "5 b open", "6 o1 stuck", "6 o2 stuck"} {
 			p.play(line)
 		}
-		p.play("10 a > " + upFor(1, 0))
-		p.play("10 b > " + upFor(2, 1))
+		p.play("10 a > " + setUpMessage(1, 0))
+		p.play("10 b > " + setUpMessage(2, 1))
 		switch how {
 		case "given up":
-			p.play("100 b > " + giveUpOf(2))
+			p.play("100 b > " + cancelMessage(2))
 		case "gone":
 			p.play("100 b gone")
 		case "drained":
 			p.play("100 j > {0000000000000002 02 00000002 7f000001 03ea 01 00 00 0001 000003e8 0000000000000000}")
 			p.until(150_000)
-			if o := p.s.offices.Get("s-00000002"); o.State != decide.Draining {
-				t.Fatalf("the office is not draining: %v", o.State)
+			if office := p.s.offices.Get("s-00000002"); office.State != decide.Draining {
+				t.Fatalf("the office is not draining: %v", office.State)
 			}
-			p.play("160 b > " + giveUpOf(2)) // else it goes to the other office
+			p.play("160 b > " + cancelMessage(2)) // else it goes to the other office
 		}
 		p.play("300 o1 taken")
 		p.play("300 o2 taken")
 		p.until(1_000_000)
-		if !p.wroteFor("o1", 1, 1) || p.wroteFor("o", 1, 2) != (how == "waits") {
+		if !p.wroteMessage("o1", 1, 1) || p.wroteMessage("o", 1, 2) != (how == "waits") {
 			t.Errorf("%s: what the offices got:\n%s", how, strings.Join(p.lines, "\n"))
 		}
 	}
@@ -177,34 +177,34 @@
 
 // A set-up has been written and not all of it has left when its caller gives it up, or the office is told to drain: its
 // connection ends, for else it would begin whenever the office reads again. What stands there is released on the next one.
-func TestSetUpThatIsStuckIsTakenBack(t *testing.T) {
+func TestUnsentSetUpIsWithdrawn(t *testing.T) {
 	for _, how := range []string{"given up", "gone", "drained", "taken in time"} {
 		p := newPlayer(t)
 		p.step()
 		p.play("5 b open")
-		p.conns["o2"].fills = true
+		p.conns["o2"].blocksWrites = true
 		first := p.conns["o2"]
-		p.play("10 b > " + upFor(2, 1))
-		if !p.wroteFor("o2", 1, 2) {
+		p.play("10 b > " + setUpMessage(2, 1))
+		if !p.wroteMessage("o2", 1, 2) {
 			t.Fatal("no set-up was written")
 		}
 		switch how {
 		case "given up":
-			p.play("100 b > " + giveUpOf(2))
+			p.play("100 b > " + cancelMessage(2))
 		case "gone":
 			p.play("100 b close")
 		case "drained":
 			p.play("100 j > {0000000000000002 02 00000002 7f000001 03ea 01 00 00 0001 000003e8 0000000000000000}")
 		case "taken in time":
-			first.fills = false
+			first.blocksWrites = false
 			p.play("90 o2 taken")
-			p.play("100 b > " + giveUpOf(2))
+			p.play("100 b > " + cancelMessage(2))
 		}
-		if first.dead == (how == "taken in time") {
-			t.Errorf("%s: the connection has ended: %t\n%s", how, first.dead, strings.Join(p.lines, "\n"))
+		if first.closed == (how == "taken in time") {
+			t.Errorf("%s: the connection has ended: %t\n%s", how, first.closed, strings.Join(p.lines, "\n"))
 		}
 		p.until(400_000)
-		if how != "drained" && !p.wroteFor("o2", 12, 2) {
+		if how != "drained" && !p.wroteMessage("o2", 12, 2) {
 			t.Errorf("%s: the office was not told that nobody has the call:\n%s", how, strings.Join(p.lines, "\n"))
 		}
 		if n := len(p.s.calls); how != "drained" && n != 0 {
@@ -214,50 +214,50 @@
 }
 
 // sends is a decider that sends what comes to one office, to leave by a time.
-type sends struct {
-	to    decide.ServerID
-	until int64
-	ended []decide.Event
+type singleOfficeDecider struct {
+	office decide.ServerID
+	until  int64
+	ended  []decide.Event
 }
 
-func (d *sends) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
-	switch e.Kind {
+func (d *singleOfficeDecider) Step(now int64, event decide.Event, out []decide.Action) []decide.Action {
+	switch event.Kind {
 	case decide.Order:
 		until := int64(0)
 		if d.until != 0 {
 			until = now + d.until
 		}
-		out = append(out, decide.Action{Kind: decide.Send, Call: e.Call, Server: d.to, Until: until})
+		out = append(out, decide.Action{Kind: decide.Send, Call: event.Call, Server: d.office, Until: until})
 	case decide.Ended:
-		d.ended = append(d.ended, e)
-		out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call})
+		d.ended = append(d.ended, event)
+		out = append(out, decide.Action{Kind: decide.Fail, Call: event.Call})
 	}
 	return out
 }
 
-func (*sends) Avoids(decide.ServerID) bool { return false }
+func (*singleOfficeDecider) Avoids(decide.ServerID) bool { return false }
 
 // The window in which a call may be repeated ends while its set-up waits for a connection: it is taken back then. One that has
 // left in time stays out until its answer comes.
-func TestSetUpLeavesWithinItsWindow(t *testing.T) {
+func TestSetUpIsSentWithinItsTimeLimit(t *testing.T) {
 	for _, up := range []int64{250, 299, 301, 400} {
-		d := &sends{to: "s-00000001", until: 290_000}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return d, nil }})
+		decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
 		}
-		p.play("10 a > " + upFor(1, 0)) // to leave by 300 ms
+		p.play("10 a > " + setUpMessage(1, 0)) // to leave by 300 ms
 		p.until(up * 1000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
 		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
-		if left := p.wroteFor("o1", 1, 1); left != (up < 300) || left != (len(d.ended) == 0) {
-			t.Errorf("up at %d: left: %t; ended: %v", up, left, d.ended)
+		if left := p.wroteMessage("o1", 1, 1); left != (up < 300) || left != (len(decider.ended) == 0) {
+			t.Errorf("up at %d: left: %t; ended: %v", up, left, decider.ended)
 		}
-		p.play("900 o1 > " + answerOf(1))
-		if answered := p.wroteFor("a", 9, 1); answered != (up < 300) {
+		p.play("900 o1 > " + answerMessage(1))
+		if answered := p.wroteMessage("a", 9, 1); answered != (up < 300) {
 			t.Errorf("up at %d: answered: %t", up, answered)
 		}
 	}
@@ -265,17 +265,17 @@
 
 // Where attempts may not be called off, one that waits for a connection outlives the final answer of its call, and its caller's
 // connection: nothing is sent for it once its connection comes up.
-func TestNoAttemptForACallThatWasAnswered(t *testing.T) {
+func TestNoAttemptForAnsweredCall(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
-		d := &sends{to: "s-00000001"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return d, nil }})
+		decider := &singleOfficeDecider{office: "s-00000001"}
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
 		}
-		p.play("10 a > " + upFor(1, 0))
+		p.play("10 a > " + setUpMessage(1, 0))
 		p.until(100_000)
-		p.s.act(decide.Action{Kind: decide.Fail, Call: 1})
+		p.s.execute(decide.Action{Kind: decide.Fail, Call: 1})
 		if leaves {
 			p.play("150 a close")
 		}
@@ -284,8 +284,8 @@
 		p.conns["o1"] = conn
 		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
-		if p.wroteFor("o1", 1, 1) || len(d.ended) != 1 || len(p.s.calls) != 0 {
-			t.Errorf("its caller leaves: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), d.ended, strings.Join(p.lines, "\n"))
+		if p.wroteMessage("o1", 1, 1) || len(decider.ended) != 1 || len(p.s.calls) != 0 {
+			t.Errorf("its caller leaves: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
 		}
 	}
 }
@@ -293,21 +293,21 @@
 // Long set-ups that come in one round and do not leave are not written past what may wait unsent: the connection to their
 // office, which all callers share, does not end by one caller's.
 func TestLongSetUpsDoNotEndTheConnection(t *testing.T) {
-	d := &sends{to: "s-00000001", until: 290_000}
-	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return d, nil }})
+	decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
+	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 	p.step()
 	p.play("5 a open")
-	p.conns["o1"].fills = true
+	p.conns["o1"].blocksWrites = true
 	wrote, most := 0, 0
-	p.wrote = func(c *fakeConn, b []byte) {
-		if c.name == "o1" {
+	p.onWrite = func(conn *fakeConn, b []byte) {
+		if conn.name == "o1" {
 			wrote, most = wrote+1, max(most, len(b))
 		}
 	}
 	long := strings.Repeat("x", 16<<10-200)
 	var all []byte
 	for call := range 20 {
-		all = append(all, parse(t, strings.Replace(upFor(call+1, 0), "offer", long, 1))...)
+		all = append(all, parse(t, strings.Replace(setUpMessage(call+1, 0), "offer", long, 1))...)
 	}
 	p.now = 10_000
 	p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["a"], Data: all})
@@ -321,17 +321,17 @@
 
 // An office may read a set-up that was stuck only after it has heard, on the next connection, that it was given up: it is told
 // once more.
-func TestStuckSetUpIsReleasedTwice(t *testing.T) {
+func TestUnsentSetUpIsReleasedTwice(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 b open")
-	p.conns["o2"].fills = true
-	p.play("10 b > " + upFor(2, 1))
-	p.play("100 b > " + giveUpOf(2)) // its connection ends, and the next one comes up
+	p.conns["o2"].blocksWrites = true
+	p.play("10 b > " + setUpMessage(2, 1))
+	p.play("100 b > " + cancelMessage(2)) // its connection ends, and the next one comes up
 	p.play("150 o2 > [10 0000000000000002]")
 	p.lines = nil
 	p.until(3_500_000)
-	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+giveUpOf(2)); n != 1 {
+	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+cancelMessage(2)); n != 1 {
 		t.Errorf("the office was told %d times more:\n%s", n, strings.Join(p.lines, "\n"))
 	}
 	p.play("3600 o2 > [10 0000000000000002]")
@@ -343,30 +343,30 @@
 // A set-up has left and is given up, and its release waits behind another set-up, which is stuck: with that one's connection the
 // release is lost, though the office may read the set-up from it after it has heard of the end on the next connection. It is
 // told once more, as of the one that was stuck.
-func TestReleaseLostWithAConnectionIsToldTwice(t *testing.T) {
+func TestReleaseLostWithConnectionIsRepeated(t *testing.T) {
 	for _, stuck := range []bool{true, false} {
-		d := &sends{to: "s-00000002"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return d, nil }})
+		decider := &singleOfficeDecider{office: "s-00000002"}
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		p.play("5 b open")
-		p.play("10 b > " + upFor(1, 1)) // it leaves
+		p.play("10 b > " + setUpMessage(1, 1)) // it leaves
 		first := p.conns["o2"]
-		first.fills = stuck
-		p.play("20 b > " + upFor(2, 1))
-		if !p.wroteFor("o2", 1, 1) || !p.wroteFor("o2", 1, 2) {
+		first.blocksWrites = stuck
+		p.play("20 b > " + setUpMessage(2, 1))
+		if !p.wroteMessage("o2", 1, 1) || !p.wroteMessage("o2", 1, 2) {
 			t.Fatal("the set-ups were not written")
 		}
-		p.play("90 b > " + giveUpOf(1)) // written, and does not leave
-		p.play("100 b > " + giveUpOf(2))
-		if first.dead != stuck {
-			t.Fatalf("stuck: %t; the connection has ended: %t", stuck, first.dead)
+		p.play("90 b > " + cancelMessage(1)) // written, and does not leave
+		p.play("100 b > " + cancelMessage(2))
+		if first.closed != stuck {
+			t.Fatalf("stuck: %t; the connection has ended: %t", stuck, first.closed)
 		}
 		p.play("150 o2 > [10 0000000000000001]")
 		p.play("150 o2 > [10 0000000000000002]")
 		p.lines = nil
 		p.until(3_500_000)
 		for call := 1; call <= 2; call++ {
-			if n := strings.Count(strings.Join(p.lines, "\n"), giveUpOf(call)); (n == 1) != stuck || n > 1 {
+			if n := strings.Count(strings.Join(p.lines, "\n"), cancelMessage(call)); (n == 1) != stuck || n > 1 {
 				t.Errorf("stuck: %t; the office was told %d times more of call %d:\n%s", stuck, n, call, strings.Join(p.lines, "\n"))
 			}
 		}
@@ -379,18 +379,18 @@
 }
 
 // The office hears the first release only when the second is due, and has not been told it yet: it still is.
-func TestReleaseHeardLateIsToldTwice(t *testing.T) {
+func TestReleaseAcknowledgedLateIsRepeated(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 b open")
-	p.conns["o2"].fills = true
-	p.play("10 b > " + upFor(2, 1))
-	p.play("100 b > " + giveUpOf(2)) // its connection ends, and the next one comes up
-	p.until(100_000 + tellAfter + 50_000)
+	p.conns["o2"].blocksWrites = true
+	p.play("10 b > " + setUpMessage(2, 1))
+	p.play("100 b > " + cancelMessage(2)) // its connection ends, and the next one comes up
+	p.until(100_000 + releaseRepeatDelay + 50_000)
 	p.play(fmt.Sprintf("%d o2 > [10 0000000000000002]", p.now/1000))
 	p.lines = nil
 	p.until(3_500_000)
-	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+giveUpOf(2)); n != 1 {
+	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+cancelMessage(2)); n != 1 {
 		t.Errorf("the office was told %d times more:\n%s", n, strings.Join(p.lines, "\n"))
 	}
 }
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -13,50 +13,50 @@
 
 // journal is the connection to the service that tells the changes of the list, where the source has one.
 type journal struct {
-	conn     state.Conn
-	dialling uint64 // the dial that is under way; 0: none
-	dialled  int64  // when it began
-	lost     int64  // when the last connection ended, or did not come up
-	seen     bool   // it has come up since the start, or none is needed
+	conn      state.Conn
+	dialID    uint64 // the dial that is under way; 0: none
+	dialledAt int64  // when it began
+	lostAt    int64  // when the last connection ended, or did not come up
+	ready     bool   // it has come up since the start, or none is needed
 }
 
 func (s *Session) dialJournal() {
 	address := s.source.Address()
 	if address == "" {
-		s.journal.seen = true
+		s.journal.ready = true
 		return
 	}
-	s.journal.dialled = s.now
-	s.journal.dialling = s.dial(address, nil)
+	s.journal.dialledAt = s.now
+	s.journal.dialID = s.dial(address, nil)
 }
 
 // journalOpen asks for all that came after the last event we have.
-func (s *Session) journalOpen(conn state.Conn) {
-	j := &s.journal
-	j.dialling, j.conn, j.seen = 0, conn, true
-	s.roles[conn] = j
+func (s *Session) journalConnected(conn state.Conn) {
+	journal := &s.journal
+	journal.dialID, journal.conn, journal.ready = 0, conn, true
+	s.connOwners[conn] = journal
 	if _, err := conn.Write(s.source.Ask(s.now)); err != nil {
-		s.drop(conn, err)
+		s.closeConn(conn, err)
 	}
 }
 
-func (s *Session) journalLost(err error) {
-	j := &s.journal
-	j.lost = s.now
+func (s *Session) journalDisconnected(err error) {
+	journal := &s.journal
+	journal.lostAt = s.now
 	s.Counters[state.JournalLost]++
 	s.log.Warn("journal lost", "last", s.source.Last(), "error", err)
-	j.conn, j.dialling = nil, 0
-	if s.now-j.dialled >= journalAgain { // else watchJournal does
+	journal.conn, journal.dialID = nil, 0
+	if s.now-journal.dialledAt >= journalCheckInterval { // else watchJournal does
 		s.dialJournal()
 	}
 }
 
 // reload takes a configuration that was read anew: the list's source moves on, and so does what stands before the
 // module, if that can. All else that the program holds goes on.
-func (s *Session) reload(a Arrival) {
-	j, address, err := &s.journal, s.source.Address(), a.Err
+func (s *Session) reload(arrival Arrival) {
+	journal, address, err := &s.journal, s.source.Address(), arrival.Err
 	if err == nil {
-		err = s.source.Reload(s.now, a.Update, s.change)
+		err = s.source.Reload(s.now, arrival.Update, s.applyChange)
 	}
 	if err != nil {
 		s.Counters[state.ReloadErrors]++
@@ -64,105 +64,105 @@
 		return
 	}
 	s.Counters[state.Reloads]++
-	s.log.Info("configuration read anew", "journal", a.Update.Address, "last", s.source.Last(), "known", a.Update.Known.Last)
-	if r, ok := s.node.(Reloader); ok && a.Update.Part != nil {
-		s.acts = r.Reload(s.now, a.Update.Part, s.acts[:0])
-		for _, act := range s.acts {
-			s.act(act)
+	s.log.Info("configuration read anew", "journal", arrival.Update.Address, "last", s.source.Last(), "known", arrival.Update.Known.Last)
+	if r, ok := s.decider.(Reloader); ok && arrival.Update.Part != nil {
+		s.actions = r.Reload(s.now, arrival.Update.Part, s.actions[:0])
+		for _, act := range s.actions {
+			s.execute(act)
 		}
 	}
 	if s.source.Address() == address {
 		return
 	}
-	delete(s.dials, j.dialling) // it leads to the old one
-	if j.dialling = 0; j.conn != nil {
-		delete(s.roles, j.conn)
-		_ = j.conn.Close() // its end is what is asked for
-		j.conn = nil
+	delete(s.dials, journal.dialID) // it leads to the old one
+	if journal.dialID = 0; journal.conn != nil {
+		delete(s.connOwners, journal.conn)
+		_ = journal.conn.Close() // its end is what is asked for
+		journal.conn = nil
 	}
 	s.dialJournal()
 }
 
 // watchJournal connects again, and ends a connection that no longer brings even its empty frames. It also lets the
 // source tell what has come due by time alone.
-func (s *Session) watchJournal() {
-	j := &s.journal
-	s.source.Tick(s.now, s.busy, s.change)
+func (s *Session) checkJournal() {
+	journal := &s.journal
+	s.source.Tick(s.now, s.callsInProgress, s.applyChange)
 	switch {
-	case j.conn != nil && s.now-s.source.Heard() > journalSilence:
-		s.drop(j.conn, errSilent)
-	case j.conn == nil && j.dialling == 0:
+	case journal.conn != nil && s.now-s.source.Heard() > journalSilenceTimeout:
+		s.closeConn(journal.conn, errJournalSilent)
+	case journal.conn == nil && journal.dialID == 0:
 		s.dialJournal()
 	}
 }
 
 // busy is how many calls stand at an office or are out there.
-func (s *Session) busy(id decide.ServerID) int {
-	o := s.offices.Get(id)
-	if o == nil {
+func (s *Session) callsInProgress(id decide.ServerID) int {
+	office := s.offices.Get(id)
+	if office == nil {
 		return 0
 	}
-	n := len(o.Standing) + len(o.Out) + len(o.Ended)
-	for _, l := range o.Lanes {
-		n += len(l.Out)
+	n := len(office.Standing) + len(office.Out) + len(office.Ended)
+	for _, lane := range office.Lanes {
+		n += len(lane.Out)
 	}
 	return n
 }
 
-func (s *Session) fromJournal(data []byte) {
-	err := s.source.Feed(s.now, data, func(c wire.Change) {
+func (s *Session) handleJournalData(data []byte) {
+	err := s.source.Feed(s.now, data, func(change wire.Change) {
 		s.Counters[state.JournalEvents]++
-		s.change(c)
+		s.applyChange(change)
 	})
 	var skipped *membership.SkippedError
 	switch {
 	case errors.As(err, &skipped):
 		s.log.Warn("journal skipped events", "last", skipped.Last, "number", skipped.Number)
-		s.drop(s.journal.conn, nil) // changes only hold on top of all earlier ones: ask again
+		s.closeConn(s.journal.conn, nil) // changes only hold on top of all earlier ones: ask again
 	case err != nil:
 		s.Counters[state.BadIn]++
-		s.drop(s.journal.conn, err) // a new connection resumes after the last event that could be read
+		s.closeConn(s.journal.conn, err) // a new connection resumes after the last event that could be read
 	}
 }
 
 // change takes one event of the journal: the list, what it ends, and the module's view of it.
-func (s *Session) change(c wire.Change) {
-	fresh := slices.DeleteFunc(slices.Clone(c.Offices), func(o wire.Office) bool { return s.offices.Get(o.ID) != nil })
-	gone := s.offices.Apply(c)
-	for _, o := range fresh {
-		if o.Started < s.began { // calls of before our start may stand there
-			maps.Copy(s.offices.Get(o.ID).Ended, s.before)
+func (s *Session) applyChange(change wire.Change) {
+	newOffices := slices.DeleteFunc(slices.Clone(change.Offices), func(office wire.Office) bool { return s.offices.Get(office.ID) != nil })
+	gone := s.offices.Apply(change)
+	for _, office := range newOffices {
+		if office.Started < s.startedAt { // calls of before our start may stand there
+			maps.Copy(s.offices.Get(office.ID).Ended, s.earlierReleases)
 		}
 	}
-	e := decide.Event{Kind: decide.List, Form: decide.Delta}
-	if c.Whole {
-		e.Form = decide.Whole
+	event := decide.Event{Kind: decide.List, Form: decide.Delta}
+	if change.Whole {
+		event.Form = decide.Whole
 	}
-	for _, o := range c.Offices {
-		e.Servers = append(e.Servers, o.Listed)
+	for _, office := range change.Offices {
+		event.Servers = append(event.Servers, office.Listed)
 	}
-	s.event(e)
+	s.queueEvent(event)
 	for _, g := range gone {
-		s.officeGone(g)
+		s.endOffice(g)
 	}
-	for _, o := range s.offices.All() {
-		if o.State != decide.Up {
+	for _, office := range s.offices.All() {
+		if office.State != decide.Up {
 			// Set-ups that wait for a connect would reach it after the grace: they never left.
-			s.takeBack(&o.Lane)
-			for _, l := range slices.Clone(o.Lanes) {
-				s.takeBack(l)
+			s.withdrawQueued(&office.Lane)
+			for _, lane := range slices.Clone(office.Lanes) {
+				s.withdrawQueued(lane)
 			}
-			if o.Room != nil {
-				s.takeBack(o.Room)
+			if office.Room != nil {
+				s.withdrawQueued(office.Room)
 			}
 		}
 	}
-	for _, o := range c.Offices {
+	for _, office := range change.Offices {
 		// A connection before the first set-up: releases of calls of before our start come on it.
-		known := s.offices.Get(o.ID)
-		if known.State != decide.Removed && len(s.offices.All()) <= s.maxEager {
-			s.connect(&known.Lane)
+		listed := s.offices.Get(office.ID)
+		if listed.State != decide.Removed && len(s.offices.All()) <= s.maxEagerOffices {
+			s.connect(&listed.Lane)
 		}
-		s.redial(known)
+		s.redialIfNeeded(listed)
 	}
 }
--- a/internal/session/lane_choice.go
+++ b/internal/session/lane_choice.go
@@ -11,194 +11,194 @@
 )
 
 // laneFor is the connection on which a call's next set-up goes to an office; the office's Room: there is no place for one.
-func (s *Session) laneFor(c *state.Call, o *state.Office) *state.Lane {
-	n, f := &s.lanes, s.lanes.followed[c.ID]
-	if o.Serial == 0 {
-		n.serials++
-		o.Serial = n.serials
-	}
-	pick := pooling.Own
-	if f != nil {
-		f.call.Office = o.Serial
-		if n.watch {
-			f.call.Lane = pooling.Any
+func (s *Session) laneFor(call *state.Call, office *state.Office) *state.Lane {
+	lanes, tracked := &s.lanes, s.lanes.tracked[call.ID]
+	if office.Serial == 0 {
+		lanes.lastSerial++
+		office.Serial = lanes.lastSerial
+	}
+	verdict := pooling.Own
+	if tracked != nil {
+		tracked.call.Office = office.Serial
+		if lanes.observeOnly {
+			tracked.call.Lane = pooling.Any
 		} else {
-			f.pick = n.laner.Lane(s.now, &f.call, pooling.SetUp)
-			pick = f.pick
+			tracked.verdict = lanes.laner.Lane(s.now, &tracked.call, pooling.SetUp)
+			verdict = tracked.verdict
 		}
 	}
-	if n.watch {
-		return &o.Lane
+	if lanes.observeOnly {
+		return &office.Lane
 	}
-	l := s.laneAs(pick, c, o, true)
-	if l == nil {
-		if n.without.spill {
-			return &o.Lane
+	lane := s.findLane(verdict, call, office, true)
+	if lane == nil {
+		if lanes.disabled.waitForLane {
+			return &office.Lane
 		}
-		if o.Room == nil {
-			o.Room = &state.Lane{To: o, Number: room}
+		if office.Room == nil {
+			office.Room = &state.Lane{To: office, Number: waitingNumber}
 		}
-		l = o.Room
+		lane = office.Room
 	}
-	return l
+	return lane
 }
 
 // laneAs finds a lane for a call's set-up, or makes one if that is wanted; nil: there is none.
-func (s *Session) laneAs(pick pooling.Lane, c *state.Call, o *state.Office, fresh bool) *state.Lane {
-	switch pick {
+func (s *Session) findLane(verdict pooling.Lane, call *state.Call, office *state.Office, create bool) *state.Lane {
+	switch verdict {
 	case pooling.Any:
-		return &o.Lane
+		return &office.Lane
 	case pooling.Taken:
-		if s.lanes.without.shareTaken && len(o.Lanes) > 0 {
-			return o.Lanes[0]
+		if s.lanes.disabled.exclusiveLane && len(office.Lanes) > 0 {
+			return office.Lanes[0]
 		}
-		if k := len(o.Free); k > 0 {
-			l := o.Free[k-1]
-			o.Free = o.Free[:k-1]
-			l.Holder = c.ID
-			return l
+		if k := len(office.Free); k > 0 {
+			lane := office.Free[k-1]
+			office.Free = office.Free[:k-1]
+			lane.Holder = call.ID
+			return lane
 		}
-		if !fresh {
+		if !create {
 			return nil
 		}
-		l := s.newLane(o)
+		l := s.newLane(office)
 		if l != nil {
-			l.Holder = c.ID
+			l.Holder = call.ID
 		}
 		return l
 	}
-	l := o.Own[c.From.Session] // and whatever else is said: this is the safest
-	if l == nil && fresh {
-		if l = s.newLane(o); l != nil {
-			if l.Owner = c.From; o.Own == nil {
-				o.Own = map[uint64]*state.Lane{}
+	l := office.Own[call.From.Session] // and whatever else is said: this is the safest
+	if l == nil && create {
+		if l = s.newLane(office); l != nil {
+			if l.Owner = call.From; office.Own == nil {
+				office.Own = map[uint64]*state.Lane{}
 			}
-			o.Own[c.From.Session] = l
+			office.Own[call.From.Session] = l
 		}
 	}
 	return l
 }
 
 // newLane makes a lane if there is room for one, or room can be made; its connection is opened by what waits for it.
-func (s *Session) newLane(o *state.Office) *state.Lane {
-	n := &s.lanes
-	most := max(1, min(n.sockets/lanePart, n.sockets/2-laneSpare-len(s.offices.All())))
-	if n.without.noBound {
+func (s *Session) newLane(office *state.Office) *state.Lane {
+	lanes := &s.lanes
+	most := max(1, min(lanes.sockets/laneDivisor, lanes.sockets/2-laneReserve-len(s.offices.All())))
+	if lanes.disabled.laneLimit {
 		most = math.MaxInt
 	}
-	if here := len(o.Lanes) >= max(1, most/laneOffice); (here || n.count >= most) && !s.clearLane(o, here) {
+	if atOffice := len(office.Lanes) >= max(1, most/officeLaneDivisor); (atOffice || lanes.count >= most) && !s.evictIdleLane(office, atOffice) {
 		return nil
 	}
-	n.numbered++
-	n.count++
-	n.opened++
-	l := &state.Lane{To: o, Number: n.numbered, Out: map[uint64]*state.Attempt{}, Idle: s.now}
-	o.Lanes = append(o.Lanes, l)
-	return l
+	lanes.lastNumber++
+	lanes.count++
+	lanes.opened++
+	lane := &state.Lane{To: office, Number: lanes.lastNumber, Out: map[uint64]*state.Attempt{}, Idle: s.now}
+	office.Lanes = append(office.Lanes, lane)
+	return lane
 }
 
 // clearLane makes room by closing the lane that has carried nothing for longest and is nobody's, of one office or of all.
 // A caller's own stays while it is connected: what the office keeps on it would be gone.
-func (s *Session) clearLane(o *state.Office, here bool) bool {
+func (s *Session) evictIdleLane(office *state.Office, atOffice bool) bool {
 	var idle *state.Lane
-	look := func(o *state.Office) {
-		for _, l := range o.Lanes {
-			if (l.Loose() || s.lanes.without.clearOwn && l.Quiet()) && l.Conn != nil && (idle == nil || l.Idle < idle.Idle) {
-				idle = l
+	consider := func(o *state.Office) {
+		for _, lane := range o.Lanes {
+			if (lane.Loose() || s.lanes.disabled.keepOwned && lane.Quiet()) && lane.Conn != nil && (idle == nil || lane.Idle < idle.Idle) {
+				idle = lane
 			}
 		}
 	}
-	if here {
-		look(o)
+	if atOffice {
+		consider(office)
 	} else {
 		for _, o := range s.offices.All() {
-			look(o)
+			consider(o)
 		}
 	}
 	if idle == nil || idle.Conn.Waiting() {
 		return false
 	}
-	s.lanes.forgotten++
-	s.drop(idle.Conn, errIdle)
+	s.lanes.evicted++
+	s.closeConn(idle.Conn, errIdle)
 	return true
 }
 
 // awaitRoom lets an attempt wait for room for a lane, until its class's aim has passed; then its call is refused. Guards
 // against what would be quicker: another lane, which nobody has found to be safe.
-func (s *Session) awaitRoom(at *state.Attempt) {
-	c := at.Call
+func (s *Session) waitForLane(attempt *state.Attempt) {
+	call := attempt.Call
 	s.lanes.waited++
-	until := min(c.Deadline, c.Deadline-c.SetUp.Wait+s.set.Classes[s.classes[c.SetUp.Class]].Aim)
-	if until <= s.now || len(at.On.Queue) > maxWaiting {
-		s.noRoom(c.ID, at.N)
+	until := min(call.Deadline, call.Deadline-call.SetUp.Wait+s.settings.Classes[s.classIndex[call.SetUp.Class]].Aim)
+	if until <= s.now || len(attempt.On.Queue) > maxWaiting {
+		s.refuseWaiting(call.ID, attempt.N)
 		return
 	}
-	if !s.lanes.without.waitOn {
-		s.setTimer(until, state.Timer{Kind: state.TimerRoom, ID: c.ID, N: int32(at.N)})
+	if !s.lanes.disabled.waitLimit {
+		s.setTimer(until, state.Timer{Kind: state.TimerRoom, ID: call.ID, N: int32(attempt.N)})
 	}
 }
 
 // noRoom refuses a call whose attempt still waits for room.
-func (s *Session) noRoom(id uint64, n int) {
-	c := s.calls[id]
-	if c == nil || c.Answered || c.Attempt == nil || c.Attempt.N != n || c.Attempt.On.Number != room {
+func (s *Session) refuseWaiting(id uint64, n int) {
+	call := s.calls[id]
+	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.N != n || call.Attempt.On.Number != waitingNumber {
 		return
 	}
 	s.lanes.refused++
-	s.endWith(c, decide.Action{Call: decide.CallID(id), Wait: s.awayFrom(c)}, wire.CauseCongestion, state.RefusalsOut)
+	s.finishCall(call, decide.Action{Call: decide.CallID(id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
 }
 
 // place gives those who wait the lanes that there are now; the offices have the first of them by turns.
-func (s *Session) place() {
-	n := &s.lanes
-	n.roomy = false
+func (s *Session) assignLanes() {
+	lanes := &s.lanes
+	lanes.laneAvailable = false
 	all := s.offices.All()
-	n.turn++
+	lanes.turn++
 	for i := range all {
-		o := all[(i+n.turn)%len(all)]
-		if o.Room == nil || len(o.Room.Queue) == 0 || o.State != decide.Up {
+		office := all[(i+lanes.turn)%len(all)]
+		if office.Room == nil || len(office.Room.Queue) == 0 || office.State != decide.Up {
 			continue
 		}
-		waiting := o.Room.Queue
-		kept, fresh := waiting[:0:0], true
-		for _, at := range waiting {
-			pick := pooling.Own
-			if f := n.followed[at.Call.ID]; f != nil {
-				pick = f.pick
+		waiting := office.Room.Queue
+		kept, create := waiting[:0:0], true
+		for _, attempt := range waiting {
+			verdict := pooling.Own
+			if tracked := lanes.tracked[attempt.Call.ID]; tracked != nil {
+				verdict = tracked.verdict
 			}
-			l := s.laneAs(pick, at.Call, o, fresh)
-			if l == nil {
-				kept, fresh = append(kept, at), false
+			lane := s.findLane(verdict, attempt.Call, office, create)
+			if lane == nil {
+				kept, create = append(kept, attempt), false
 				continue
 			}
-			at.On, at.Since = l, s.now
-			s.putOn(at)
+			attempt.On, attempt.Since = lane, s.now
+			s.sendOrQueue(attempt)
 		}
-		o.Room.Queue = kept
+		office.Room.Queue = kept
 	}
 }
 
 // laneFreed gives a lane back that a call had taken, if it still has it.
-func (s *Session) laneFreed(l *state.Lane, call uint64) {
-	if l.Number == 0 {
+func (s *Session) freeLane(lane *state.Lane, call uint64) {
+	if lane.Number == 0 {
 		return
 	}
-	if l.Idle = s.now; l.Holder == call && !s.lanes.without.forgetHolder {
-		l.Holder = 0
-		l.To.Free = append(l.To.Free, l)
+	if lane.Idle = s.now; lane.Holder == call && !s.lanes.disabled.returnLane {
+		lane.Holder = 0
+		lane.To.Free = append(lane.To.Free, lane)
 	}
-	s.lanes.roomy = true
+	s.lanes.laneAvailable = true
 }
 
 // another is a connection that no call has, other than this one, if there is one.
-func another(l *state.Lane) *state.Lane {
-	for _, o := range slices.Backward(l.To.Free) {
-		if o != l && o.Conn != nil {
-			return o
+func anotherLane(lane *state.Lane) *state.Lane {
+	for _, other := range slices.Backward(lane.To.Free) {
+		if other != lane && other.Conn != nil {
+			return other
 		}
 	}
-	if l.To.Conn != nil {
-		return &l.To.Lane
+	if lane.To.Conn != nil {
+		return &lane.To.Lane
 	}
-	return l
+	return lane
 }
--- a/internal/session/lane_ends.go
+++ b/internal/session/lane_ends.go
@@ -9,93 +9,93 @@
 )
 
 // told is a release that was sent to an office.
-type told struct {
-	call uint64
-	at   int64
+type sentRelease struct {
+	call   uint64
+	sentAt int64
 }
 
 // endHeard notes that an office has heard the release of a call.
-func (s *Session) endHeard(l *state.Lane, call uint64) {
-	f := s.lanes.followed[call]
-	if f == nil || f.on == nil || f.on.To != l.To {
+func (s *Session) releaseAcknowledged(lane *state.Lane, call uint64) {
+	tracked := s.lanes.tracked[call]
+	if tracked == nil || tracked.releaseLane == nil || tracked.releaseLane.To != lane.To {
 		return
 	}
-	f.on = nil
-	s.saw(pooling.EndHeard, call, 0, nil)
-	if f.over {
-		s.unfollow(call, f)
+	tracked.releaseLane = nil
+	s.observe(pooling.EndHeard, call, 0, nil)
+	if tracked.over {
+		s.untrackCall(call, tracked)
 	}
 }
 
 // watchEnds looks for releases that were not heard in time, and sends them again. One whose connection has ended tells
 // nothing: that may be what kept it.
-func (s *Session) watchEnds() {
-	n := &s.lanes
-	for n.from < len(n.tells) && s.now-n.tells[n.from].at >= hearWithin {
-		t := n.tells[n.from]
-		n.from++
-		f := n.followed[t.call]
-		if f == nil || f.on == nil || f.at != t.at {
+func (s *Session) checkReleases() {
+	lanes := &s.lanes
+	for lanes.firstPending < len(lanes.sentReleases) && s.now-lanes.sentReleases[lanes.firstPending].sentAt >= releaseAckTimeout {
+		release := lanes.sentReleases[lanes.firstPending]
+		lanes.firstPending++
+		tracked := lanes.tracked[release.call]
+		if tracked == nil || tracked.releaseLane == nil || tracked.releasedAt != release.sentAt {
 			continue
 		}
-		l := f.on
-		f.on = nil
-		if l.Conn != nil && l.Spoken.Opened <= t.at && l.To.State != decide.Removed {
-			s.saw(pooling.EndUnheard, t.call, 0, nil)
-			if e, kept := l.To.Ended[t.call]; kept && f.again < maxAgain && !n.watch {
-				f.again++
-				s.endAt(l, t.call, e.Cause)
+		lane := tracked.releaseLane
+		tracked.releaseLane = nil
+		if lane.Conn != nil && lane.Spoken.Opened <= release.sentAt && lane.To.State != decide.Removed {
+			s.observe(pooling.EndUnheard, release.call, 0, nil)
+			if ending, kept := lane.To.Ended[release.call]; kept && tracked.repeats < maxReleaseRepeats && !lanes.observeOnly {
+				tracked.repeats++
+				s.releaseAtOffice(lane, release.call, ending.Cause)
 			}
 		}
-		if f.on == nil && f.over {
-			s.unfollow(t.call, f)
+		if tracked.releaseLane == nil && tracked.over {
+			s.untrackCall(release.call, tracked)
 		}
 	}
-	if n.from == len(n.tells) {
-		n.tells, n.from = n.tells[:0], 0
-	} else if n.from > 1024 && n.from > len(n.tells)/2 {
-		n.tells, n.from = append(n.tells[:0], n.tells[n.from:]...), 0
+	if lanes.firstPending == len(lanes.sentReleases) {
+		lanes.sentReleases, lanes.firstPending = lanes.sentReleases[:0], 0
+	} else if lanes.firstPending > 1024 && lanes.firstPending > len(lanes.sentReleases)/2 {
+		lanes.sentReleases, lanes.firstPending = append(lanes.sentReleases[:0], lanes.sentReleases[lanes.firstPending:]...), 0
 	}
 }
 
 // laneToEnd is the lane on which a release of a call goes, or a give-up: that of its set-up, or another where the verdict
 // lets it; where that has ended, the office's main one.
-func (s *Session) laneToEnd(l *state.Lane, call uint64) *state.Lane {
-	n, f := &s.lanes, s.lanes.followed[call]
-	if f != nil && !n.watch {
+func (s *Session) laneForRelease(lane *state.Lane, call uint64) *state.Lane {
+	lanes, tracked := &s.lanes, s.lanes.tracked[call]
+	if tracked != nil && !lanes.observeOnly {
 		// A give-up goes behind its set-up. Guards against one that overtakes it on another connection: the office would pass
 		// it over, and then work for nobody while the call is tried again elsewhere.
-		if f.stood && n.laner.Lane(s.now, &f.call, pooling.End) == pooling.Any || !f.stood && n.without.crossGiveUp {
-			l = another(l)
+		if tracked.established && lanes.laner.Lane(s.now, &tracked.call, pooling.End) == pooling.Any || !tracked.established && lanes.disabled.cancelInOrder {
+			lane = anotherLane(lane)
 		}
 	}
-	if l.Conn == nil {
-		l = &l.To.Lane
+	if lane.Conn == nil {
+		lane = &lane.To.Lane
 	}
-	if f != nil {
-		f.on, f.at = l, s.now
-		n.tells = append(n.tells, told{call, s.now})
+	if tracked != nil {
+		tracked.releaseLane, tracked.releasedAt = lane, s.now
+		lanes.sentReleases = append(lanes.sentReleases, sentRelease{call, s.now})
 	}
-	return l
+	return lane
 }
 
 // laneToHear is the lane on which an office is told that its release of a call was taken: where it came, or where the call is
 // held.
-func (s *Session) laneToHear(l *state.Lane, call uint64) *state.Lane {
-	st, f := s.stands[call], s.lanes.followed[call]
-	if st == nil || f == nil || s.lanes.watch || st.On == l || st.On.To != l.To || st.On.Conn == nil ||
-		s.lanes.laner.Lane(s.now, &f.call, pooling.Heard) != pooling.Held {
-		return l
+func (s *Session) laneForAck(lane *state.Lane, call uint64) *state.Lane {
+	established, tracked := s.established[call], s.lanes.tracked[call]
+	if established == nil || tracked == nil || s.lanes.observeOnly || established.On == lane || established.On.To != lane.To || established.On.Conn == nil ||
+		s.lanes.laner.Lane(s.now, &tracked.call, pooling.Heard) != pooling.Held {
+		return lane
 	}
-	return st.On
+	return established.On
 }
 
 // outAt is the attempt that is out at an office and that a message is of: mostly on the connection on which it came.
-func (s *Session) outAt(l *state.Lane, call uint64) *state.Attempt {
-	if at := l.Out[call]; at != nil || len(l.To.Lanes) == 0 {
-		return at
+func (s *Session) outstandingAttempt(lane *state.Lane, call uint64) *state.Attempt {
+	if attempt := lane.Out[call]; attempt != nil || len(lane.To.Lanes) == 0 {
+		return attempt
 	}
-	if c := s.calls[call]; c != nil && c.Attempt != nil && c.Attempt.On.To == l.To && !c.Attempt.Queued {
+	if c := s.calls[call]; c != nil && c.Attempt != nil && c.Attempt.On.To == lane.To && !c.Attempt.Queued {
 		return c.Attempt
 	}
 	return nil
@@ -103,61 +103,61 @@
 
 // endHere releases on an office's main connection, which has just come up, what was not heard yet; but for what went on a
 // lane that is still there.
-func (s *Session) endHere(l *state.Lane) {
-	o := l.To
-	for call, e := range inOrder(o.Ended) {
-		if e.On != 0 {
-			if slices.ContainsFunc(o.Lanes, func(l *state.Lane) bool { return l.Number == e.On && l.Conn != nil }) {
+func (s *Session) resendReleases(lane *state.Lane) {
+	office := lane.To
+	for call, ending := range inKeyOrder(office.Ended) {
+		if ending.On != 0 {
+			if slices.ContainsFunc(office.Lanes, func(l *state.Lane) bool { return l.Number == ending.On && l.Conn != nil }) {
 				continue
 			}
-			e.On = 0
-			o.Ended[call] = e
+			ending.On = 0
+			office.Ended[call] = ending
 		}
-		s.toOffice(l, call, e.Cause)
+		s.sendOfficeRelease(lane, call, ending.Cause)
 	}
 }
 
 // laneLost notes that a connection has ended. What was released on a lane and not heard is released again on the main one.
-func (s *Session) laneLost(l *state.Lane) {
-	o := l.To
-	if l.Stands > 0 {
-		for id, st := range inOrder(o.Standing) {
-			if st.On == l {
-				s.saw(pooling.LaneLost, id, 0, nil)
+func (s *Session) laneLost(lane *state.Lane) {
+	office := lane.To
+	if lane.Stands > 0 {
+		for id, established := range inKeyOrder(office.Standing) {
+			if established.On == lane {
+				s.observe(pooling.LaneLost, id, 0, nil)
 			}
 		}
 	}
-	if l.Number == 0 {
+	if lane.Number == 0 {
 		return
 	}
-	s.laneOver(l)
-	if s.lanes.without.keepLost {
+	s.removeLane(lane)
+	if s.lanes.disabled.repeatLost {
 		return
 	}
-	for call, e := range inOrder(o.Ended) {
-		if e.On == l.Number {
-			e.On = 0
-			o.Ended[call] = e
-			s.toOffice(&o.Lane, call, e.Cause)
+	for call, ending := range inKeyOrder(office.Ended) {
+		if ending.On == lane.Number {
+			ending.On = 0
+			office.Ended[call] = ending
+			s.sendOfficeRelease(&office.Lane, call, ending.Cause)
 		}
 	}
 }
 
 // laneOver forgets a lane whose connection has ended, or has not come up.
-func (s *Session) laneOver(l *state.Lane) {
-	if l.Number == 0 || l.Number == room {
+func (s *Session) removeLane(lane *state.Lane) {
+	if lane.Number == 0 || lane.Number == waitingNumber {
 		return
 	}
-	o, is := l.To, func(x *state.Lane) bool { return x == l }
-	if !slices.ContainsFunc(o.Lanes, is) {
+	office, is := lane.To, func(x *state.Lane) bool { return x == lane }
+	if !slices.ContainsFunc(office.Lanes, is) {
 		return
 	}
-	o.Lanes = slices.DeleteFunc(o.Lanes, is)
-	o.Free = slices.DeleteFunc(o.Free, is)
-	if l.Owner != nil {
-		delete(o.Own, l.Owner.Session)
+	office.Lanes = slices.DeleteFunc(office.Lanes, is)
+	office.Free = slices.DeleteFunc(office.Free, is)
+	if lane.Owner != nil {
+		delete(office.Own, lane.Owner.Session)
 	}
-	l.Holder = 0
+	lane.Holder = 0
 	s.lanes.count--
-	s.lanes.roomy = true
+	s.lanes.laneAvailable = true
 }
--- a/internal/session/lanes_bench_test.go
+++ b/internal/session/lanes_bench_test.go
@@ -12,23 +12,23 @@
 	for _, how := range []string{"off", "watch", "any", "own", "taken"} {
 		b.Run(how, func(b *testing.B) {
 			cfg := Config{Sockets: 1024, Seed: 7, Watch: how == "watch"}
-			l := &fakeLaner{modes: map[string]string{"a": how}, callers: []string{"a"}, opens: "a", mute: true}
+			laner := &fakeLaner{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a", silent: true}
 			if how != "off" {
-				cfg.Laner = l
+				cfg.Laner = laner
 			}
 			p := newPlayerOf(b, cfg)
-			l.picks, l.p, l.callers = nil, p, nil
+			laner.picks, laner.p, laner.callers = nil, p, nil
 			var on *fakeConn
-			p.wrote = func(c *fakeConn, b []byte) {
-				if c.name[0] == 'o' && b[2] == byte(wire.TypeSetUp) {
-					on = c
+			p.onWrite = func(conn *fakeConn, b []byte) {
+				if conn.name[0] == 'o' && b[2] == byte(wire.TypeSetUp) {
+					on = conn
 				}
 			}
 			p.step()
 			a := &fakeConn{p: p, name: "a"}
 			p.step(Arrival{Kind: Accepted, Conn: a})
-			bytes := func(m wire.Message) []byte {
-				out, err := m.Append(nil)
+			bytes := func(message wire.Message) []byte {
+				out, err := message.Append(nil)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -40,14 +40,14 @@
 				bytes(wire.ReleaseOf(1, wire.CauseNormal)), bytes(wire.Message{Type: wire.TypeHeard})}
 			var as [1]Arrival
 			var buf [512]byte
-			say := func(c *fakeConn, id uint64, text []byte) {
+			say := func(conn *fakeConn, id uint64, text []byte) {
 				data := buf[:copy(buf[:], text)]
 				binary.BigEndian.PutUint64(data[3:], id)
-				as[0] = Arrival{Kind: Data, At: p.now, Conn: c, Data: data}
+				as[0] = Arrival{Kind: Data, At: p.now, Conn: conn, Data: data}
 				p.s.Step(p.now, as[:])
-				for len(p.ready) > 0 {
-					ready := p.ready
-					p.ready = nil
+				for len(p.pendingArrivals) > 0 {
+					ready := p.pendingArrivals
+					p.pendingArrivals = nil
 					p.s.Step(p.now, ready)
 				}
 			}
--- a/internal/session/lanes_world_test.go
+++ b/internal/session/lanes_world_test.go
@@ -17,112 +17,112 @@
 // laneWorld is callers and two offices round a session whose calls are given lanes, all by a seed. Offices read late, lose
 // what they have not read when a connection ends, end connections and refuse new ones; verdicts change. It holds every message
 // against what must hold on lanes.
-type laneWorld struct {
+type laneSim struct {
 	*player
-	rng     *rand.Rand
-	live    []*fakeConn              // to offices
-	unread  map[*fakeConn][]wireSent // by an office
-	session map[*fakeConn]int        // of a lane that is a caller's own
-	pool    map[*fakeConn]bool       // lanes that a call has had to itself
-	holder  map[*fakeConn]uint64     // the call that has one now
-	callers []*worldCaller
-	calls   map[uint64]*worldCall
-	ids     uint64
-	broken  []string
-	refused map[string]int64 // offices that refuse connects, and until when
-	seen    map[string]int
-	asleep  bool // offices read nothing
+	rng           *rand.Rand
+	officeConns   []*fakeConn                 // to offices
+	unread        map[*fakeConn][]sentMessage // by an office
+	ownerSession  map[*fakeConn]int           // of a lane that is a caller's own
+	pooled        map[*fakeConn]bool          // lanes that a call has had to itself
+	holder        map[*fakeConn]uint64        // the call that has one now
+	callers       []*simCaller
+	calls         map[uint64]*simCall
+	lastID        uint64
+	violations    []string
+	refused       map[string]int64 // offices that refuse connects, and until when
+	seen          map[string]int
+	officesPaused bool // offices read nothing
 }
 
-type wireSent struct {
+type sentMessage struct {
 	kind wire.Type
 	call uint64
 }
 
-type worldCaller struct {
+type simCaller struct {
 	conn    *fakeConn
 	session int
 }
 
-type worldCall struct {
-	by    *worldCaller
-	pick  pooling.Lane
-	out   *fakeConn // where a set-up is out, as the program sees it
-	guard int64
-	at    [2]worldSide
-	told  bool // its caller knows that it stands
-	final bool
-	done  bool // its caller wants no answer any more
+type simCall struct {
+	caller           *simCaller
+	pick             pooling.Lane
+	sentOn           *fakeConn // where a set-up is out, as the program sees it
+	guardUntil       int64
+	offices          [2]officeSide
+	knowsEstablished bool // its caller knows that it stands
+	answered         bool
+	cancelled        bool // its caller wants no answer any more
 }
 
 // worldSide is what an office knows of a call.
-type worldSide struct {
-	open   *fakeConn // where the set-up came
-	stands *fakeConn // where it was answered
+type officeSide struct {
+	openOn        *fakeConn // where the set-up came
+	establishedOn *fakeConn // where it was answered
 }
 
 // place is the office that a connection leads to.
-func (c *fakeConn) place() int { return int(c.name[1] - '1') }
+func (c *fakeConn) officeIndex() int { return int(c.name[1] - '1') }
 
-func (w *laneWorld) fault(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%d ms: ", w.now/1000)+fmt.Sprintf(format, args...))
+func (w *laneSim) fault(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%d ms: ", w.now/1000)+fmt.Sprintf(format, args...))
 }
 
 // messages are those in what was written. Each write holds whole ones.
 func messages(b []byte) (ms []wire.Message) {
 	for len(b) > 0 {
-		m, n, err := wire.Next(b)
+		message, n, err := wire.Next(b)
 		if err != nil || n == 0 {
 			return ms
 		}
-		ms, b = append(ms, m), b[n:]
+		ms, b = append(ms, message), b[n:]
 	}
 	return ms
 }
 
-func (w *laneWorld) took(c *fakeConn, b []byte) {
-	for _, m := range messages(b) {
-		call := w.calls[m.Call]
+func (w *laneSim) handleWrite(conn *fakeConn, b []byte) {
+	for _, message := range messages(b) {
+		call := w.calls[message.Call]
 		switch {
-		case c.name[0] == 'j':
-		case c.name[0] != 'o':
-			w.toCaller(c, m)
+		case conn.name[0] == 'j':
+		case conn.name[0] != 'o':
+			w.handleToCaller(conn, message)
 		case call == nil:
 		default:
-			w.unread[c] = append(w.unread[c], wireSent{m.Type, m.Call})
-			if m.Type == wire.TypeSetUp {
-				w.setUpGoes(c, m.Call, call)
-			} else if m.Type == wire.TypeRelease {
-				w.endGoes(c, m.Call, call)
+			w.unread[conn] = append(w.unread[conn], sentMessage{message.Type, message.Call})
+			if message.Type == wire.TypeSetUp {
+				w.handleSetUp(conn, message.Call, call)
+			} else if message.Type == wire.TypeRelease {
+				w.handleRelease(conn, message.Call, call)
 			}
 		}
 	}
 }
 
-func (w *laneWorld) setUpGoes(c *fakeConn, id uint64, call *worldCall) {
+func (w *laneSim) handleSetUp(conn *fakeConn, id uint64, call *simCall) {
 	call.pick = w.laner.picks[id]
-	if call.out != nil || w.now < call.guard {
-		w.fault("set-up %x on %s while one is out, or within the guard", id, c.name)
+	if call.sentOn != nil || w.now < call.guardUntil {
+		w.fault("set-up %x on %s while one is out, or within the guard", id, conn.name)
 	}
-	call.out = c
-	_, lane, _ := strings.Cut(c.name, ".")
+	call.sentOn = conn
+	_, lane, _ := strings.Cut(conn.name, ".")
 	w.seen["set-up "+laneNames[call.pick]]++
-	switch owner, owned := w.session[c]; {
+	switch owner, owned := w.ownerSession[conn]; {
 	case (lane == "") != (call.pick == pooling.Any):
-		w.fault("set-up %x is to go on %s and went on %s", id, laneNames[call.pick], c.name)
+		w.fault("set-up %x is to go on %s and went on %s", id, laneNames[call.pick], conn.name)
 	case call.pick == pooling.Own:
-		if owned && owner != call.by.session || w.pool[c] {
-			w.fault("set-up %x of session %d on %s, which is not its own", id, call.by.session, c.name)
+		if owned && owner != call.caller.session || w.pooled[conn] {
+			w.fault("set-up %x of session %d on %s, which is not its own", id, call.caller.session, conn.name)
 		}
-		w.session[c] = call.by.session
+		w.ownerSession[conn] = call.caller.session
 	case call.pick == pooling.Taken:
-		if w.holder[c] != 0 || owned {
-			w.fault("set-up %x on %s, which %x has", id, c.name, w.holder[c])
+		if w.holder[conn] != 0 || owned {
+			w.fault("set-up %x on %s, which %x has", id, conn.name, w.holder[conn])
 		}
-		w.holder[c], w.pool[c] = id, true
+		w.holder[conn], w.pooled[conn] = id, true
 	}
 	lanes := 0
-	for _, l := range w.live {
+	for _, l := range w.officeConns {
 		if strings.Contains(l.name, ".") {
 			lanes++
 		}
@@ -132,200 +132,200 @@
 	}
 }
 
-func (w *laneWorld) endGoes(c *fakeConn, id uint64, call *worldCall) {
+func (w *laneSim) handleRelease(conn *fakeConn, id uint64, call *simCall) {
 	w.free(id)
-	if call.out != nil && call.out.place() == c.place() {
-		if call.out != c && !call.out.dead {
-			w.fault("the give-up of %x on %s overtakes its set-up on %s", id, c.name, call.out.name)
+	if call.sentOn != nil && call.sentOn.officeIndex() == conn.officeIndex() {
+		if call.sentOn != conn && !call.sentOn.closed {
+			w.fault("the give-up of %x on %s overtakes its set-up on %s", id, conn.name, call.sentOn.name)
 		}
-		call.out, call.guard = nil, w.now+200_000
+		call.sentOn, call.guardUntil = nil, w.now+200_000
 		w.seen["give-up"]++
-	} else if s := call.at[c.place()].stands; s != nil && s != c && !s.dead && call.pick != pooling.Any {
-		w.fault("the end of %x on %s, not on %s", id, c.name, s.name)
+	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed && call.pick != pooling.Any {
+		w.fault("the end of %x on %s, not on %s", id, conn.name, s.name)
 	}
 }
 
 // free notes that a call has its lane no more.
-func (w *laneWorld) free(id uint64) {
-	for c, h := range w.holder {
+func (w *laneSim) free(id uint64) {
+	for conn, h := range w.holder {
 		if h == id {
-			delete(w.holder, c)
+			delete(w.holder, conn)
 		}
 	}
 }
 
-func (w *laneWorld) toCaller(c *fakeConn, m wire.Message) {
-	call := w.calls[m.Call]
+func (w *laneSim) handleToCaller(conn *fakeConn, message wire.Message) {
+	call := w.calls[message.Call]
 	switch {
-	case call == nil || m.Type != wire.TypeAnswer && m.Type != wire.TypeRelease:
-	case m.Type == wire.TypeAnswer || !call.final:
-		if call.final || call.by.conn != c {
-			w.fault("a second answer for %x, or another's", m.Call)
+	case call == nil || message.Type != wire.TypeAnswer && message.Type != wire.TypeRelease:
+	case message.Type == wire.TypeAnswer || !call.answered:
+		if call.answered || call.caller.conn != conn {
+			w.fault("a second answer for %x, or another's", message.Call)
 		}
-		call.final, call.told = true, m.Type == wire.TypeAnswer && !call.done // else its give-up crosses this
-		if m.Cause() == wire.CauseCongestion {
+		call.answered, call.knowsEstablished = true, message.Type == wire.TypeAnswer && !call.cancelled // else its give-up crosses this
+		if message.Cause() == wire.CauseCongestion {
 			w.seen["refused"]++
 		}
 	default: // the end of a call that stood
-		for _, side := range call.at {
-			if m.Cause() == wire.CauseCut && call.told && side.stands != nil && !side.stands.dead {
-				w.fault("%x is cut, and its connection %s is there", m.Call, side.stands.name)
+		for _, side := range call.offices {
+			if message.Cause() == wire.CauseCut && call.knowsEstablished && side.establishedOn != nil && !side.establishedOn.closed {
+				w.fault("%x is cut, and its connection %s is there", message.Call, side.establishedOn.name)
 			}
 		}
-		call.told = false
-		w.say(c, wire.Message{Type: wire.TypeHeard, Call: m.Call})
+		call.knowsEstablished = false
+		w.send(conn, wire.Message{Type: wire.TypeHeard, Call: message.Call})
 	}
 }
 
 // closed is the end of a connection that the program closed: what was written to it is read.
-func (w *laneWorld) closed(c *fakeConn) {
-	if c.name[0] != 'o' {
+func (w *laneSim) handleClose(conn *fakeConn) {
+	if conn.name[0] != 'o' {
 		return
 	}
 	for _, caller := range w.callers {
-		if s, owned := w.session[c]; owned && s == caller.session && !caller.conn.dead && w.laner.modes[w.laner.callers[s-1]] != "taken" {
-			w.fault("%s is closed, and its caller is connected", c.name)
+		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed && w.laner.modes[w.laner.callers[s-1]] != "taken" {
+			w.fault("%s is closed, and its caller is connected", conn.name)
 		}
 	}
-	w.read(c, true)
-	w.lost(c)
+	w.readMessages(conn, true)
+	w.loseConn(conn)
 }
 
 // lost is the end of a connection to an office.
-func (w *laneWorld) lost(c *fakeConn) {
-	c.dead = true
-	w.live = slices.DeleteFunc(w.live, func(l *fakeConn) bool { return l == c })
-	delete(w.unread, c)
-	delete(w.holder, c)
+func (w *laneSim) loseConn(conn *fakeConn) {
+	conn.closed = true
+	w.officeConns = slices.DeleteFunc(w.officeConns, func(l *fakeConn) bool { return l == conn })
+	delete(w.unread, conn)
+	delete(w.holder, conn)
 	for _, call := range w.calls {
-		if call.out == c {
-			call.out, call.guard = nil, w.now+200_000
+		if call.sentOn == conn {
+			call.sentOn, call.guardUntil = nil, w.now+200_000
 		}
-		if side := &call.at[c.place()]; side.open == c {
-			side.open = nil
+		if side := &call.offices[conn.officeIndex()]; side.openOn == conn {
+			side.openOn = nil
 		}
 	}
 }
 
 // say brings a message to the program, if its connection is there.
-func (w *laneWorld) say(c *fakeConn, m wire.Message) {
-	b, err := m.Append(nil)
-	if err == nil && !c.dead {
-		w.ready = append(w.ready, Arrival{Kind: Data, At: w.now, Conn: c, Data: b})
+func (w *laneSim) send(conn *fakeConn, message wire.Message) {
+	b, err := message.Append(nil)
+	if err == nil && !conn.closed {
+		w.pendingArrivals = append(w.pendingArrivals, Arrival{Kind: Data, At: w.now, Conn: conn, Data: b})
 	}
 }
 
 // read lets an office read what came on a connection; quiet: it does not reply.
-func (w *laneWorld) read(c *fakeConn, quiet bool) {
-	unread := w.unread[c]
-	delete(w.unread, c)
+func (w *laneSim) readMessages(conn *fakeConn, quiet bool) {
+	unread := w.unread[conn]
+	delete(w.unread, conn)
 	for _, m := range unread {
-		side := &w.calls[m.call].at[c.place()]
+		side := &w.calls[m.call].offices[conn.officeIndex()]
 		switch m.kind {
 		case wire.TypeSetUp:
-			side.open = c
+			side.openOn = conn
 		case wire.TypeRelease:
-			if side.open == c {
-				side.open = nil
+			if side.openOn == conn {
+				side.openOn = nil
 			}
-			side.stands = nil
+			side.establishedOn = nil
 			if !quiet && w.rng.IntN(20) > 0 {
-				w.say(c, wire.Message{Type: wire.TypeHeard, Call: m.call})
+				w.send(conn, wire.Message{Type: wire.TypeHeard, Call: m.call})
 			}
 		}
 	}
 }
 
-func (w *laneWorld) each(do func(id uint64, c *worldCall)) {
-	for id := uint64(1); id <= w.ids; id++ {
+func (w *laneSim) eachCall(do func(id uint64, call *simCall)) {
+	for id := uint64(1); id <= w.lastID; id++ {
 		do(id, w.calls[id])
 	}
 }
 
 // tick lets a little time pass in which things happen; calm: nothing new does.
-func (w *laneWorld) tick(calm bool) {
+func (w *laneSim) tick(calm bool) {
 	w.until(w.now + 3000 + w.rng.Int64N(20_000))
 	chance := func(one int) bool { return w.rng.IntN(one) == 0 }
-	for _, c := range slices.Clone(w.live) {
-		if !w.asleep && (calm || !chance(4)) {
-			w.read(c, false)
+	for _, conn := range slices.Clone(w.officeConns) {
+		if !w.officesPaused && (calm || !chance(4)) {
+			w.readMessages(conn, false)
 		}
 		if !calm && chance(150) {
-			w.lost(c)
-			w.ready = append(w.ready, Arrival{Kind: Closed, At: w.now, Conn: c, Err: io.EOF})
+			w.loseConn(conn)
+			w.pendingArrivals = append(w.pendingArrivals, Arrival{Kind: Closed, At: w.now, Conn: conn, Err: io.EOF})
 		}
 	}
-	w.each(func(id uint64, c *worldCall) {
-		for i := range c.at {
-			w.work(id, c, &c.at[i], calm, chance)
+	w.eachCall(func(id uint64, c *simCall) {
+		for i := range c.offices {
+			w.advanceCall(id, c, &c.offices[i], calm, chance)
 		}
-		if c.told && (calm || chance(20)) || !c.final && !c.done && !calm && chance(200) {
+		if c.knowsEstablished && (calm || chance(20)) || !c.answered && !c.cancelled && !calm && chance(200) {
 			by := w.callers[w.rng.IntN(len(w.callers))].conn
-			if !c.final {
-				by, c.done = c.by.conn, true
+			if !c.answered {
+				by, c.cancelled = c.caller.conn, true
 			}
-			c.told = false
-			w.say(by, wire.ReleaseOf(id, wire.CauseNormal))
+			c.knowsEstablished = false
+			w.send(by, wire.ReleaseOf(id, wire.CauseNormal))
 		}
 	})
 	if !calm {
-		w.happen(chance)
+		w.injectEvents(chance)
 	}
 	w.step()
-	for _, o := range w.s.offices.All() {
-		for i := 0; o.Room != nil && i < len(o.Room.Queue); i++ {
-			c := o.Room.Queue[i].Call
+	for _, office := range w.s.offices.All() {
+		for i := 0; office.Room != nil && i < len(office.Room.Queue); i++ {
+			call := office.Room.Queue[i].Call
 			w.seen["waits"]++
-			if waits := w.now - (c.Deadline - c.SetUp.Wait); waits > w.s.set.Classes[w.s.classes[c.SetUp.Class]].Aim+100_000 {
-				w.fault("%x has waited %d ms for room", c.ID, waits/1000)
+			if waits := w.now - (call.Deadline - call.SetUp.Wait); waits > w.s.settings.Classes[w.s.classIndex[call.SetUp.Class]].Aim+100_000 {
+				w.fault("%x has waited %d ms for room", call.ID, waits/1000)
 			}
 		}
 	}
 }
 
 // work lets an office go on with a call.
-func (w *laneWorld) work(id uint64, c *worldCall, side *worldSide, calm bool, chance func(int) bool) {
+func (w *laneSim) advanceCall(id uint64, call *simCall, side *officeSide, calm bool, chance func(int) bool) {
 	switch {
-	case side.open != nil && (calm || chance(2)):
-		on := side.open
-		side.open = nil
+	case side.openOn != nil && (calm || chance(2)):
+		on := side.openOn
+		side.openOn = nil
 		r := w.rng.IntN(10)
-		if c.out == on {
-			if c.out = nil; r >= 8 {
+		if call.sentOn == on {
+			if call.sentOn = nil; r >= 8 {
 				w.free(id)
 			}
 		}
 		if r < 8 {
-			side.stands = on
-			w.say(on, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}})
+			side.establishedOn = on
+			w.send(on, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}})
 		} else {
-			w.say(on, wire.ReleaseOf(id, []byte{wire.CauseMissing, wire.CauseBusy}[r-8]))
+			w.send(on, wire.ReleaseOf(id, []byte{wire.CauseMissing, wire.CauseBusy}[r-8]))
 		}
-	case side.stands != nil && c.told && !calm && chance(150):
-		on := side.stands
-		if on.dead {
-			k := slices.IndexFunc(w.live, func(l *fakeConn) bool { return l.place() == on.place() })
+	case side.establishedOn != nil && call.knowsEstablished && !calm && chance(150):
+		on := side.establishedOn
+		if on.closed {
+			k := slices.IndexFunc(w.officeConns, func(l *fakeConn) bool { return l.officeIndex() == on.officeIndex() })
 			if k < 0 {
 				break
 			}
-			on = w.live[k]
+			on = w.officeConns[k]
 		}
-		side.stands = nil
+		side.establishedOn = nil
 		w.free(id)
-		w.say(on, wire.ReleaseOf(id, wire.CauseNormal))
+		w.send(on, wire.ReleaseOf(id, wire.CauseNormal))
 	}
 }
 
 // happen is what begins and what goes wrong.
-func (w *laneWorld) happen(chance func(int) bool) {
+func (w *laneSim) injectEvents(chance func(int) bool) {
 	for range w.rng.IntN(3) {
 		by := w.callers[w.rng.IntN(len(w.callers))]
-		w.ids++
-		w.calls[w.ids] = &worldCall{by: by}
-		m := wire.SetUp{Class: []string{"balance-check", "sale-auth"}[w.rng.IntN(2)], Number: "n/1",
-			Description: []byte("offer")}.Onward(w.ids, 300_000+w.rng.Int64N(4_000_000))
-		m.Params = append(m.Params, wire.Text(wire.ParamInfo, fmt.Sprintf("dest:%d;width:1;via:-1", w.rng.IntN(2))))
-		w.say(by.conn, m)
+		w.lastID++
+		w.calls[w.lastID] = &simCall{caller: by}
+		message := wire.SetUp{Class: []string{"balance-check", "sale-auth"}[w.rng.IntN(2)], Number: "n/1",
+			Description: []byte("offer")}.Onward(w.lastID, 300_000+w.rng.Int64N(4_000_000))
+		message.Params = append(message.Params, wire.Text(wire.ParamInfo, fmt.Sprintf("dest:%d;width:1;via:-1", w.rng.IntN(2))))
+		w.send(by.conn, message)
 	}
 	if chance(40) {
 		modes := []string{"own", "taken", "any", "taken"}
@@ -333,122 +333,122 @@
 	}
 	if chance(60) {
 		i := w.rng.IntN(len(w.callers))
-		w.leave(w.callers[i])
-		w.callers[i] = w.connects()
+		w.disconnectCaller(w.callers[i])
+		w.callers[i] = w.connectCaller()
 	}
 	if chance(150) { // longer than calls are kept for an office that refuses
 		o := []string{"o1", "o2"}[w.rng.IntN(2)]
 		w.refused[o] = w.now + w.rng.Int64N(6_000_000)
-		w.policy[o] = "refuse"
-		if k := slices.IndexFunc(w.live, func(c *fakeConn) bool { return c.name == o }); k >= 0 {
-			c := w.live[k]
-			w.lost(c)
-			w.ready = append(w.ready, Arrival{Kind: Closed, At: w.now, Conn: c, Err: errors.New("reset")})
+		w.connectPolicy[o] = "refuse"
+		if k := slices.IndexFunc(w.officeConns, func(conn *fakeConn) bool { return conn.name == o }); k >= 0 {
+			conn := w.officeConns[k]
+			w.loseConn(conn)
+			w.pendingArrivals = append(w.pendingArrivals, Arrival{Kind: Closed, At: w.now, Conn: conn, Err: errors.New("reset")})
 		}
 	}
 	for o, until := range w.refused {
 		if w.now >= until {
-			w.policy[o] = "accept"
+			w.connectPolicy[o] = "accept"
 		}
 	}
 }
 
-func (w *laneWorld) connects() *worldCaller {
-	c := &worldCaller{conn: &fakeConn{p: w.player, name: fmt.Sprint("c", len(w.laner.callers))}}
-	w.laner.opens = c.conn.name
-	w.laner.modes[c.conn.name] = []string{"own", "taken", "any"}[w.rng.IntN(3)]
-	w.step(Arrival{Kind: Accepted, At: w.now, Conn: c.conn})
-	c.session = len(w.laner.callers)
-	return c
+func (w *laneSim) connectCaller() *simCaller {
+	caller := &simCaller{conn: &fakeConn{p: w.player, name: fmt.Sprint("c", len(w.laner.callers))}}
+	w.laner.nextCaller = caller.conn.name
+	w.laner.modes[caller.conn.name] = []string{"own", "taken", "any"}[w.rng.IntN(3)]
+	w.step(Arrival{Kind: Accepted, At: w.now, Conn: caller.conn})
+	caller.session = len(w.laner.callers)
+	return caller
 }
 
-func (w *laneWorld) leave(c *worldCaller) {
+func (w *laneSim) disconnectCaller(caller *simCaller) {
 	w.step() // it leaves once what it has sent is taken in
-	c.conn.dead = true
+	caller.conn.closed = true
 	for _, call := range w.calls {
-		if call.by == c && !call.final {
-			call.done = true
+		if call.caller == caller && !call.answered {
+			call.cancelled = true
 		}
 	}
-	w.step(Arrival{Kind: Closed, At: w.now, Conn: c.conn, Err: io.EOF})
+	w.step(Arrival{Kind: Closed, At: w.now, Conn: caller.conn, Err: io.EOF})
 }
 
 // playLanes plays a day of so many ticks and then lets all come to its end; it returns what did not hold.
-func playLanes(t *testing.T, seed uint64, ticks int, without without, seen map[string]int) []string {
-	w := &laneWorld{player: newLanePlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]wireSent{},
-		session: map[*fakeConn]int{}, pool: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*worldCall{},
-		refused: map[string]int64{}, seen: seen}
-	w.laner.mute, w.s.lanes.without = true, without
-	w.wrote, w.shut, w.came = w.took, w.closed, func(c *fakeConn) { w.live = append(w.live, c) }
-	for _, a := range w.ready { // those of the start
-		if c, ok := a.Conn.(*fakeConn); ok && c.name[0] == 'o' {
-			w.live = append(w.live, c)
-		}
-	}
-	w.step()
+func runLaneSim(t *testing.T, seed uint64, ticks int, disabled disabledGuards, events map[string]int) []string {
+	sim := &laneSim{player: newLanePlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]sentMessage{},
+		ownerSession: map[*fakeConn]int{}, pooled: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*simCall{},
+		refused: map[string]int64{}, seen: events}
+	sim.laner.silent, sim.s.lanes.disabled = true, disabled
+	sim.onWrite, sim.onClose, sim.onConnect = sim.handleWrite, sim.handleClose, func(conn *fakeConn) { sim.officeConns = append(sim.officeConns, conn) }
+	for _, arrival := range sim.pendingArrivals { // those of the start
+		if conn, ok := arrival.Conn.(*fakeConn); ok && conn.name[0] == 'o' {
+			sim.officeConns = append(sim.officeConns, conn)
+		}
+	}
+	sim.step()
 	for range 6 {
-		w.callers = append(w.callers, w.connects())
+		sim.callers = append(sim.callers, sim.connectCaller())
 	}
 	for range ticks {
-		if w.tick(false); len(w.broken) > 0 {
-			return w.broken
+		if sim.tick(false); len(sim.violations) > 0 {
+			return sim.violations
 		}
-		w.lines = nil
+		sim.lines = nil
 	}
-	w.asleep = true // what is released now is lost with the lanes
+	sim.officesPaused = true // what is released now is lost with the lanes
 	for range 5 {
-		w.tick(false)
+		sim.tick(false)
 	}
-	for _, c := range slices.Clone(w.live) {
-		if strings.Contains(c.name, ".") {
-			w.lost(c)
-			w.ready = append(w.ready, Arrival{Kind: Closed, At: w.now, Conn: c, Err: io.EOF})
+	for _, conn := range slices.Clone(sim.officeConns) {
+		if strings.Contains(conn.name, ".") {
+			sim.loseConn(conn)
+			sim.pendingArrivals = append(sim.pendingArrivals, Arrival{Kind: Closed, At: sim.now, Conn: conn, Err: io.EOF})
 		}
 	}
-	w.asleep = false
-	clear(w.policy)
+	sim.officesPaused = false
+	clear(sim.connectPolicy)
 	for range 1000 {
-		w.tick(true)
+		sim.tick(true)
 	}
-	for id, c := range w.calls {
-		if !c.final && !c.done {
-			w.fault("%x has no final answer", id)
+	for id, call := range sim.calls {
+		if !call.answered && !call.cancelled {
+			sim.fault("%x has no final answer", id)
 		}
-		for _, side := range c.at {
-			if side.stands != nil {
-				w.fault("%x still stands at its office, on %s", id, side.stands.name)
+		for _, side := range call.offices {
+			if side.establishedOn != nil {
+				sim.fault("%x still stands at its office, on %s", id, side.establishedOn.name)
 			}
 		}
 	}
-	for _, c := range w.callers {
-		w.leave(c)
+	for _, caller := range sim.callers {
+		sim.disconnectCaller(caller)
 	}
-	w.until(w.now + 4*remember)
-	n := &w.s.lanes
-	left := n.count + len(n.followed) + len(n.tells)
-	for _, o := range w.s.offices.All() {
-		left += len(o.Lanes) + len(o.Own) + len(o.Free)
-		if o.Room != nil {
-			left += len(o.Room.Queue)
+	sim.until(sim.now + 4*endedCallTTL)
+	lanes := &sim.s.lanes
+	left := lanes.count + len(lanes.tracked) + len(lanes.sentReleases)
+	for _, office := range sim.s.offices.All() {
+		left += len(office.Lanes) + len(office.Own) + len(office.Free)
+		if office.Room != nil {
+			left += len(office.Room.Queue)
 		}
-		for _, l := range append([]*state.Lane{&o.Lane}, o.Lanes...) {
-			left += len(l.Out) + len(l.Queue) + l.Stands
+		for _, lane := range append([]*state.Lane{&office.Lane}, office.Lanes...) {
+			left += len(lane.Out) + len(lane.Queue) + lane.Stands
 		}
 	}
 	if left != 0 {
-		w.fault("%d lanes, %d calls, %d releases are left; %d in all", n.count, len(n.followed), len(n.tells), left)
+		sim.fault("%d lanes, %d calls, %d releases are left; %d in all", lanes.count, len(lanes.tracked), len(lanes.sentReleases), left)
 	}
-	return w.broken
+	return sim.violations
 }
 
-func TestLanesInAWorldOfFaults(t *testing.T) {
+func TestLanesUnderRandomFaults(t *testing.T) {
 	days := 16
 	if testing.Short() {
 		days = 8
 	}
 	seen := map[string]int{}
 	for seed := range uint64(days) {
-		if broken := playLanes(t, seed, 1500, without{}, seen); len(broken) > 0 {
+		if broken := runLaneSim(t, seed, 1500, disabledGuards{}, seen); len(broken) > 0 {
 			t.Errorf("seed %d: %s", seed, strings.Join(broken[:min(3, len(broken))], "; "))
 		}
 	}
@@ -463,22 +463,22 @@
 // Each guard is needed: without it the same world finds what it is for.
 func TestEachGuardOfLanesIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		without without
+		without disabledGuards
 		finds   string
 	}{
-		{without{shareTaken: true}, "which"},
-		{without{spill: true}, "is to go on"},
-		{without{keepLost: true}, "still stands at its office"},
-		{without{crossGiveUp: true}, "overtakes"},
-		{without{noBound: true}, "lanes"},
-		{without{forgetHolder: true}, "are left"},
-		{without{cutHeld: true}, "is cut, and its connection"},
-		{without{waitOn: true}, "for room"},
-		{without{clearOwn: true}, "its caller is connected"},
+		{disabledGuards{exclusiveLane: true}, "which"},
+		{disabledGuards{waitForLane: true}, "is to go on"},
+		{disabledGuards{repeatLost: true}, "still stands at its office"},
+		{disabledGuards{cancelInOrder: true}, "overtakes"},
+		{disabledGuards{laneLimit: true}, "lanes"},
+		{disabledGuards{returnLane: true}, "are left"},
+		{disabledGuards{keepOnOpenLane: true}, "is cut, and its connection"},
+		{disabledGuards{waitLimit: true}, "for room"},
+		{disabledGuards{keepOwned: true}, "its caller is connected"},
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 40 && !strings.Contains(caught, c.finds); seed++ {
-			caught = strings.Join(playLanes(t, seed, 1500, c.without, map[string]int{}), "; ")
+			caught = strings.Join(runLaneSim(t, seed, 1500, c.without, map[string]int{}), "; ")
 		}
 		if !strings.Contains(caught, c.finds) {
 			t.Errorf("%+v was not caught; found: %.200s", c.without, caught)
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -15,65 +15,65 @@
 	"pewterwheel/internal/wire"
 )
 
-func (s *Session) connect(l *state.Lane) {
-	if l.Conn == nil && l.Dialling == 0 {
-		l.Dialling = s.dial(l.To.Address.String(), l)
+func (s *Session) connect(lane *state.Lane) {
+	if lane.Conn == nil && lane.Dialling == 0 {
+		lane.Dialling = s.dial(lane.To.Address.String(), lane)
 	}
 }
 
 // connectBeside opens a connection that is to take the place of the present one once it has come up.
-func (s *Session) connectBeside(o *state.Office) {
-	if o.Dialling == 0 && s.now >= o.NotUntil {
-		o.Dialling = s.dial(o.Address.String(), &o.Lane)
+func (s *Session) connectReplacement(office *state.Office) {
+	if office.Dialling == 0 && s.now >= office.NotUntil {
+		office.Dialling = s.dial(office.Address.String(), &office.Lane)
 	}
 }
 
-func (s *Session) officeOpen(l *state.Lane, conn state.Conn) {
-	o := l.To
-	if l.Conn != nil {
-		if len(l.Out) > 0 { // what is out there would be reset
-			l.Dialling = 0
+func (s *Session) officeConnected(lane *state.Lane, conn state.Conn) {
+	office := lane.To
+	if lane.Conn != nil {
+		if len(lane.Out) > 0 { // what is out there would be reset
+			lane.Dialling = 0
 			_ = conn.Close() // nothing was written to it
 			return
 		}
-		s.drop(l.Conn, errMute)
+		s.closeConn(lane.Conn, errOfficeSilent)
 	}
-	if l.Dialling, l.In = 0, nil; l.Number == 0 { // the backoff goes on until a connection has lasted
-		o.Unreached = false
-		o.Liveness.Connected()
+	if lane.Dialling, lane.In = 0, nil; lane.Number == 0 { // the backoff goes on until a connection has lasted
+		office.Unreached = false
+		office.Liveness.Connected()
 	}
-	if o.State == decide.Removed {
+	if office.State == decide.Removed {
 		_ = conn.Close() // nothing was written to it
-		s.unreached(l)
-		s.laneOver(l)
+		s.failQueued(lane)
+		s.removeLane(lane)
 		return
 	}
-	l.Conn = conn
-	l.Spoken.Up(s.now)
-	s.roles[conn] = l
-	if l.Number == 0 {
-		s.endHere(l)
+	lane.Conn = conn
+	lane.Spoken.Up(s.now)
+	s.connOwners[conn] = lane
+	if lane.Number == 0 {
+		s.resendReleases(lane)
 	}
-	s.unqueue(l)
+	s.flushQueue(lane)
 }
 
-func (s *Session) officeUnreached(l *state.Lane, err error) {
-	o := l.To
-	l.Dialling = 0
-	s.laneLog(l).Warn("office unreached", "office", o.ID, "error", err)
-	if l.Conn != nil {
-		s.redialLater(o, redialMost)
+func (s *Session) officeDialFailed(lane *state.Lane, err error) {
+	office := lane.To
+	lane.Dialling = 0
+	s.laneLogger(lane).Warn("office unreached", "office", office.ID, "error", err)
+	if lane.Conn != nil {
+		s.scheduleRedial(office, maxRedialDelay)
 		return
 	}
-	s.unreached(l)
-	if l.Number != 0 {
-		s.laneOver(l)
+	s.failQueued(lane)
+	if lane.Number != 0 {
+		s.removeLane(lane)
 		return
 	}
-	o.Unreached = true
-	o.Liveness.ConnectFailed(s.now, refusedByPeer(err))
-	s.judgeOffice(o)
-	s.redialLater(o, redialMost)
+	office.Unreached = true
+	office.Liveness.ConnectFailed(s.now, refusedByPeer(err))
+	s.judgeOffice(office)
+	s.scheduleRedial(office, maxRedialDelay)
 }
 
 // refusedByPeer tells whether a connect was refused by the office's system, and did not fail in this process.
@@ -82,160 +82,160 @@
 }
 
 // unreached ends the set-ups that wait for a connection: nothing of them has been sent.
-func (s *Session) unreached(l *state.Lane) {
-	queue := l.Queue
-	l.Queue = nil
-	for _, at := range queue {
+func (s *Session) failQueued(lane *state.Lane) {
+	queue := lane.Queue
+	lane.Queue = nil
+	for _, attempt := range queue {
 		s.Counters[state.Unreached]++
-		s.ended(at, decide.Unreached)
+		s.endAttempt(attempt, decide.Unreached)
 	}
 }
 
 // officeLost ends what was open on a connection. Calls that stand outlive it: the office sends their releases
 // on the next one, which is opened at once.
-func (s *Session) officeLost(l *state.Lane, err error) {
-	o, unsent := l.To, errors.Is(err, errStuck) || l.Conn.Unsent()
-	unanswered := s.unanswered(l)
-	l.Conn, l.In = nil, nil
-	s.writeOffice(l) // nobody is there: what was to be written has not left
+func (s *Session) officeDisconnected(lane *state.Lane, err error) {
+	office, unsent := lane.To, errors.Is(err, errUnsentSetUps) || lane.Conn.Unsent()
+	unanswered := s.unansweredSetUps(lane)
+	lane.Conn, lane.In = nil, nil
+	s.writeOffice(lane) // nobody is there: what was to be written has not left
 	level := slog.LevelWarn
 	if errors.Is(err, errIdle) {
 		level = slog.LevelDebug
 	}
-	s.laneLog(l).Log(context.Background(), level, "office connection ended", "office", o.ID, "out", len(l.Out), "standing", len(o.Standing),
-		"silent_ms", sinceOrNever(s.now, o.Liveness.Spoke()), "served_ms", sinceOrNever(s.now, o.Liveness.Served()), "error", err)
-	for _, at := range inOrder(l.Out) {
-		if at.Failed {
+	s.laneLogger(lane).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(lane.Out), "standing", len(office.Standing),
+		"silent_ms", millisSince(s.now, office.Liveness.Spoke()), "served_ms", millisSince(s.now, office.Liveness.Served()), "error", err)
+	for _, attempt := range inKeyOrder(lane.Out) {
+		if attempt.Failed {
 			s.Counters[state.Unreached]++
-			if at.Unheard { // the earlier one may stand there all the same
-				o.Ended[at.Call.ID] = at.Over
+			if attempt.Unheard { // the earlier one may stand there all the same
+				office.Ended[attempt.Call.ID] = attempt.Over
 			}
-			s.ended(at, decide.Unreached)
+			s.endAttempt(attempt, decide.Unreached)
 			continue
 		}
 		s.Counters[state.Resets]++
-		o.Liveness.Cut(s.now, at.Since)
-		o.Ended[at.Call.ID] = state.Ending{Cause: wire.CauseNormal, At: s.now, On: l.Number}
+		office.Liveness.Cut(s.now, attempt.Since)
+		office.Ended[attempt.Call.ID] = state.Ending{Cause: wire.CauseNormal, At: s.now, On: lane.Number}
 		if s.lanes.laner != nil {
-			s.saw(pooling.LaneLost, at.Call.ID, 0, nil)
+			s.observe(pooling.LaneLost, attempt.Call.ID, 0, nil)
 		}
-		s.ended(at, decide.Cut)
+		s.endAttempt(attempt, decide.Cut)
 	}
 	if unsent {
-		s.owedAgain(l)
+		s.scheduleReleaseRepeats(lane)
 	}
 	if s.lanes.laner != nil {
-		s.laneLost(l)
+		s.laneLost(lane)
 	}
-	if l.Number == 0 {
-		o.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: l.Spoken.Opened, Unanswered: unanswered})
+	if lane.Number == 0 {
+		office.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: lane.Spoken.Opened, Unanswered: unanswered})
 	}
-	switch quick := s.now-l.Spoken.Opened < redialMost; {
-	case l.Number != 0: // it says nothing of the main one
-	case quick && o.Backoff != 0: // guards against a connect for each round trip, where each is taken and ended at once
-		s.redialLater(o, reopenMost)
+	switch short := s.now-lane.Spoken.Opened < maxRedialDelay; {
+	case lane.Number != 0: // it says nothing of the main one
+	case short && office.Backoff != 0: // guards against a connect for each round trip, where each is taken and ended at once
+		s.scheduleRedial(office, maxReopenDelay)
 		return
-	case quick: // the first such loss may be chance
-		o.Backoff = redialFirst / 2
+	case short: // the first such loss may be chance
+		office.Backoff = minRedialDelay / 2
 	default:
-		o.Backoff = 0
+		office.Backoff = 0
 	}
-	s.redial(o)
+	s.redialIfNeeded(office)
 }
 
 // sinceOrNever is how many milliseconds ago something was, for the log; -1: it never was.
-func sinceOrNever(now, then int64) int64 {
-	if then == 0 {
+func millisSince(now, time int64) int64 {
+	if time == 0 {
 		return -1
 	}
-	return (now - then) / 1000
+	return (now - time) / 1000
 }
 
 // owedAgain has what was released on a connection that ended before all of it had left, and was not heard, told once more:
 // what ended with it, and what was given up before. The release of the latter may be among what did not leave, though its
 // set-up had.
-func (s *Session) owedAgain(l *state.Lane) {
-	o := l.To
-	for call, e := range o.Ended {
-		if e.On == l.Number && e.Again == 0 {
-			e.Again = s.now + tellAfter
-			o.Ended[call] = e
+func (s *Session) scheduleReleaseRepeats(lane *state.Lane) {
+	office := lane.To
+	for call, ending := range office.Ended {
+		if ending.On == lane.Number && ending.Again == 0 {
+			ending.Again = s.now + releaseRepeatDelay
+			office.Ended[call] = ending
 		}
 	}
 }
 
 // tellAgain tells an office once more of what is owed it again. Guards against an office that reads a set-up of a connection
 // which has ended only after it has heard of its end on the next one: it would stand for nobody.
-func (s *Session) tellAgain(o *state.Office) {
-	for call, e := range inOrder(o.Ended) {
-		if e.Again != 0 && s.now >= e.Again && o.Conn != nil {
-			e.Again = 0
-			o.Ended[call] = e
-			s.toOffice(&o.Lane, call, e.Cause)
+func (s *Session) repeatReleases(office *state.Office) {
+	for call, ending := range inKeyOrder(office.Ended) {
+		if ending.Again != 0 && s.now >= ending.Again && office.Conn != nil {
+			ending.Again = 0
+			office.Ended[call] = ending
+			s.sendOfficeRelease(&office.Lane, call, ending.Cause)
 		}
 	}
 }
 
 // redial connects again where calls stand, also those of before our start, or releases wait; else the next set-up does.
-func (s *Session) redial(o *state.Office) {
-	wanted := len(o.Standing) > 0 || len(o.Ended) > 0 || s.inherits(o)
-	if o.State != decide.Removed && wanted && s.now >= o.NotUntil {
-		s.connect(&o.Lane)
+func (s *Session) redialIfNeeded(office *state.Office) {
+	needed := len(office.Standing) > 0 || len(office.Ended) > 0 || s.mayHaveEarlierCalls(office)
+	if office.State != decide.Removed && needed && s.now >= office.NotUntil {
+		s.connect(&office.Lane)
 	}
 }
 
 // inherits tells whether calls of the process before may stand at an office.
-func (s *Session) inherits(o *state.Office) bool {
-	return s.now-s.inherited < inheritFor && o.Started <= s.began && len(s.offices.All()) <= s.maxEager
+func (s *Session) mayHaveEarlierCalls(office *state.Office) bool {
+	return s.now-s.earlierCallSeen < earlierCallsWindow && office.Started <= s.startedAt && len(s.offices.All()) <= s.maxEagerOffices
 }
 
 // redialLater connects again after a pause that doubles each time, up to a bound.
-func (s *Session) redialLater(o *state.Office, most int64) {
-	o.Backoff = min(max(2*o.Backoff, redialFirst), most)
-	o.NotUntil = s.now + o.Backoff
-	s.dialled++
-	s.redials[s.dialled] = o
-	s.wheel.Set(o.NotUntil, state.Timer{Kind: state.TimerRedial, ID: s.dialled})
+func (s *Session) scheduleRedial(office *state.Office, maxDelay int64) {
+	office.Backoff = min(max(2*office.Backoff, minRedialDelay), maxDelay)
+	office.NotUntil = s.now + office.Backoff
+	s.lastDialID++
+	s.pendingRedials[s.lastDialID] = office
+	s.wheel.Set(office.NotUntil, state.Timer{Kind: state.TimerRedial, ID: s.lastDialID})
 }
 
 // officeGone ends an office, or one life of it, when the list tells so. The list is late: guards against
 // cutting what a server that started anew has taken since, on a connection that has come up since.
-func (s *Session) officeGone(g state.Gone) {
-	o, before := g.Office, int64(math.MaxInt64)
-	if g.Removed {
-		o.Liveness = liveness.Office{}
+func (s *Session) endOffice(gone state.Gone) {
+	office, startedBefore := gone.Office, int64(math.MaxInt64)
+	if gone.Removed {
+		office.Liveness = liveness.Office{}
 	} else {
-		before = o.Started
+		startedBefore = office.Started
 	}
-	s.cut(o, before)
-	for _, l := range slices.Clone(o.Lanes) {
-		s.laneGone(l, before)
+	s.cutEstablishedBefore(office, startedBefore)
+	for _, lane := range slices.Clone(office.Lanes) {
+		s.endLane(lane, startedBefore)
 	}
-	s.laneGone(&o.Lane, before)
+	s.endLane(&office.Lane, startedBefore)
 }
 
 // laneGone ends a connection to an office, or to one life of it, that is over.
-func (s *Session) laneGone(l *state.Lane, before int64) {
-	if l.Conn != nil && l.Spoken.Opened >= before {
+func (s *Session) endLane(lane *state.Lane, openedBefore int64) {
+	if lane.Conn != nil && lane.Spoken.Opened >= openedBefore {
 		return
 	}
-	if l.Conn != nil {
-		s.writeOffice(l)
-		delete(s.roles, l.Conn)
-		_ = l.Conn.Close() // its end is what is asked for
-		l.Conn = nil
+	if lane.Conn != nil {
+		s.writeOffice(lane)
+		delete(s.connOwners, lane.Conn)
+		_ = lane.Conn.Close() // its end is what is asked for
+		lane.Conn = nil
 	}
-	for _, at := range inOrder(l.Out) {
+	for _, attempt := range inKeyOrder(lane.Out) {
 		s.Counters[state.Resets]++
-		s.ended(at, decide.Cut)
+		s.endAttempt(attempt, decide.Cut)
 	}
-	if l.Number == 0 {
-		clear(l.To.Ended)
+	if lane.Number == 0 {
+		clear(lane.To.Ended)
 	}
-	if l.Dialling != 0 { // it may lead to the old address
-		delete(s.dials, l.Dialling)
-		l.Dialling = 0
+	if lane.Dialling != 0 { // it may lead to the old address
+		delete(s.dials, lane.Dialling)
+		lane.Dialling = 0
 	}
-	s.unreached(l)
-	s.laneOver(l)
+	s.failQueued(lane)
+	s.removeLane(lane)
 }
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	errDialTime = errors.New("no connection in time")
-	errSilent   = errors.New("no frame in time")
-	errSpoilt   = errors.New("message spoilt")
-	errMute     = errors.New("nothing said any more")
-	errPartial  = errors.New("message not whole in time")
-	errFlood    = errors.New("more than is kept for one connection")
-	errType     = errors.New("message of unknown type")
-	errUsed     = errors.New("set-up under an id in use")
-	errNothing  = errors.New("nothing asked for in time")
-	errOdd      = errors.New("too much that cannot be read")
-	errIdle     = errors.New("nothing to carry any more")
-	errStuck    = errors.New("what was given up, or is not to be sent any more, has not left")
+	errDialTimeout    = errors.New("no connection in time")
+	errJournalSilent  = errors.New("no frame in time")
+	errMalformed      = errors.New("message spoilt")
+	errOfficeSilent   = errors.New("nothing said any more")
+	errPartialMessage = errors.New("message not whole in time")
+	errBufferExceeded = errors.New("more than is kept for one connection")
+	errUnknownType    = errors.New("message of unknown type")
+	errIDInUse        = errors.New("set-up under an id in use")
+	errNoRequest      = errors.New("nothing asked for in time")
+	errTooManyInvalid = errors.New("too much that cannot be read")
+	errIdle           = errors.New("nothing to carry any more")
+	errUnsentSetUps   = errors.New("what was given up, or is not to be sent any more, has not left")
 )
 
 // EndHearer is a Decider that may want to be told of the end of each call that stood, by an event of kind decide.Over.
@@ -33,236 +33,236 @@
 }
 
 // standOver tells the module that a call which had begun stands no more, if it hears of that.
-func (s *Session) standOver(call uint64) {
-	if s.hearer != nil && s.hearer.HearsEnds() {
-		s.event(decide.Event{Kind: decide.Over, Call: decide.CallID(call)})
+func (s *Session) reportCallOver(call uint64) {
+	if s.endHearer != nil && s.endHearer.HearsEnds() {
+		s.queueEvent(decide.Event{Kind: decide.Over, Call: decide.CallID(call)})
 	}
 }
 
 // officeBox is where messages for an office are written.
-func (s *Session) officeBox(l *state.Lane) *state.Outbox {
-	if len(l.Box.Bytes) > maxBox {
-		s.writeOffice(l)
+func (s *Session) officeOutbox(lane *state.Lane) *state.Outbox {
+	if len(lane.Box.Bytes) > maxOutbox {
+		s.writeOffice(lane)
 	}
-	return s.box(l, &l.Box)
+	return s.outbox(lane, &lane.Box)
 }
 
 // toOffice releases a call at an office, if it is connected.
-func (s *Session) toOffice(l *state.Lane, call uint64, cause byte) {
-	if l.Conn != nil {
-		box := s.officeBox(l)
+func (s *Session) sendOfficeRelease(lane *state.Lane, call uint64, cause byte) {
+	if lane.Conn != nil {
+		box := s.officeOutbox(lane)
 		box.Bytes = wire.AppendRelease(box.Bytes, call, cause, 0)
 	}
 }
 
 // endAt releases a call at an office, or gives its set-up up there, on this connection or the next.
-func (s *Session) endAt(l *state.Lane, call uint64, cause byte) {
-	o := l.To
-	if o.State == decide.Removed {
+func (s *Session) releaseAtOffice(lane *state.Lane, call uint64, cause byte) {
+	office := lane.To
+	if office.State == decide.Removed {
 		return
 	}
 	if s.lanes.laner != nil {
-		l = s.laneToEnd(l, call)
+		lane = s.laneForRelease(lane, call)
 	}
-	if len(o.Ended) < maxEndings {
-		o.Ended[call] = state.Ending{Cause: cause, At: s.now, On: l.Number}
+	if len(office.Ended) < maxPendingReleases {
+		office.Ended[call] = state.Ending{Cause: cause, At: s.now, On: lane.Number}
 	}
-	if l.Conn != nil {
-		s.toOffice(l, call, cause)
+	if lane.Conn != nil {
+		s.sendOfficeRelease(lane, call, cause)
 	} else {
-		s.redial(o)
+		s.redialIfNeeded(office)
 	}
 }
 
-func (s *Session) fromOffice(l *state.Lane, m wire.Message, at int64) {
-	if m.Bad {
+func (s *Session) handleOfficeMessage(lane *state.Lane, message wire.Message, at int64) {
+	if message.Bad {
 		// Where a parameter does not fit, nothing behind it on this connection can be relied on.
 		s.Counters[state.BadIn]++
-		s.drop(l.Conn, errSpoilt)
+		s.closeConn(lane.Conn, errMalformed)
 		return
 	}
-	s.officeSpoke(l, m, at)
-	switch m.Type {
+	s.recordOfficeMessage(lane, message, at)
+	switch message.Type {
 	case wire.TypeAnswer:
-		s.officeAnswered(l, m, at)
+		s.handleOfficeAnswer(lane, message, at)
 	case wire.TypeRelease:
-		s.officeReleased(l, m, at)
+		s.handleOfficeRelease(lane, message, at)
 	case wire.TypeHeard:
-		if l.To.Ended[m.Call].Again != 0 {
+		if lane.To.Ended[message.Call].Again != 0 {
 			break // it is told again first
 		}
-		delete(l.To.Ended, m.Call)
+		delete(lane.To.Ended, message.Call)
 		if s.lanes.laner != nil {
-			s.endHeard(l, m.Call)
+			s.releaseAcknowledged(lane, message.Call)
 		}
 	case wire.TypeGroup:
 		// Comes unasked, again and again; the module draws by the free lines.
-		l.Spoken.Report(at, &s.rhythm)
-		if l.Number != 0 && l.To.Conn != nil {
+		lane.Spoken.Report(at, &s.reportRhythm)
+		if lane.Number != 0 && lane.To.Conn != nil {
 			break // it comes on the main connection, too
 		}
-		if lines, told := m.LinesInUse(); told {
-			l.To.Liveness.LinesInUse(at, lines, standing(l.To))
+		if lines, reported := message.LinesInUse(); reported {
+			lane.To.Liveness.LinesInUse(at, lines, countEstablished(lane.To))
 		}
-		s.event(decide.Event{Kind: decide.Checked, Server: l.To.ID, Outcome: decide.OK, Load: m.Load()})
+		s.queueEvent(decide.Event{Kind: decide.Checked, Server: lane.To.ID, Outcome: decide.OK, Load: message.Load()})
 	case wire.TypeProgress, wire.TypeTested:
 	default:
 		s.Counters[state.BadIn]++
 	}
 }
 
-func (s *Session) officeAnswered(l *state.Lane, m wire.Message, when int64) {
-	o, at := l.To, s.outAt(l, m.Call)
-	if at == nil {
-		_, ended := o.Ended[m.Call]
-		if st := s.stands[m.Call]; !ended && (st == nil || st.On.To != o) {
+func (s *Session) handleOfficeAnswer(lane *state.Lane, message wire.Message, arrivedAt int64) {
+	office, attempt := lane.To, s.outstandingAttempt(lane, message.Call)
+	if attempt == nil {
+		_, ended := office.Ended[message.Call]
+		if established := s.established[message.Call]; !ended && (established == nil || established.On.To != office) {
 			s.Counters[state.BadIn]++
-			s.endAt(l, m.Call, wire.CauseNormal) // it stands there for nobody
+			s.releaseAtOffice(lane, message.Call, wire.CauseNormal) // it stands there for nobody
 		}
 		return
 	}
-	description, _ := m.Get(wire.ParamDescription)
+	description, _ := message.Get(wire.ParamDescription)
 	if len(description) == 0 {
 		// The call stands there, with nothing that its caller could use. Guards against passing on as served
 		// what no office made. officeLost releases it on the next connection.
 		s.Counters[state.BadIn]++
-		s.drop(l.Conn, errSpoilt)
+		s.closeConn(lane.Conn, errMalformed)
 		return
 	}
 	s.Counters[state.AnswersBack]++
-	c, l := at.Call, at.On
-	delete(l.Out, c.ID)
-	c.Attempt = nil
-	s.event(decide.Event{Kind: decide.Begun, Call: decide.CallID(c.ID), Server: o.ID, Attempt: at.N,
-		Took: max(0, when-at.Since)})
-	if c.Answered {
-		s.forget(c)
-		s.standOver(c.ID)
-		s.endAt(l, c.ID, wire.CauseNormal)
-		s.laneFreed(l, c.ID)
+	call, lane := attempt.Call, attempt.On
+	delete(lane.Out, call.ID)
+	call.Attempt = nil
+	s.queueEvent(decide.Event{Kind: decide.Begun, Call: decide.CallID(call.ID), Server: office.ID, Attempt: attempt.N,
+		Took: max(0, arrivedAt-attempt.Since)})
+	if call.Answered {
+		s.forgetCall(call)
+		s.reportCallOver(call.ID)
+		s.releaseAtOffice(lane, call.ID, wire.CauseNormal)
+		s.freeLane(lane, call.ID)
 		return
 	}
-	s.answered(c)
-	s.forget(c)
-	if !s.tellAnswer(c.From, c.ID, description) {
-		s.standOver(c.ID)
-		s.endAt(l, c.ID, wire.CauseNormal) // nobody knows that it stands
-		s.laneFreed(l, c.ID)
+	s.markAnswered(call)
+	s.forgetCall(call)
+	if !s.sendAnswer(call.From, call.ID, description) {
+		s.reportCallOver(call.ID)
+		s.releaseAtOffice(lane, call.ID, wire.CauseNormal) // nobody knows that it stands
+		s.freeLane(lane, call.ID)
 		return
 	}
 	s.Counters[state.AnswersOut]++
-	s.ends[s.classes[c.SetUp.Class]].Completed++
-	s.good(c.From)
-	delete(s.over, c.ID)
-	st := s.pool.Standing()
-	*st = state.Standing{ID: c.ID, On: l, From: c.From, Since: s.now, Class: s.classes[c.SetUp.Class]}
-	s.stands[c.ID], o.Standing[c.ID] = st, st
-	c.From.Stands++
+	s.answerCounts[s.classIndex[call.SetUp.Class]].Completed++
+	s.trustCaller(call.From)
+	delete(s.endedCalls, call.ID)
+	st := s.callPool.Standing()
+	*st = state.Standing{ID: call.ID, On: lane, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
+	s.established[call.ID], office.Standing[call.ID] = st, st
+	call.From.Stands++
 	if s.lanes.laner != nil {
-		s.stood(l, c.ID, description)
+		s.markEstablished(lane, call.ID, description)
 	}
 }
 
 // unheard ends a call whose answer did not reach its caller: nobody knows that it stands.
-func (s *Session) unheard(call uint64) {
-	if st := s.stands[call]; st != nil {
+func (s *Session) answerUndelivered(call uint64) {
+	if established := s.established[call]; established != nil {
 		s.Counters[state.AnswersOut]--
-		l := st.On
-		s.over[call] = s.now
-		s.endStanding(st)
-		s.endAt(l, call, wire.CauseNormal)
+		lane := established.On
+		s.endedCalls[call] = s.now
+		s.endEstablished(established)
+		s.releaseAtOffice(lane, call, wire.CauseNormal)
 	}
 }
 
 // outcomes of a release that comes before the answer, by cause, and how they are counted.
-var outcomes = map[byte]struct {
-	o decide.Outcome
-	c state.Counter
+var releaseOutcomes = map[byte]struct {
+	outcome decide.Outcome
+	counter state.Counter
 }{wire.CauseFull: {decide.Rejected, state.FullBack}, wire.CauseMoot: {decide.Unsent, state.Moot},
 
 	wire.CauseCut: {decide.Cut, state.Resets}}
 
-func (s *Session) officeReleased(l *state.Lane, m wire.Message, when int64) {
-	o, cause := l.To, m.Cause()
+func (s *Session) handleOfficeRelease(lane *state.Lane, message wire.Message, arrivedAt int64) {
+	office, cause := lane.To, message.Cause()
 	// Where nobody is there to be told of a call's end, the office is to tell it again on its next connection: this process
 	// may have ended by then, and with it what it has heard.
-	if _, ended := o.Ended[m.Call]; ended || s.calls[m.Call] != nil || slices.ContainsFunc(s.callers, mayBeUsual) {
-		hear := l
+	if _, ended := office.Ended[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
+		ackOn := lane
 		if s.lanes.laner != nil {
-			hear = s.laneToHear(l, m.Call)
+			ackOn = s.laneForAck(lane, message.Call)
 		}
-		box := s.officeBox(hear)
-		box.Bytes = wire.AppendHeard(box.Bytes, m.Call)
+		box := s.officeOutbox(ackOn)
+		box.Bytes = wire.AppendHeard(box.Bytes, message.Call)
 	}
-	if at := s.outAt(l, m.Call); at != nil {
-		ended, ok := outcomes[cause]
+	if attempt := s.outstandingAttempt(lane, message.Call); attempt != nil {
+		ended, ok := releaseOutcomes[cause]
 		if !ok {
-			ended.o, ended.c = decide.Failed, state.ErrorsBack
+			ended.outcome, ended.counter = decide.Failed, state.ErrorsBack
 		}
-		s.Counters[ended.c]++
+		s.Counters[ended.counter]++
 		if s.lanes.laner != nil {
-			s.saw(pooling.Failed, m.Call, cause, nil)
+			s.observe(pooling.Failed, message.Call, cause, nil)
 		}
-		s.endedWith(at, ended.o, m, when)
+		s.endAttemptWith(attempt, ended.outcome, message, arrivedAt)
 		return
 	}
-	if own, ours := o.Ended[m.Call]; ours {
-		if own.Unresponsive {
+	if pending, isPending := office.Ended[message.Call]; isPending {
+		if pending.Unresponsive {
 			s.Counters[state.ReleasedEarly]++
-			o.Liveness.EndSeen(when)
+			office.Liveness.EndSeen(arrivedAt)
 		}
-		delete(o.Ended, m.Call) // it crossed our own
+		delete(office.Ended, message.Call) // it crossed our own
 		if s.lanes.laner != nil {
-			s.endHeard(l, m.Call)
+			s.releaseAcknowledged(lane, message.Call)
 		}
 		return
 	}
-	if st := s.stands[m.Call]; st != nil {
-		if st.On.To != o {
+	if established := s.established[message.Call]; established != nil {
+		if established.On.To != office {
 			return // it was given up here and stands elsewhere: its end there is what counts
 		}
-		o.Liveness.Ended(when, liveness.Call{Since: st.Since, Class: st.Class}, l.Spoken.Opened)
-		s.holding.Ended(st.Class, s.now-st.Since)
+		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, lane.Spoken.Opened)
+		s.callDurations.Ended(established.Class, s.now-established.Since)
 		if s.lanes.laner != nil {
-			s.saw(pooling.EndedThere, m.Call, cause, nil)
+			s.observe(pooling.EndedThere, message.Call, cause, nil)
 		}
-		s.endStanding(st)
-		s.tellEnd(m.Call, cause, st.From)
-	} else if _, known := s.over[m.Call]; !known && s.calls[m.Call] == nil {
-		if o.Strays++; o.Strays > maxEndings { // no office has so many to tell at once: guards against filling memory
+		s.endEstablished(established)
+		s.releaseToCaller(message.Call, cause, established.From)
+	} else if _, known := s.endedCalls[message.Call]; !known && s.calls[message.Call] == nil {
+		if office.Strays++; office.Strays > maxPendingReleases { // no office has so many to tell at once: guards against filling memory
 			s.Counters[state.BadIn]++
 			return
 		}
-		s.inherited = s.now
-		s.tellEnd(m.Call, cause, nil) // a call of before our own start
+		s.earlierCallSeen = s.now
+		s.releaseToCaller(message.Call, cause, nil) // a call of before our own start
 	}
-	s.over[m.Call] = s.now
+	s.endedCalls[message.Call] = s.now
 }
 
-func (s *Session) endStanding(st *state.Standing) {
-	s.standOver(st.ID)
-	delete(s.stands, st.ID)
-	st.From.Stands--
-	delete(st.On.To.Standing, st.ID)
+func (s *Session) endEstablished(established *state.Standing) {
+	s.reportCallOver(established.ID)
+	delete(s.established, established.ID)
+	established.From.Stands--
+	delete(established.On.To.Standing, established.ID)
 	if s.lanes.laner != nil {
-		s.stoodOn(st)
+		s.markEnded(established)
 	}
-	s.pool.Ended(st)
+	s.callPool.Ended(established)
 }
 
 // cut releases towards their callers the calls that stood before a time at an office which is no more.
-func (s *Session) cut(o *state.Office, before int64) {
-	for _, st := range inOrder(o.Standing) {
-		if st.Since < before {
-			s.cutStanding(st)
+func (s *Session) cutEstablishedBefore(office *state.Office, before int64) {
+	for _, established := range inKeyOrder(office.Standing) {
+		if established.Since < before {
+			s.cutEstablished(established)
 		}
 	}
 }
 
 // cutStanding releases a call towards its caller as cut.
-func (s *Session) cutStanding(st *state.Standing) {
-	call, from := st.ID, st.From
-	s.over[call] = s.now
-	s.endStanding(st)
-	s.tellEnd(call, wire.CauseCut, from)
+func (s *Session) cutEstablished(established *state.Standing) {
+	call, from := established.ID, established.From
+	s.endedCalls[call] = s.now
+	s.endEstablished(established)
+	s.releaseToCaller(call, wire.CauseCut, from)
 }
--- a/internal/session/pooling_world_test.go
+++ b/internal/session/pooling_world_test.go
@@ -15,27 +15,27 @@
 var hours = flag.Float64("hours", 0, "hours of virtual time that clients call in TestVerdictsReachTheLanes; 0: a few minutes")
 
 // addressed is a caller's connection with the address that it came from.
-type addressed struct {
+type addressedConn struct {
 	fakeConn
-	from string
+	address string
 }
 
-func (c *addressed) RemoteAddr() net.Addr {
-	return &net.TCPAddr{IP: net.ParseIP(c.from), Port: 40_000}
+func (c *addressedConn) RemoteAddr() net.Addr {
+	return &net.TCPAddr{IP: net.ParseIP(c.address), Port: 40_000}
 }
 
 // habitual is a client with one connection.
-type habitual struct {
-	conn   *addressed
-	mind   *standin.Mind
-	open   int
-	next   int64 // when it may set up its next call
-	calls  int
-	harmed int
-	raised int // calls until it was raised above BySession; 0: not
+type simClient struct {
+	conn      *addressedConn
+	behaviour *standin.Mind
+	open      int
+	next      int64 // when it may set up its next call
+	calls     int
+	harmed    int
+	raised    int // calls until it was raised above BySession; 0: not
 }
 
-type due struct {
+type delayedAction struct {
 	at int64
 	do func()
 }
@@ -57,65 +57,65 @@
 	var out fleet.Out
 	part.Start(0, &out)
 	part.View(0, &fleet.View{Number: 1, Self: "a", Members: []fleet.Member{{Entry: fleet.Entry{Name: "a", Incarnation: 1, State: fleet.Serving}}}}, &out)
-	var later []due
-	after := func(wait int64, do func()) { later = append(later, due{p.now + wait, do}) }
-	say := func(c interface{ Write([]byte) (int, error) }, m wire.Message) {
-		b, err := m.Append(nil)
+	var later []delayedAction
+	after := func(wait int64, do func()) { later = append(later, delayedAction{p.now + wait, do}) }
+	say := func(c interface{ Write([]byte) (int, error) }, message wire.Message) {
+		b, err := message.Append(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch c := c.(type) {
 		case *fakeConn:
-			if !c.dead {
-				p.ready = append(p.ready, Arrival{Kind: Data, At: p.now, Conn: c, Data: b})
+			if !c.closed {
+				p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Data, At: p.now, Conn: c, Data: b})
 			}
-		case *addressed:
-			p.ready = append(p.ready, Arrival{Kind: Data, At: p.now, Conn: c, Data: b})
+		case *addressedConn:
+			p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Data, At: p.now, Conn: c, Data: b})
 		}
 	}
 	ties := []standin.Ties{{}, {}}
-	clients, of, finals := []*habitual{}, map[uint64]*habitual{}, map[uint64]int{}
+	clients, of, finals := []*simClient{}, map[uint64]*simClient{}, map[uint64]int{}
 	lanes, mostLanes := 0, 0
-	p.came = func(*fakeConn) { lanes++; mostLanes = max(mostLanes, lanes) }
-	p.shut = func(c *fakeConn) {
-		if c.name[0] == 'o' {
+	p.onConnect = func(*fakeConn) { lanes++; mostLanes = max(mostLanes, lanes) }
+	p.onClose = func(conn *fakeConn) {
+		if conn.name[0] == 'o' {
 			lanes--
-			ties[c.place()].Forget(c)
+			ties[conn.officeIndex()].Forget(conn)
 		}
 	}
-	p.wrote = func(c *fakeConn, b []byte) {
-		for _, m := range messages(b) {
-			id := m.Call
+	p.onWrite = func(conn *fakeConn, b []byte) {
+		for _, message := range messages(b) {
+			id := message.Call
 			switch {
-			case c.name[0] == 'o' && m.Type == wire.TypeSetUp:
-				name, tied, text := c.name[:2], &ties[c.place()], ""
-				if d, ok := m.Get(wire.ParamDescription); ok {
+			case conn.name[0] == 'o' && message.Type == wire.TypeSetUp:
+				name, tied, text := conn.name[:2], &ties[conn.officeIndex()], ""
+				if d, ok := message.Get(wire.ParamDescription); ok {
 					text = string(d)
 				}
-				missing := tied.Missing(name, c, id, text)
+				missing := tied.Missing(name, conn, id, text)
 				after(1000, func() {
 					if missing != "" {
 						of[id].harmed++
-						say(c, wire.ReleaseOf(id, wire.CauseMissing))
+						say(conn, wire.ReleaseOf(id, wire.CauseMissing))
 						return
 					}
-					say(c, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, tied.Give(name, c, id))}})
+					say(conn, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, tied.Give(name, conn, id))}})
 				})
-			case c.name[0] == 'o' && m.Type == wire.TypeRelease:
-				if ties[c.place()].End(c, id) {
+			case conn.name[0] == 'o' && message.Type == wire.TypeRelease:
+				if ties[conn.officeIndex()].End(conn, id) {
 					of[id].harmed++
 					return // it knows no such call here
 				}
-				say(c, wire.Message{Type: wire.TypeHeard, Call: id})
-			case c.name[0] == 'o', c.name[0] == 'j':
-			case m.Type == wire.TypeAnswer, m.Type == wire.TypeRelease:
+				say(conn, wire.Message{Type: wire.TypeHeard, Call: id})
+			case conn.name[0] == 'o', conn.name[0] == 'j':
+			case message.Type == wire.TypeAnswer, message.Type == wire.TypeRelease:
 				finals[id]++
-				k := of[id]
-				k.open--
-				if d, ok := m.Get(wire.ParamDescription); ok {
-					k.mind.Took(id, string(d))
-					by := k.conn
-					if k.mind.Habit == standin.EndsElsewhere {
+				client := of[id]
+				client.open--
+				if d, ok := message.Get(wire.ParamDescription); ok {
+					client.behaviour.Took(id, string(d))
+					by := client.conn
+					if client.behaviour.Habit == standin.EndsElsewhere {
 						by = clients[0].conn
 					}
 					after(2000, func() { say(by, wire.ReleaseOf(id, wire.CauseNormal)) })
@@ -126,9 +126,9 @@
 	p.step()
 	connect := func(habit standin.Habit) {
 		from := fmt.Sprintf("10.0.0.%d", len(clients)+1)
-		k := &habitual{conn: &addressed{fakeConn{p: p, name: "c" + from}, from}, mind: standin.NewMind(habit, uint64(len(clients)))}
-		clients = append(clients, k)
-		p.step(Arrival{Kind: Accepted, At: p.now, Conn: k.conn})
+		client := &simClient{conn: &addressedConn{fakeConn{p: p, name: "c" + from}, from}, behaviour: standin.NewMind(habit, uint64(len(clients)))}
+		clients = append(clients, client)
+		p.step(Arrival{Kind: Accepted, At: p.now, Conn: client.conn})
 	}
 	for habit := standin.Stateless; habit <= standin.Rarely; habit++ {
 		if habit != standin.ReusesIDs { // its second connection is not in this world
@@ -138,24 +138,24 @@
 	ids := uint64(0)
 	for p.now < long {
 		p.now += 1000
-		for i, k := range clients {
+		for i, client := range clients {
 			most := 3
-			if k.mind.OneAtATime() {
+			if client.behaviour.OneAtATime() {
 				most = 1
 			}
-			if k.open >= most || p.now < k.next {
+			if client.open >= most || p.now < client.next {
 				continue
 			}
-			k.next = p.now + 10_000 + int64(i)
-			k.open++
-			k.calls++
+			client.next = p.now + 10_000 + int64(i)
+			client.open++
+			client.calls++
 			ids++
-			of[ids] = k
-			m := wire.SetUp{Class: "balance-check", Number: "n/1", Description: []byte(k.mind.Describe())}.Onward(ids, 5_000_000)
-			m.Params = append(m.Params, wire.Text(wire.ParamInfo, "dest:-1;width:1;via:-1"))
-			say(k.conn, m)
-			if k.raised == 0 && loop.Verdict(pooling.Key("app", k.conn.from)).Mode > pooling.BySession {
-				k.raised = k.calls
+			of[ids] = client
+			message := wire.SetUp{Class: "balance-check", Number: "n/1", Description: []byte(client.behaviour.Describe())}.Onward(ids, 5_000_000)
+			message.Params = append(message.Params, wire.Text(wire.ParamInfo, "dest:-1;width:1;via:-1"))
+			say(client.conn, message)
+			if client.raised == 0 && loop.Verdict(pooling.Key("app", client.conn.address)).Mode > pooling.BySession {
+				client.raised = client.calls
 			}
 		}
 		ready := later
@@ -173,12 +173,12 @@
 			out = fleet.Out{}
 		}
 	}
-	for i, k := range clients {
-		v := loop.Verdict(pooling.Key("app", k.conn.from))
-		t.Logf("%2d %-16s mode %v trial %v, raised after %d of %d calls, harmed %d", i, k.mind.Habit, v.Mode, v.Trial, k.raised, k.calls, k.harmed)
+	for i, client := range clients {
+		v := loop.Verdict(pooling.Key("app", client.conn.address))
+		t.Logf("%2d %-16s mode %v trial %v, raised after %d of %d calls, harmed %d", i, client.behaviour.Habit, v.Mode, v.Trial, client.raised, client.calls, client.harmed)
 		// When the others that bear sharing are raised is pooling's own to measure.
-		if safe := k.mind.Habit.Safe; !safe(max(v.Mode, pooling.BySession)) || safe(pooling.ByMessage) && v.Mode < pooling.ByCall {
-			t.Errorf("client %d, %s, goes %v", i, k.mind.Habit, v.Mode)
+		if safe := client.behaviour.Habit.Safe; !safe(max(v.Mode, pooling.BySession)) || safe(pooling.ByMessage) && v.Mode < pooling.ByCall {
+			t.Errorf("client %d, %s, goes %v", i, client.behaviour.Habit, v.Mode)
 		}
 	}
 	for id := range ids {
--- a/internal/session/reload_test.go
+++ b/internal/session/reload_test.go
@@ -57,8 +57,8 @@
 		{"while a dial of the old address comes up", []func(*player){line("1000 j silent"), line("1000 j close"), func(p *player) {
 			late := &fakeConn{p: p, name: "late"}
 			p.step(Arrival{Kind: Reload, At: p.now, Update: membership.Update{Address: "journal2"}},
-				Arrival{Kind: Dialled, At: p.now, Dial: p.s.dialled, Conn: late})
-			if !late.dead {
+				Arrival{Kind: Dialled, At: p.now, Dial: p.s.lastDialID, Conn: late})
+			if !late.closed {
 				t.Error("the old address's connection stays open")
 			}
 		}}, []string{"j2 < 0000000000000001"}, 1, 0},
--- a/internal/session/reset_office_test.go
+++ b/internal/session/reset_office_test.go
@@ -7,7 +7,7 @@
 
 // A caller is told late of the end of a call that its office released on a connection which was just then reset, as were the
 // next ones: the connect after them waited longer than a release may take.
-func TestReleaseBetweenResetsIsToldInTime(t *testing.T) {
+func TestReleaseBetweenResetsIsDeliveredInTime(t *testing.T) {
 	const released, toldWithin = 6000, 1050
 	for _, lasts := range []int{20, 50, 150, 300} {
 		t.Run(fmt.Sprintf("connections last %d ms", lasts), func(t *testing.T) {
@@ -18,7 +18,7 @@
 			p.play(`30 o1 > [09 00000000000000a1 3d["d1"]]`)
 			// Each connection is reset some time after it came up. From the release on the second that comes up brings it.
 			came, ups := int64(0), 0
-			p.came = func(c *fakeConn) {
+			p.onConnect = func(c *fakeConn) {
 				if c.name == "o1" {
 					came = p.now
 					if p.now >= released*1000 {
@@ -29,18 +29,18 @@
 			for ms := 500; ms < released+toldWithin+500; ms += 10 {
 				p.until(int64(ms) * 1000)
 				conn := p.conns["o1"]
-				if ups >= 2 && !conn.dead {
+				if ups >= 2 && !conn.closed {
 					p.play(fmt.Sprintf("%d o1 > [0c 00000000000000a1 3a[10]]", ms))
 					break
 				}
-				if !conn.dead {
+				if !conn.closed {
 					p.play(fmt.Sprintf("%d o1 > [06 00000000000000b1]", ms))
 				}
-				if !conn.dead && p.now-came >= int64(lasts)*1000 || ms == released && !conn.dead {
+				if !conn.closed && p.now-came >= int64(lasts)*1000 || ms == released && !conn.closed {
 					p.play(fmt.Sprintf("%d o1 close", ms))
 				}
 			}
-			if at, _ := releasedCall(p.lines, "a1"); at == 0 || at > released+toldWithin {
+			if at, _ := releaseOf(p.lines, "a1"); at == 0 || at > released+toldWithin {
 				t.Errorf("the caller was told of the end at %d ms, want by %d ms (0: never)", at, released+toldWithin)
 			}
 		})
@@ -49,7 +49,7 @@
 
 // The end of a call of the process before is never told: its office could not be reached, or lost its connection, as this
 // process started, and no call of this one stands there that it would connect for.
-func TestSuccessorConnectsForCallsOfBefore(t *testing.T) {
+func TestReconnectForCallsOfPreviousProcess(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lines []string
@@ -65,7 +65,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlayer(t)
 			up := int64(0)
-			p.came = func(conn *fakeConn) {
+			p.onConnect = func(conn *fakeConn) {
 				if conn.name == "o1" {
 					up = p.now
 				}
@@ -82,7 +82,7 @@
 				t.Fatalf("the last connection came up at %d ms, want one between %d and %d ms", up/1000, c.back, c.back+1000)
 			}
 			p.play(fmt.Sprintf("%d o1 > [0c 00000000000000b7 3a[10]]", c.back+1000))
-			if at, _ := releasedCall(p.lines, "b7"); at == 0 {
+			if at, _ := releaseOf(p.lines, "b7"); at == 0 {
 				t.Error("the caller was not told of the end of a call of before")
 			}
 		})
@@ -91,7 +91,7 @@
 
 // A caller is told late of the end of a call at an office that never reports, to which nothing passes: its connection was
 // ended after 3.5 s of silence, and with it the way on which the office released the call.
-func TestReleaseOnAQuietConnectionIsHeard(t *testing.T) {
+func TestReleaseOnIdleConnectionIsDelivered(t *testing.T) {
 	for _, connects := range []string{"silent", "refuse"} {
 		t.Run("connects: "+connects, func(t *testing.T) {
 			p := newPlayer(t)
@@ -101,11 +101,11 @@
 			p.play(`30 o1 > [09 00000000000000a1 3d["d1"]]`)
 			p.play("600 o1 " + connects)
 			p.until(6_000_000)
-			if p.conns["o1"].dead {
+			if p.conns["o1"].closed {
 				t.Fatal("the connection was ended, and no other one had come up")
 			}
 			p.play("6000 o1 > [0c 00000000000000a1 3a[10]]")
-			if at, _ := released(p.lines); at == 0 || at > 7050 {
+			if at, _ := releaseOfFirstCall(p.lines); at == 0 || at > 7050 {
 				t.Errorf("the caller was told of the end at %d ms, want by 7050 ms (0: never)", at)
 			}
 		})
--- a/internal/session/silent_office_test.go
+++ b/internal/session/silent_office_test.go
@@ -12,25 +12,25 @@
 // end right after it. The protocol lets a caller wait for 8 s after the end of a call that nobody could release, and every
 // limit is 50 ms longer on sockets.
 const (
-	lastWord    = 505
-	toldBy      = lastWord + 8_050
-	watchedFor  = 30_000
-	officeSaysL = `o1 > [2b 0000000000000000 2b["free:%d;size:9"]]`
+	lastMessageAt   = 505
+	releaseDue      = lastMessageAt + 8_050
+	caseLength      = 30_000
+	freeLinesReport = `o1 > [2b 0000000000000000 2b["free:%d;size:9"]]`
 )
 
 // officeCase is how the office o1 behaves once a call stands there.
 type officeCase struct {
-	name    string
-	reports bool                   // it told its free lines until it fell silent
-	lines   func() []string        // what happens, each with its millisecond
-	greets  func(p *player) []byte // what it says first on each new connection
-	extra   []string               // what happens before, each with its millisecond
+	name          string
+	reports       bool                   // it told its free lines until it fell silent
+	events        func() []string        // what happens, each with its millisecond
+	greeting      func(p *player) []byte // what it says first on each new connection
+	earlierEvents []string               // what happens before, each with its millisecond
 }
 
 // every repeats a line at a distance, until the end of the case.
-func every(first, gap int, line string) []string {
+func repeatEvery(first, gap int, line string) []string {
 	var lines []string
-	for at := first; at < watchedFor; at += gap {
+	for at := first; at < caseLength; at += gap {
 		lines = append(lines, fmt.Sprintf("%d %s", at, line))
 	}
 	return lines
@@ -45,47 +45,47 @@
 		`30 o1 > [09 00000000000000a1 3d["d1"]]`,
 	}
 	if c.reports {
-		lines = append(lines, "5 "+fmt.Sprintf(officeSaysL, 9), fmt.Sprintf("%d ", lastWord)+fmt.Sprintf(officeSaysL, 8))
+		lines = append(lines, "5 "+fmt.Sprintf(freeLinesReport, 9), fmt.Sprintf("%d ", lastMessageAt)+fmt.Sprintf(freeLinesReport, 8))
 	} else {
-		lines = append(lines, fmt.Sprintf("%d o1 > [06 00000000000000a1]", lastWord))
+		lines = append(lines, fmt.Sprintf("%d o1 > [06 00000000000000a1]", lastMessageAt))
 	}
-	if c.lines != nil {
-		lines = append(lines, c.lines()...)
+	if c.events != nil {
+		lines = append(lines, c.events()...)
 	}
-	lines = append(lines, c.extra...)
-	slices.SortStableFunc(lines, func(a, b string) int { return at(a) - at(b) })
-	if c.greets != nil {
-		p.greets = func(conn *fakeConn) []byte {
-			if conn.name != "o1" || p.now <= lastWord*1000 {
+	lines = append(lines, c.earlierEvents...)
+	slices.SortStableFunc(lines, func(a, b string) int { return eventTime(a) - eventTime(b) })
+	if c.greeting != nil {
+		p.greeting = func(conn *fakeConn) []byte {
+			if conn.name != "o1" || p.now <= lastMessageAt*1000 {
 				return nil
 			}
-			return c.greets(p)
+			return c.greeting(p)
 		}
 	}
 	p.step()
 	for _, line := range lines {
 		p.play(line)
 	}
-	p.until(watchedFor * 1000)
+	p.until(caseLength * 1000)
 	return p.lines
 }
 
 // at is the millisecond of a line.
-func at(line string) int {
+func eventTime(line string) int {
 	ms, _ := strconv.Atoi(strings.Fields(line)[0])
 	return ms
 }
 
 // released is when the caller was told that the call a1 is over, and with which cause; 0: never.
-func released(lines []string) (ms int, cause string) { return releasedCall(lines, "a1") }
+func releaseOfFirstCall(lines []string) (ms int, cause string) { return releaseOf(lines, "a1") }
 
 // releasedCall is the same for a call by the last two digits of its id.
-func releasedCall(lines []string, call string) (ms int, cause string) {
+func releaseOf(lines []string, call string) (ms int, cause string) {
 	for _, line := range lines {
 		if strings.Contains(line, " a < ") {
 			for _, end := range []string{"10", "29"} {
 				if strings.Contains(line, "[0c 00000000000000"+call+" 3a["+end+"]]") {
-					return at(line), end
+					return eventTime(line), end
 				}
 			}
 		}
@@ -108,83 +108,83 @@
 	}
 	turns := func(first int) func() []string {
 		return func() (lines []string) {
-			for at := first; at < watchedFor; at += 2400 {
+			for at := first; at < caseLength; at += 2400 {
 				lines = append(lines, fmt.Sprintf("%d o1 silent", at), fmt.Sprintf("%d o1 accept", at+1800))
 			}
 			return lines
 		}
 	}
 	half := func(*player) []byte { return []byte{0, 30, 43, 0, 0} }
-	for _, c := range []officeCase{
-		{name: "reported before, connects do not come up", reports: true, lines: func() []string { return []string{"506 o1 silent"} }},
-		{name: "reported before, connects are refused", reports: true, lines: func() []string { return []string{"506 o1 refuse"} }},
+	for _, scenario := range []officeCase{
+		{name: "reported before, connects do not come up", reports: true, events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "reported before, connects are refused", reports: true, events: func() []string { return []string{"506 o1 refuse"} }},
 		{name: "reported before, connections come up and bring nothing", reports: true},
-		{name: "reported before, connections come up by turns", reports: true, lines: turns(700)},
-		{name: "reported before, connections come up by turns, later", reports: true, lines: turns(1300)},
-		{name: "reported before, connections come up by turns, later still", reports: true, lines: turns(1900)},
-		{name: "reported before, says half messages", reports: true, greets: half},
-		{name: "reported before, set-ups go there", reports: true, lines: setUps},
+		{name: "reported before, connections come up by turns", reports: true, events: turns(700)},
+		{name: "reported before, connections come up by turns, later", reports: true, events: turns(1300)},
+		{name: "reported before, connections come up by turns, later still", reports: true, events: turns(1900)},
+		{name: "reported before, says half messages", reports: true, greeting: half},
+		{name: "reported before, set-ups go there", reports: true, events: setUps},
 		{name: "never reported"},
-		{name: "never reported, connects would not come up", lines: func() []string { return []string{"506 o1 silent"} }},
-		{name: "never reported, connects would be refused", lines: func() []string { return []string{"506 o1 refuse"} }},
-		{name: "never reported, connections come up by turns", lines: turns(700)},
-		{name: "never reported, says half messages", greets: half},
-		{name: "never reported, set-ups go there", lines: setUps},
-		{name: "never reported, drains on the list", lines: func() []string {
+		{name: "never reported, connects would not come up", events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "never reported, connects would be refused", events: func() []string { return []string{"506 o1 refuse"} }},
+		{name: "never reported, connections come up by turns", events: turns(700)},
+		{name: "never reported, says half messages", greeting: half},
+		{name: "never reported, set-ups go there", events: setUps},
+		{name: "never reported, drains on the list", events: func() []string {
 			return []string{"900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}"}
 		}},
-		{name: "reports go on, and set-ups have no answer", reports: true, lines: func() []string {
-			return append(setUps(), every(1000, 500, fmt.Sprintf(officeSaysL, 8))...)
+		{name: "reports go on, and set-ups have no answer", reports: true, events: func() []string {
+			return append(setUps(), repeatEvery(1000, 500, fmt.Sprintf(freeLinesReport, 8))...)
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			lines := c.play(t)
-			if at, _ := released(lines); at == 0 || at > toldBy {
-				t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, toldBy)
+		t.Run(scenario.name, func(t *testing.T) {
+			lines := scenario.play(t)
+			if at, _ := releaseOfFirstCall(lines); at == 0 || at > releaseDue {
+				t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, releaseDue)
 			}
 		})
 	}
 }
 
 // A call is cut at an office that is alive: one that is slow, has little to say, drains, or lost a connection.
-func TestOfficeThatSpeaksKeepsItsCalls(t *testing.T) {
+func TestResponsiveOfficeKeepsItsCalls(t *testing.T) {
 	reporting := func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
-	reports := func(gap int) []string { return every(lastWord+gap, gap, fmt.Sprintf(officeSaysL, 8)) }
-	for _, c := range []officeCase{
-		{name: "reports", reports: true, lines: func() []string { return reports(500) }},
-		{name: "reports seldom", reports: true, greets: reporting, lines: func() []string { return reports(4000) }},
-		{name: "reports, and drains on the list", reports: true, lines: func() []string {
+	reports := func(gap int) []string { return repeatEvery(lastMessageAt+gap, gap, fmt.Sprintf(freeLinesReport, 8)) }
+	for _, scenario := range []officeCase{
+		{name: "reports", reports: true, events: func() []string { return reports(500) }},
+		{name: "reports seldom", reports: true, greeting: reporting, events: func() []string { return reports(4000) }},
+		{name: "reports, and drains on the list", reports: true, events: func() []string {
 			return append(reports(500), "900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}")
 		}},
-		{name: "reports, and loses a connection", reports: true, lines: func() []string {
+		{name: "reports, and loses a connection", reports: true, events: func() []string {
 			return append(reports(500), "700 o1 close", "9700 o1 close")
 		}},
-		{name: "reports, and a set-up gets lost", reports: true, lines: func() []string {
+		{name: "reports, and a set-up gets lost", reports: true, events: func() []string {
 			return append(reports(500), strings.Replace(setUpAt(4000, 1), `"3000"`, `"1300"`, 1))
 		}},
-		{name: "reports, a set-up gets lost, and the next one is answered", reports: true, lines: func() []string {
+		{name: "reports, a set-up gets lost, and the next one is answered", reports: true, events: func() []string {
 			return append(reports(500), setUpAt(4000, 1), `6600 o1 > [09 0000000000000101 3d["d"]]`)
 		}},
-		{name: "reports, and set-ups get lost while others are answered", reports: true, lines: func() (lines []string) {
+		{name: "reports, and set-ups get lost while others are answered", reports: true, events: func() (lines []string) {
 			for i := 0; i < 14; i += 2 {
 				lines = append(lines, setUpAt(2000+2000*i, i), setUpAt(2400+2000*i, i+1),
 					fmt.Sprintf(`%d o1 > [09 00000000000001%02x 3d["d"]]`, 2450+2000*i, i+1))
 			}
 			return append(lines, reports(500)...)
 		}},
-		{name: "reports, and this process is short of descriptors", reports: true, greets: reporting, lines: func() []string {
+		{name: "reports, and this process is short of descriptors", reports: true, greeting: reporting, events: func() []string {
 			return append(reports(500), "1000 o1 short", "1001 o1 close", "4500 o1 accept")
 		}},
-		{name: "never reports, and refuses set-ups", lines: func() (lines []string) {
+		{name: "never reports, and refuses set-ups", events: func() (lines []string) {
 			for i := range 12 {
 				lines = append(lines, setUpAt(2500+2500*i, i), fmt.Sprintf(`%d o1 > [0c 00000000000001%02x 3a[22]]`, 2600+2500*i, i))
 			}
 			return lines
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			lines := c.play(t)
-			if at, cause := released(lines); at != 0 {
+		t.Run(scenario.name, func(t *testing.T) {
+			lines := scenario.play(t)
+			if at, cause := releaseOfFirstCall(lines); at != 0 {
 				t.Errorf("the call was released at %d ms with cause %s, though its office speaks:\n%s", at, cause, strings.Join(lines, "\n"))
 			}
 		})
@@ -194,36 +194,36 @@
 // A process that is told to end leaves a caller waiting for the end of a call at an office that has fallen silent: no later
 // process knows of it.
 func TestSilentOfficeAsTheProcessEnds(t *testing.T) {
-	reports := every(lastWord+500, 500, fmt.Sprintf(officeSaysL, 8))
+	reports := repeatEvery(lastMessageAt+500, 500, fmt.Sprintf(freeLinesReport, 8))
 	term := "2000 term"
 	for _, c := range []struct {
 		officeCase
 		release bool
 	}{
-		{officeCase{name: "reported before", reports: true, lines: func() []string { return []string{term} }}, true},
-		{officeCase{name: "reported before, connects are refused", reports: true, lines: func() []string {
+		{officeCase{name: "reported before", reports: true, events: func() []string { return []string{term} }}, true},
+		{officeCase{name: "reported before, connects are refused", reports: true, events: func() []string {
 			return []string{"506 o1 refuse", "507 o1 close", term}
 		}}, true},
-		{officeCase{name: "a set-up has no answer", lines: func() []string { return []string{setUpAt(600, 1), term} }}, true},
-		{officeCase{name: "a set-up has no answer, and reports go on", reports: true, lines: func() []string {
+		{officeCase{name: "a set-up has no answer", events: func() []string { return []string{setUpAt(600, 1), term} }}, true},
+		{officeCase{name: "a set-up has no answer, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), term)
 		}}, true},
-		{officeCase{name: "a set-up was answered, and reports go on", reports: true, lines: func() []string {
+		{officeCase{name: "a set-up was answered, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), `700 o1 > [09 0000000000000101 3d["d1"]]`, term)
 		}}, false},
-		{officeCase{name: "never reported, suspected", lines: func() []string { return []string{"4000 term"} }}, true},
-		{officeCase{name: "reports", reports: true, lines: func() []string { return append(reports, term) }}, false},
-		{officeCase{name: "never reports, and nothing is out", lines: func() []string { return []string{term} }}, false},
+		{officeCase{name: "never reported, suspected", events: func() []string { return []string{"4000 term"} }}, true},
+		{officeCase{name: "reports", reports: true, events: func() []string { return append(reports, term) }}, false},
+		{officeCase{name: "never reports, and nothing is out", events: func() []string { return []string{term} }}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			lines := c.play(t)
-			end := watchedFor
+			end := caseLength
 			for _, line := range lines {
 				if strings.HasSuffix(line, " end") {
-					end = at(line)
+					end = eventTime(line)
 				}
 			}
-			told, cause := released(lines)
+			told, cause := releaseOfFirstCall(lines)
 			if c.release != (told != 0) || told > end {
 				t.Errorf("released at %d ms with cause %q (0: never), want %t, before the process ends at %d ms\n%s",
 					told, cause, c.release, end, strings.Join(lines, "\n"))
@@ -236,21 +236,21 @@
 // tell nobody of its new start.
 func TestRestartedOfficeWhileDiscoveryIsSilent(t *testing.T) {
 	restart := []string{"1000 o1 refuse", "1001 o1 close", "1800 o1 accept"}
-	frames := every(500, 500, "j > {0000000000000001 00}")
+	frames := repeatEvery(500, 500, "j > {0000000000000001 00}")
 	for _, c := range []struct {
 		officeCase
 		release bool
 	}{
-		{officeCase{name: "discovery is silent", reports: true, lines: func() []string { return restart }}, true},
-		{officeCase{name: "discovery speaks, and tells of no start", reports: true, lines: func() []string { return append(frames, restart...) }}, false},
-		{officeCase{name: "discovery is silent, nothing was refused", reports: true, lines: func() []string { return restart[1:2] }}, false},
+		{officeCase{name: "discovery is silent", reports: true, events: func() []string { return restart }}, true},
+		{officeCase{name: "discovery speaks, and tells of no start", reports: true, events: func() []string { return append(frames, restart...) }}, false},
+		{officeCase{name: "discovery is silent, nothing was refused", reports: true, events: func() []string { return restart[1:2] }}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			own := c.lines
-			c.lines = func() []string { return append(own(), every(2500, 500, fmt.Sprintf(officeSaysL, 8))...) }
-			c.greets = func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
+			own := c.events
+			c.events = func() []string { return append(own(), repeatEvery(2500, 500, fmt.Sprintf(freeLinesReport, 8))...) }
+			c.greeting = func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
 			lines := c.play(t)
-			told, cause := released(lines)
+			told, cause := releaseOfFirstCall(lines)
 			if c.release != (told != 0) || told > 1001+8050 {
 				t.Errorf("released at %d ms with cause %q (0: never), want %t, by %d ms\n%s", told, cause, c.release, 1001+8050, strings.Join(lines, "\n"))
 			}
@@ -260,7 +260,7 @@
 
 // The release of many calls fills a caller's box, its connection has ended unnoticed, and a call among them, whose answer was
 // in the box, is ended by that: the process crashed.
-func TestManyReleasesToACallerThatHasGone(t *testing.T) {
+func TestManyReleasesToDisconnectedCaller(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("10 a open")
@@ -278,7 +278,7 @@
 	if n := len(p.s.offices.Get("s-00000001").Standing); n < calls*9/10 {
 		t.Fatalf("%d calls stand, want %d", n, calls-1)
 	}
-	p.conns["a"].dead = true
+	p.conns["a"].closed = true
 	p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, "[09 "+id(calls)+` 3d["d"]]`)},
 		Arrival{Kind: Data, At: p.now, Conn: p.conns["j"], Data: parse(t, "{0000000000000002 02 00000001 7f000001 03e9 02 00 00 0000 000003e8 0000000000000000}")})
 	if n := len(p.s.offices.Get("s-00000001").Standing); n != 0 {
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -10,94 +10,94 @@
 	"pewterwheel/internal/state"
 )
 
-func (s *Session) setTimer(at int64, t state.Timer) {
+func (s *Session) setTimer(at int64, timer state.Timer) {
 	s.Counters[state.Timers]++
-	s.wheel.Set(at, t)
+	s.wheel.Set(at, timer)
 }
 
-func (s *Session) timer(t state.Timer) {
-	switch t.Kind {
+func (s *Session) handleTimer(timer state.Timer) {
+	switch timer.Kind {
 	case state.TimerModule:
-		s.event(decide.Event{Kind: decide.Fired, Token: t.ID})
+		s.queueEvent(decide.Event{Kind: decide.Fired, Token: timer.ID})
 	case state.TimerAttempt:
-		if c := s.calls[t.ID]; c != nil && c.Attempt != nil && c.Attempt.N == int(t.N) && (c.Attempt.Queued || s.now >= c.Deadline) {
+		if call := s.calls[timer.ID]; call != nil && call.Attempt != nil && call.Attempt.N == int(timer.N) && (call.Attempt.Queued || s.now >= call.Deadline) {
 			s.Counters[state.TimeOuts]++
-			s.giveUp(c.Attempt, decide.TimedOut)
+			s.cancelAttempt(call.Attempt, decide.TimedOut)
 		}
 	case state.TimerDial:
-		if lane, ok := s.dials[t.ID]; ok {
-			delete(s.dials, t.ID)
+		if lane, ok := s.dials[timer.ID]; ok {
+			delete(s.dials, timer.ID)
 			if lane == nil {
-				s.journalLost(errDialTime)
+				s.journalDisconnected(errDialTimeout)
 			} else {
-				s.officeUnreached(lane, errDialTime)
+				s.officeDialFailed(lane, errDialTimeout)
 			}
 		}
 	case state.TimerRedial:
-		if o := s.redials[t.ID]; o != nil {
-			delete(s.redials, t.ID)
-			s.redial(o)
+		if office := s.pendingRedials[timer.ID]; office != nil {
+			delete(s.pendingRedials, timer.ID)
+			s.redialIfNeeded(office)
 		}
 	case state.TimerJournal:
-		s.watchJournal()
-		s.wheel.Set(s.now+journalAgain, t)
+		s.checkJournal()
+		s.wheel.Set(s.now+journalCheckInterval, timer)
 	case state.TimerPartial:
-		s.watchOffices()
-		s.watchCallers()
-		s.watchAskers()
-		s.sendAway()
-		s.wheel.Set(s.now+watch, t)
+		s.checkOffices()
+		s.checkCallers()
+		s.checkControlConns()
+		s.closeDrainedCallers()
+		s.wheel.Set(s.now+watchInterval, timer)
 	case state.TimerRoom:
-		s.noRoom(t.ID, int(t.N))
+		s.refuseWaiting(timer.ID, int(timer.N))
 	case state.TimerLeave:
 		s.net.Leave()
 	case state.TimerStop:
-		s.endAll()
+		s.failOpenCalls()
 	case state.TimerSweep:
 		s.sweep()
-		s.wheel.Set(s.now+sweep, t)
+		s.wheel.Set(s.now+sweepInterval, timer)
 	}
 }
 
 // sweep drops what is kept only for a while.
 func (s *Session) sweep() {
-	s.pool.Trim()
-	s.mostOver = max(s.mostOver, len(s.over))
+	s.callPool.Trim()
+	s.mostEndedCalls = max(s.mostEndedCalls, len(s.endedCalls))
 	s.mostCalls = max(s.mostCalls, len(s.calls))
-	s.mostStands = max(s.mostStands, len(s.stands))
-	maps.DeleteFunc(s.over, func(_ uint64, at int64) bool { return s.now-at > remember })
-	if len(s.over) > maxRemembered {
-		clear(s.over)
+	s.mostEstablished = max(s.mostEstablished, len(s.established))
+	maps.DeleteFunc(s.endedCalls, func(_ uint64, at int64) bool { return s.now-at > endedCallTTL })
+	if len(s.endedCalls) > maxEndedCalls {
+		clear(s.endedCalls)
 	}
-	s.over = shrunk(s.over, &s.mostOver)
-	s.calls = shrunk(s.calls, &s.mostCalls)
-	s.stands = shrunk(s.stands, &s.mostStands)
-	s.lanes.mostFollowed = max(s.lanes.mostFollowed, len(s.lanes.followed))
-	s.lanes.followed = shrunk(s.lanes.followed, &s.lanes.mostFollowed)
-	old := func(_ uint64, e state.Ending) bool { return s.now-e.At > remember }
-	maps.DeleteFunc(s.unsent, old)
-	maps.DeleteFunc(s.before, old)
-	for _, c := range s.callers {
-		maps.DeleteFunc(c.Unsure, func(_ uint64, e state.Ending) bool { return s.now-e.At > unsureFor })
+	s.endedCalls = shrinkMap(s.endedCalls, &s.mostEndedCalls)
+	s.calls = shrinkMap(s.calls, &s.mostCalls)
+	s.established = shrinkMap(s.established, &s.mostEstablished)
+	s.lanes.mostTracked = max(s.lanes.mostTracked, len(s.lanes.tracked))
+	s.lanes.tracked = shrinkMap(s.lanes.tracked, &s.lanes.mostTracked)
+	expired := func(_ uint64, ending state.Ending) bool { return s.now-ending.At > endedCallTTL }
+	maps.DeleteFunc(s.unsentReleases, expired)
+	maps.DeleteFunc(s.earlierReleases, expired)
+	for _, caller := range s.callers {
+		maps.DeleteFunc(caller.Unsure, func(_ uint64, ending state.Ending) bool { return s.now-ending.At > unconfirmedReleaseTTL })
 	}
-	for _, o := range s.offices.All() {
-		maps.DeleteFunc(o.Ended, old)
-		s.tellAgain(o)
-		o.Strays = 0
+	for _, office := range s.offices.All() {
+		maps.DeleteFunc(office.Ended, expired)
+		s.repeatReleases(office)
+		office.Strays = 0
 	}
 	if s.lanes.laner != nil {
-		s.sweepLanes()
+		s.closeIdleOwnedLanes()
 	}
 	s.offices.Forget()
 }
 
 // shrunk makes a map anew that had many more entries than it has: a map keeps the room of its largest size for good.
-func shrunk[V any](m map[uint64]V, most *int) map[uint64]V {
+func shrinkMap[V any](m map[uint64]V, largest *int) map[uint64]V {
 	const least, much = 4096, 8
-	if *most < least || len(m) > *most/much {
+	if *largest < least || len(m) > *largest/much {
 		return m
 	}
-	*most = len(m)
+	*largest = len(m)
 	n := make(map[uint64]V, len(m))
 	maps.Copy(n, m)
 	return n
@@ -105,11 +105,11 @@
 
 // inOrder goes through what a map holds now by key, so that nothing depends on the order of a map. What is taken out of the map
 // meanwhile is passed over.
-func inOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
+func inKeyOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
-			v, held := m[k]
-			if held && !yield(k, v) {
+			v, present := m[k]
+			if present && !yield(k, v) {
 				return
 			}
 		}
--- a/internal/session/told_test.go
+++ b/internal/session/told_test.go
@@ -9,7 +9,7 @@
 // What the journal service has to tell counts as told so long after a fault, whether it has come or not. By then it must
 // have been asked again, whatever the fault has to do with the frames that came each second before. Ending 100 ms ahead
 // leaves the events the time to come.
-func TestJournalAskedBeforeItCountsAsTold(t *testing.T) {
+func TestJournalIsResubscribedInTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault string // what happens, a line each; ms after the fault, +0 is the fault
