--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -6,24 +6,24 @@
 	"pewterwheel/internal/wire"
 )
 
-// ArrivalKind tells what arrived.
+// ArrivalKind is the kind of an Arrival.
 type ArrivalKind int
 
-// The kinds of arrival.
+// Kinds of arrival, with the fields of Arrival that each sets.
 const (
 	Accepted ArrivalKind = iota + 1 // a caller connected: Conn
 	Dialled                         // a dial ended: Dial, and Conn or Err
 	Data                            // Conn, Data
 	Closed                          // Conn, Err
-	Stop                            // end once all that was taken is answered
+	Stop                            // shut down once every accepted call is answered
 	Report                          // log the counters
-	Reload                          // the configuration was read anew: Update; or could not be: Err
-	Asked                           // someone connected to the second address: Conn
-	Flooded                         // Conn sent more than is kept for it; the rest is lost
-	Left                            // nobody listens for callers any more, and all that waited have been told
+	Reload                          // the configuration was reloaded: Update; or could not be read: Err
+	Asked                           // a client connected to the control address: Conn
+	Flooded                         // Conn sent more than its buffer holds; the excess is discarded
+	Left                            // the callers' listener is closed and its backlog delivered
 )
 
-// Arrival is one thing that came in from outside, with the time at which it did.
+// Arrival is one input from outside, with the time at which it arrived.
 type Arrival struct {
 	Kind ArrivalKind
 	At   int64
@@ -93,11 +93,11 @@
 	}
 }
 
-// read takes the whole messages out of what a connection has sent and returns the rest. A length that no
-// message can have ends the connection: where the next message would begin is not known.
+// readMessages calls handle for each complete message received on a connection and returns the remaining
+// bytes. An invalid length ends the connection, because the start of the next message is unknown.
 func (s *Session) readMessages(arrival Arrival, rest []byte, handle func(wire.Message)) []byte {
-	buf, anyComplete := arrival.Data, false // good for this round
-	var following []byte                    // what came behind the message that had begun, which alone is put together
+	buf, anyComplete := arrival.Data, false // valid during this round only
+	var following []byte                    // data after the message begun in rest, which alone is reassembled
 	if len(rest) > 0 {
 		missing := min(len(arrival.Data), wire.Missing(rest, arrival.Data))
 		s.Counters[state.Copied] += uint64(missing)
@@ -105,7 +105,7 @@
 	}
 	for ; ; anyComplete = true {
 		if s.connOwners[arrival.Conn] == nil {
-			return nil // what came before has ended the connection
+			return nil // an earlier message ended the connection
 		}
 		message, n, err := wire.NextInto(buf, s.params)
 		if message.Params != nil {
@@ -127,10 +127,10 @@
 		}
 		if n == 0 {
 			if !anyComplete && len(rest) > 0 {
-				return buf // it has grown, and that is all
+				return buf // the partial message grew and is still incomplete
 			}
 			if len(buf) == 0 || cap(rest) > 4*len(buf)+256 {
-				rest = nil // what messages were made of must not stay in memory
+				rest = nil // do not retain a large buffer for few bytes
 			}
 			s.Counters[state.Copied] += uint64(len(buf))
 			return append(rest[:0], buf...)
@@ -140,7 +140,7 @@
 	}
 }
 
-// drop closes a connection of which nothing more is wanted, once what there is for it is written.
+// closeConn writes what is pending for a connection and closes it.
 func (s *Session) closeConn(conn state.Conn, err error) {
 	switch role := s.connOwners[conn].(type) {
 	case *state.Caller:
@@ -148,7 +148,7 @@
 	case *state.Lane:
 		s.writeOffice(role)
 	}
-	_ = conn.Close() // its end is what is asked for
+	_ = conn.Close() // the connection is being abandoned
 	s.connClosed(conn, err)
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-// dial opens a connection to an office, or to the journal if it is nil.
+// dial opens a connection for a lane, or to the journal if the lane is nil.
 func (s *Session) dial(address string, lane *state.Lane) uint64 {
 	s.lastDialID++
 	id := s.lastDialID
@@ -179,7 +179,7 @@
 
 func (s *Session) dialFinished(arrival Arrival) {
 	lane, ok := s.dials[arrival.Dial]
-	if !ok { // it took too long, and was given up
+	if !ok { // the dial timed out and was abandoned
 		if arrival.Conn != nil {
 			_ = arrival.Conn.Close() // nothing was written to it
 		}
--- a/internal/session/attempts.go
+++ b/internal/session/attempts.go
@@ -6,13 +6,14 @@
 	"pewterwheel/internal/wire"
 )
 
-// attempt sends a call's set-up to an office, over a connection that is opened first if there is none.
+// startAttempt sends a call's set-up to an office. The connection is opened first if there is none.
 func (s *Session) startAttempt(action decide.Action) {
 	call, office := s.calls[uint64(action.Call)], s.offices.Get(action.Server)
 	if call == nil {
-		// The caller gave up in the very step in which the module sent. Guards against a set-up that the module
-		// counts as open for ever: each one takes a place under the server's limit. It is called off and not
-		// unsent, for which the module would leave the server alone for a while.
+		// The caller cancelled in the same step in which the module sent. The attempt must be reported as
+		// ended, or the module would count it as open for ever under the server's limit. It is reported as
+		// cancelled rather than unsent, because after an unsent attempt the module avoids the server for a
+		// while.
 		s.Counters[state.Moot]++
 		s.queueEvent(decide.Event{Kind: decide.Ended, Call: action.Call, Server: action.Server, Outcome: decide.Cancelled, Final: true,
 			Load: decide.NoLoad()})
@@ -39,16 +40,17 @@
 	s.sendOrQueue(attempt)
 }
 
-// putOn writes an attempt's set-up to its connection, or lets it wait for that, and for what its caller has said meanwhile.
+// sendOrQueue writes an attempt's set-up to its connection. It queues the set-up while the connection is not
+// up or the caller's input is still unread.
 func (s *Session) sendOrQueue(attempt *state.Attempt) {
 	lane, from := attempt.On, attempt.Call.From
 	attempt.Queued = true
 	switch {
-	case attempt.Call.Answered: // where attempts may not be called off it outlives its call, and its caller's connection
+	case attempt.Call.Answered: // where attempts may not be cancelled, one outlives its call and caller
 		s.cancelAttempt(attempt, decide.Cancelled)
 		return
 	case from.Conn.Gone():
-		s.callerCancelled(attempt.Call) // its end is told next
+		s.callerCancelled(attempt.Call) // the end of the connection is reported next
 		return
 	case attempt.Until != 0 && s.now >= attempt.Until:
 		s.cancelAttempt(attempt, decide.TimedOut)
@@ -66,13 +68,13 @@
 	s.connect(lane)
 }
 
-// unread tells whether a caller may have given up what it asked for, in words that were not read yet, because this process
-// has just stood still.
+// mayHaveCancelled reports whether a caller may have cancelled its calls in input that is still unread because
+// this process was paused a moment ago.
 func (s *Session) mayHaveCancelled(caller *state.Caller) bool {
 	return s.pauseEnded != 0 && s.now-s.pauseEnded < 2*watchInterval && caller.Conn.Unread()
 }
 
-// unqueue writes the set-ups that wait for a connection, as far as they need not wait any more.
+// flushQueue sends the set-ups queued for a connection, as far as they no longer have to wait.
 func (s *Session) flushQueue(lane *state.Lane) {
 	queue := lane.Queue
 	lane.Queue = nil
@@ -81,11 +83,11 @@
 	}
 }
 
-// put writes an attempt's set-up to its office.
+// sendSetUp writes an attempt's set-up to its office.
 func (s *Session) sendSetUp(attempt *state.Attempt) {
 	attempt.Queued = false
-	// An earlier attempt there may have been given up unheard. Guards against taking the end of the call that
-	// stands for an answer to that.
+	// An earlier attempt of the same call may have been cancelled there without acknowledgment. Dropping its
+	// release keeps the end of the new call from being taken for the answer to that release.
 	lane := attempt.On
 	attempt.Over, attempt.Unheard = lane.To.Ended[attempt.Call.ID]
 	delete(lane.To.Ended, attempt.Call.ID)
@@ -93,19 +95,19 @@
 	box := s.officeOutbox(lane)
 	out, err := attempt.Call.SetUp.AppendOnward(box.Bytes, attempt.Call.ID, attempt.Call.Deadline-s.now)
 	if err != nil {
-		attempt.Failed = true // it is too long for any office
+		attempt.Failed = true // the set-up is too long for any office
 		return
 	}
 	box.Bytes = out
 	box.Sent = append(box.Sent, state.Batched{Call: attempt.Call.ID, N: attempt.N})
 }
 
-// ended takes an attempt that is over off its office and tells the module how it ended.
+// endAttempt removes an attempt from its office and reports the outcome to the module.
 func (s *Session) endAttempt(attempt *state.Attempt, outcome decide.Outcome) {
 	s.endAttemptWith(attempt, outcome, wire.Message{}, s.now)
 }
 
-// endedWith also tells what the office said of itself, and when its message came.
+// endAttemptWith is endAttempt with the office's last message and the time at which it arrived.
 func (s *Session) endAttemptWith(attempt *state.Attempt, outcome decide.Outcome, message wire.Message, arrivedAt int64) {
 	call := attempt.Call
 	delete(attempt.On.Out, call.ID)
@@ -124,13 +126,14 @@
 	}
 }
 
-// giveUp ends an attempt from our side. The office is told; an answer that crosses this finds nobody.
+// cancelAttempt ends an attempt from this side and notifies the office. An answer that crosses the
+// notification is ignored.
 func (s *Session) cancelAttempt(attempt *state.Attempt, outcome decide.Outcome) {
 	if !attempt.Queued {
 		attempt.On.To.Liveness.GivenUp(s.now, attempt.Since)
 	}
 	if isUnsent(attempt.On, attempt) {
-		s.closeConn(attempt.On.Conn, errUnsentSetUps) // else it would begin there once the office reads again; it ends with the connection
+		s.closeConn(attempt.On.Conn, errUnsentSetUps) // ends the set-up, which would begin once the office reads again
 		return
 	}
 	if attempt.Queued {
@@ -148,7 +151,8 @@
 	s.endAttempt(attempt, outcome)
 }
 
-// keepAsked keeps when a set-up was sent that was given up: a late answer tells how long it waited there.
+// recordSentTime keeps the time at which a cancelled set-up was sent, so that a late answer shows the office's
+// delay.
 func (s *Session) recordSentTime(attempt *state.Attempt) {
 	office := attempt.On.To
 	if ending, kept := office.Ended[attempt.Call.ID]; kept {
@@ -157,12 +161,12 @@
 	}
 }
 
-// stuckOn tells whether a set-up, or a part of it, may still wait in this process to be taken by the system.
+// isUnsent reports whether a set-up, or part of it, may still be buffered in this process.
 func isUnsent(lane *state.Lane, attempt *state.Attempt) bool {
 	return attempt.Stuck && !attempt.Queued && lane.Conn != nil && lane.Conn.Unsent()
 }
 
-// takeBack sees to it that nothing more leaves for an office at which nothing new may begin.
+// withdrawQueued ensures that no further set-up leaves for an office that takes no new calls.
 func (s *Session) withdrawQueued(lane *state.Lane) {
 	s.failQueued(lane)
 	for _, attempt := range inKeyOrder(lane.Out) {
--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// asks notes that a connection asks for a call, or ends one: it may be told of the ends that nobody was there for.
-// Guards against telling them to the front, whose connections bring a test alone: to it that is no passed test.
+// markActive notes that a connection has asked for a call or ended one, which makes it eligible for pending
+// releases. Connections of the load balancer only carry health tests and must not receive releases: the load
+// balancer would count the test as failed.
 func (s *Session) markActive(caller *state.Caller) {
 	caller.Asked = s.now
 	if len(s.unsentReleases) == 0 {
@@ -43,10 +44,11 @@
 	}
 }
 
-// mayBeUsual tells whether a connection has asked for a call, or ended one.
+// mayBeTrusted reports whether a connection has asked for a call or ended one.
 func mayBeTrusted(caller *state.Caller) bool { return caller.Good || caller.Asked != 0 }
 
-// good notes that a connection is a usual caller's, and tells it what could not be told to one.
+// trustCaller marks a connection as that of a well-behaved caller and sends it the releases for which there
+// was no such connection.
 func (s *Session) trustCaller(caller *state.Caller) {
 	if caller.Good {
 		return
@@ -61,9 +63,10 @@
 	}
 }
 
-// closeQuiet makes room by closing a caller's connection with no open set-up: the oldest that has asked for
-// nothing yet, else that which has been quiet for longest; one that has just come only where there is no other. Guards against running out of descriptors, of which the
-// offices need theirs, and against mute connections by hundreds taking the places of usual callers.
+// closeIdleCaller makes room by closing a caller's connection with no open set-up: first the one that has been
+// idle longest among untrusted ones, then the longest idle of the trusted ones, and one that has just
+// connected only if there is no other. It keeps descriptors free for the offices, and prevents hundreds of
+// silent connections from displacing well-behaved callers.
 func (s *Session) closeIdleCaller() bool {
 	var idle *state.Caller
 	rank := func(caller *state.Caller) int {
@@ -79,7 +82,7 @@
 		if len(caller.Open) > 0 || idle != nil && cmp.Or(cmp.Compare(rank(idle), rank(caller)), cmp.Compare(idle.Quiet, caller.Quiet)) <= 0 {
 			continue
 		}
-		// Who has not taken an answer for so long has most likely vanished.
+		// A caller that has not read an answer for so long has most likely vanished.
 		if !caller.Conn.Waiting() || s.now-caller.Quiet > unconfirmedReleaseTTL && !caller.Conn.Unread() {
 			idle = caller
 		}
@@ -91,9 +94,10 @@
 	return true
 }
 
-// watchCallers ends connections that have asked for nothing since they came, or whose message does not end.
-// Guards against clients that say nothing, send half a message, or withdraw all that they ask: each holds a
-// descriptor. A caller with no open set-up loses nothing by it, unless the rest has come and was not read yet.
+// checkCallers ends connections that have requested nothing since they were accepted, or whose message stays
+// incomplete. Clients that are silent, send half a message or cancel every call would otherwise hold a
+// descriptor each. A caller with no open set-up loses nothing, unless the rest of its message has arrived and
+// is still unread.
 func (s *Session) checkCallers() {
 	for _, caller := range s.snapshotCallers() {
 		switch {
@@ -107,18 +111,19 @@
 	}
 }
 
-// everyCaller is the callers as they are now; whoever leaves meanwhile is still in it. It is good until the next call.
+// snapshotCallers returns the current callers, including those that leave during the iteration. The slice is
+// valid until the next call.
 func (s *Session) snapshotCallers() []*state.Caller {
 	clear(s.callerScratch)
 	s.callerScratch = append(s.callerScratch[:0], s.callers...)
 	return s.callerScratch
 }
 
-// turnOut ends a connection on which nothing more can be made of what comes. Its open set-ups have their one
-// final answer first: none of them may stand for a client that breaks the protocol.
+// disconnectCaller ends a connection that violates the protocol. Its open set-ups get their final answer
+// first, so that no call is established for such a client.
 func (s *Session) disconnectCaller(caller *state.Caller, err error) {
 	if caller.Conn == nil {
-		return // it has left
+		return // already disconnected
 	}
 	s.Counters[state.TurnedOut]++
 	s.log.Debug("caller turned out", "open", len(caller.Open), "error", err)
@@ -133,7 +138,8 @@
 	for _, call := range inKeyOrder(caller.Open) {
 		s.callerCancelled(call)
 	}
-	// A release written just before the close may not have been read: the next connection brings it again.
+	// A release written shortly before the connection closed may not have been read; it is sent again on
+	// another connection.
 	for id, ending := range inKeyOrder(caller.Unsure) {
 		if kept, ok := s.unsentReleases[id]; ok {
 			kept.Sent = false
@@ -177,8 +183,8 @@
 	}
 }
 
-// callerBox is where messages for a caller are written; nil: it has left. What cannot be written is lost with the
-// connection, whose end is told next.
+// callerOutbox returns the buffer for messages to a caller, or nil if the caller has disconnected. Messages
+// that can't be written are lost with the connection, whose end is reported next.
 func (s *Session) callerOutbox(caller *state.Caller) *state.Outbox {
 	if caller.Conn == nil {
 		return nil
@@ -189,7 +195,7 @@
 	return s.outbox(caller, &caller.Box)
 }
 
-// tellAnswer tells a caller that its call stands; false: that cannot be told.
+// sendAnswer tells a caller that its call is established. It reports false if the answer can't be delivered.
 func (s *Session) sendAnswer(caller *state.Caller, call uint64, description []byte) bool {
 	box := s.callerOutbox(caller)
 	if box == nil {
@@ -204,7 +210,7 @@
 	return true
 }
 
-// tellRelease tells a caller of an end; milliseconds to stay away go with it, if there are any.
+// sendRelease sends a release to a caller, with the milliseconds to wait before a retry if there are any.
 func (s *Session) sendRelease(caller *state.Caller, call uint64, cause byte, retryAfter int64) {
 	if box := s.callerOutbox(caller); box != nil {
 		caller.Told = true
@@ -212,8 +218,8 @@
 	}
 }
 
-// odd counts what nothing could be made of. Guards against a client that sends the like again and again, at full
-// speed: each answer costs more than the question.
+// countInvalid counts input that can't be processed. It stops a client that keeps sending such input at full
+// speed, since each answer costs more than the request.
 func (s *Session) countInvalid(caller *state.Caller, weight int) {
 	if caller.Odd += weight; caller.Odd >= maxInvalidPerCaller {
 		s.disconnectCaller(caller, errTooManyInvalid)
@@ -223,8 +229,9 @@
 func (s *Session) handleSetUp(caller *state.Caller, message wire.Message, at int64) {
 	s.Counters[state.SetUpsIn]++
 	if _, over := s.endedCalls[message.Call]; over || s.calls[message.Call] != nil || s.established[message.Call] != nil {
-		// A second set-up under a used id: any answer to it could be taken for one to the first, so it gets
-		// none, and its connection ends. A first that is open on the same connection fails with it.
+		// The id is already in use. An answer to this set-up could be taken for an answer to the first one, so
+		// it gets none and its connection ends. A first set-up that is open on the same connection fails with
+		// it.
 		s.Counters[state.BadIn]++
 		if s.lanes.laner != nil {
 			s.observeRepeatedSetUp(caller, message.Call)
@@ -258,7 +265,8 @@
 		return
 	}
 	if len(s.calls) >= s.maxCalls || len(caller.Open) >= maxOpenPerCaller || s.callBytes+size > s.maxCallBytes {
-		// Bounds memory; the settings name the number, past which no decision is asked for.
+		// Bounds memory. The settings define the maximum number of calls, beyond which the module is not
+		// asked.
 		s.Counters[state.RefusalsOut]++
 		s.answerCounts[class].Rejected++
 		s.sendRelease(caller, message.Call, wire.CauseCongestion, retryAfterMillis(s.retryAfter(call)))
@@ -279,7 +287,7 @@
 		Deadline: call.Deadline, Dest: setUp.Dest, Again: setUp.Again})
 }
 
-// fits checks a set-up against the settings. Figures out of range never reach the module.
+// validateSetUp checks a set-up against the settings, so that no value out of range reaches the module.
 func (s *Session) validateSetUp(setUp wire.SetUp, class int, known bool) error {
 	if !known {
 		return fmt.Errorf("parameter 16: no class %.20q", setUp.Class)
@@ -296,7 +304,7 @@
 	return nil
 }
 
-// callerReleased takes a give-up of an open set-up, or the end of a call that stands.
+// handleCallerRelease handles the cancellation of an open set-up or the release of an established call.
 func (s *Session) handleCallerRelease(caller *state.Caller, message wire.Message) {
 	if call := s.calls[message.Call]; call != nil && !call.Answered {
 		s.Counters[state.GiveUpsIn]++
@@ -322,7 +330,7 @@
 		s.endEstablished(established)
 		s.releaseAtOffice(established.On, message.Call, cause)
 	} else if _, known := s.endedCalls[message.Call]; !known {
-		// A call of before our own start: any office may have it, and those that have not pass it over.
+		// A call of a previous process: any office may hold it, and the others ignore the release.
 		s.endedCalls[message.Call] = s.now
 		if len(s.earlierReleases) < maxEarlierReleases {
 			s.earlierReleases[message.Call] = state.Ending{Cause: cause, At: s.now}
@@ -339,7 +347,7 @@
 	}
 }
 
-// callerGaveUp ends a call whose caller has gone: no answer is owed, and an attempt has nobody to stand for.
+// callerCancelled ends a call whose caller is gone. No answer is owed, and its attempt is cancelled.
 func (s *Session) callerCancelled(call *state.Call) {
 	s.markAnswered(call)
 	s.queueEvent(decide.Event{Kind: decide.Gone, Call: decide.CallID(call.ID)})
@@ -350,7 +358,7 @@
 	}
 }
 
-// answered notes that nothing more is owed to a call's caller.
+// markAnswered notes that the caller is owed nothing more for a call.
 func (s *Session) markAnswered(call *state.Call) {
 	call.Answered = true
 	delete(call.From.Open, call.ID)
@@ -371,7 +379,7 @@
 	}
 }
 
-// final gives a caller the one final answer of a call that does not stand, at once.
+// sendFinal gives a caller the one final answer of a call that is not established.
 func (s *Session) sendFinal(action decide.Action, cause byte, counter state.Counter) {
 	call := s.calls[uint64(action.Call)]
 	if call == nil || call.Answered {
@@ -390,11 +398,13 @@
 	}
 }
 
-// stayAway is when a caller is to come back, in whole milliseconds.
+// retryAfterMillis converts a retry delay from microseconds to milliseconds, rounded up.
 func retryAfterMillis(wait int64) int64 { return (wait + 999) / 1000 }
 
-// tellEnd releases a call towards its callers: on the connection given, else on that of any usual caller, else of one
-// that has asked for a call, and again to the next usual one. Guards against telling it to bad clients alone, who come by hundreds and forget it.
+// releaseToCaller reports the release of a call to its caller: on the given connection, else on that of any
+// trusted caller, else on one that has asked for a call. In the last case the release is repeated to the next
+// trusted caller. Misbehaving clients, which connect by the hundreds and ignore releases, must not be the only
+// ones to receive it.
 func (s *Session) releaseToCaller(call uint64, cause byte, caller *state.Caller) {
 	if caller == nil || caller.Conn == nil {
 		caller = nil
@@ -404,7 +414,7 @@
 				break
 			}
 			if caller == nil && c.Asked != 0 {
-				caller = c // it may be a usual one's first
+				caller = c // may be the first connection of a well-behaved caller
 			}
 		}
 		if caller == nil || !caller.Good {
@@ -419,7 +429,7 @@
 	s.sendRelease(caller, call, cause, 0)
 }
 
-// id writes a call's id as the protocol does.
+// formatCallID formats a call id as in the protocol.
 func formatCallID(call uint64) string {
 	s := strconv.FormatUint(call, 16)
 	return "0000000000000000"[len(s):] + s
--- a/internal/session/control.go
+++ b/internal/session/control.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// mostAskers bounds the connections of the second address. A new one takes the place of the oldest: whoever asks
-	// waits for a second at most, and some connect and ask for nothing.
+	// maxControlConns bounds the control connections. A new one replaces the oldest: clients wait for an
+	// answer for one second at most, and some connect without sending a request.
 	maxControlConns = 16
-	// askWithin is how long one may take to ask.
+	// controlRequestTimeout is how long a control connection may take to send its request.
 	controlRequestTimeout = 1_500_000
-	// readyAnyhow is how long after the start the program says that it serves though the journal has not come up:
-	// the list of the configuration holds until then.
+	// readyWithoutJournal is how long after the start the program reports ready although the journal is not
+	// connected. Until then the list in the configuration applies.
 	readyWithoutJournal = 2_000_000
 )
 
 var errControlTimeout = errors.New("nothing asked for in time, or no room")
 
-// asked takes in a connection of the second address.
+// controlAccepted registers a connection to the control address.
 func (s *Session) controlAccepted(arrival Arrival) {
 	if len(s.controlConns) >= s.maxControlConns {
 		s.closeConn(s.controlConns[0].Conn, errControlTimeout)
@@ -36,20 +36,20 @@
 	s.controlConns = slices.DeleteFunc(s.controlConns, func(a *state.Asker) bool { return a == asker })
 }
 
-// watchAskers ends connections of the second address that do not finish a line.
+// checkControlConns closes control connections that do not complete a request line in time.
 func (s *Session) checkControlConns() {
 	for len(s.controlConns) > 0 && s.now-s.controlConns[0].Since >= controlRequestTimeout {
 		s.closeConn(s.controlConns[0].Conn, errControlTimeout)
 	}
 }
 
-// fromAsker answers the one line of a connection, and ends it.
+// handleControlData answers the single request of a control connection and closes it.
 func (s *Session) handleControlData(asker *state.Asker, data []byte) {
 	asker.In = append(asker.In, data...)
 	line, whole, err := wire.NextAsk(asker.In)
 	if err != nil {
 		s.Counters[state.BadIn]++
-		_, _ = asker.Conn.Write(wire.Told(s.controlReply[:0], false, err.Error())) // who does not read it asks again
+		_, _ = asker.Conn.Write(wire.Told(s.controlReply[:0], false, err.Error())) // unread replies are asked for again
 		s.closeConn(asker.Conn, err)
 		return
 	}
@@ -58,7 +58,7 @@
 	}
 	s.Counters[state.AskedIn]++
 	s.controlReply = s.appendControlReply(line, s.controlReply[:0])
-	_, _ = asker.Conn.Write(s.controlReply) // who does not read its answer asks again
+	_, _ = asker.Conn.Write(s.controlReply) // unread replies are asked for again
 	s.closeConn(asker.Conn, nil)
 }
 
@@ -91,12 +91,12 @@
 	return wire.Told(b, false, "unknown call")
 }
 
-// ready tells whether callers may be sent here.
+// ready reports whether callers may be sent to this process.
 func (s *Session) ready() bool {
 	return s.stoppedAt == 0 && s.drainingSince == 0 && (s.journal.ready || s.now-s.startedAt >= readyWithoutJournal)
 }
 
-// figures lists what the program has done and holds.
+// appendMetrics appends the program's counters and gauges.
 func (s *Session) appendMetrics(b []byte) []byte {
 	for i, class := range s.settings.Classes {
 		b = wire.Count(b, wire.FigureCompleted, class.Name, s.answerCounts[i].Completed)
--- a/internal/session/crowd.go
+++ b/internal/session/crowd.go
@@ -7,12 +7,12 @@
 	"pewterwheel/internal/wire"
 )
 
-// Spent tells how long the last Step took, in microseconds, by the clock of whoever calls it.
+// Spent reports how long the last Step took in microseconds, by the clock of its caller.
 func (s *Session) Spent(took int64) {
 	s.admission.Took(len(s.offeredSetUps)-s.admissionRefusals, s.admissionRefusals, took)
 }
 
-// offered is a set-up of this round, and the place of its event.
+// offeredSetUp is a set-up of the current round and the index of its event.
 type offeredSetUp struct {
 	call      *state.Call
 	id        uint64
@@ -20,12 +20,12 @@
 	event     int
 }
 
-// crowded lets the door judge the set-ups of a round that has more of them than it may hold: those that are taken share
-// the places in the order of events, the others are refused.
+// admitRound applies admission control to a round with more set-ups than it may take. The admitted ones are
+// assigned to the set-ups' positions in the order of events; the others are refused.
 func (s *Session) admitRound() {
 	s.admissionOffers = s.admissionOffers[:0]
 	for _, o := range s.offeredSetUps {
-		offer := admit.Offer{At: o.arrivedAt} // its caller has left meanwhile: no time is left to it
+		offer := admit.Offer{At: o.arrivedAt} // its caller has left meanwhile: a zero deadline
 		if call := s.calls[o.id]; call == o.call && !call.Answered {
 			class := &s.settings.Classes[s.classIndex[call.SetUp.Class]]
 			offer = admit.Offer{At: o.arrivedAt, Deadline: call.Deadline, Aim: class.Aim, Worth: class.Worth, LateWorth: class.Late}
@@ -48,7 +48,7 @@
 			s.sendFinal(decide.Action{Call: decide.CallID(o.id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
 		}
 	}
-	// The places are given out from the first on; those that are left over go.
+	// Fills the set-ups' positions from the first on and drops the positions left over.
 	kept, next, order := s.events[:0], 0, 0
 	for i, event := range s.events {
 		if next < len(s.offeredSetUps) && s.offeredSetUps[next].event == i {
@@ -63,7 +63,7 @@
 	s.events = kept
 }
 
-// awayFrom is how long a call that is refused before the module sees it is to stay away, in microseconds.
+// retryAfter is the retry delay, in microseconds, of a call that is refused before it reaches the module.
 func (s *Session) retryAfter(call *state.Call) int64 {
 	if after := s.settings.Limits.MaxAfter; s.settings.Limits.RetryAfter && after > 0 {
 		return min(after, s.settings.Classes[s.classIndex[call.SetUp.Class]].Aim)
--- a/internal/session/crowd_test.go
+++ b/internal/session/crowd_test.go
@@ -8,7 +8,7 @@
 	"pewterwheel/internal/state"
 )
 
-// burst is so many set-ups on one connection, each of a class, beginning with an id.
+// setUpBurst returns n set-ups of one class for one connection, with consecutive ids from first on.
 func setUpBurst(first, n int, class string) string {
 	var b strings.Builder
 	for i := range n {
@@ -17,8 +17,9 @@
 	return b.String()
 }
 
-// A round that brings more set-ups than it may hold is dealt with at once: the dear ones go to the module, and the others are
-// refused in that round, with the time to stay away, each once. Who gave up in the same round gets nothing.
+// A round with more set-ups than it may take is handled at once: the most important ones go to the module, and
+// the others are refused in this round, each once and with a retry delay. A call cancelled in the same round
+// gets no answer.
 func TestOverloadedRound(t *testing.T) {
 	p := newPlayer(t)
 	p.s.maxCalls = 1000
@@ -39,9 +40,9 @@
 	out := strings.Join(p.lines, "\n")
 	refused, away := strings.Count(out, "3a[2a]"), strings.Count(out, `3a[2a] 22["1500"]`)
 	if want := 225 - 1 - most; refused != want || away != want || p.s.Counters[state.DoorRefusals] != uint64(want) {
-		t.Errorf("%d were refused, %d told when to come back, %d counted; %d came and a round holds %d", refused, away, p.s.Counters[state.DoorRefusals], 225, most)
+		t.Errorf("%d were refused, %d with a retry delay, %d counted; %d arrived and a round takes %d", refused, away, p.s.Counters[state.DoorRefusals], 225, most)
 	}
-	for id := range 200 { // the newest of the cheap ones are taken
+	for id := range 200 { // the newest of the less important ones are admitted
 		call := fmt.Sprintf("[0c %016x 3a[2a]", 0x1000+id)
 		if got, want := strings.Contains(out, call), id < 200-(most-24); got != want {
 			t.Errorf("balance-check %d is refused: %v, want %v", id, got, want)
@@ -51,7 +52,7 @@
 		t.Errorf("a sale-auth was refused:\n%s", out)
 	}
 	if !strings.Contains(out, "< [01 0000000000002013") && !strings.Contains(out, "< [01 0000000000003004") {
-		t.Errorf("the newest of the dear ones was not sent first:\n%s", out)
+		t.Errorf("the newest of the most important set-ups was not sent first:\n%s", out)
 	}
 	if n := p.s.countOpen(); n != most {
 		t.Errorf("%d calls are open, want %d", n, most)
@@ -59,11 +60,11 @@
 	for _, rule := range ruleViolations(t, p.lines) {
 		t.Error(rule)
 	}
-	// A round with room for all is as it was.
+	// A round within the limit is not affected.
 	p.lines = nil
 	p.play("20 d open")
 	p.play("20 d > " + setUpBurst(0x4000, most, "balance-check"))
 	if got := strings.Join(p.lines, "\n"); strings.Contains(got, "3a[2a]") {
-		t.Errorf("%d set-ups in a round that may hold as many: %s", most, got)
+		t.Errorf("a set-up was refused in a round of %d, which is the limit: %s", most, got)
 	}
 }
--- a/internal/session/descriptors.go
+++ b/internal/session/descriptors.go
@@ -1,49 +1,52 @@
 package session
 
-// How the descriptors of the configuration are shared out. Callers may have half of them, or what the offices' connections leave
-// of what is not reserved, where that is less. Guards against idle callers by hundreds: without a free descriptor no office
-// is reached, nor the journal service once it is back, and new callers are closed on unread.
+// Division of the configured descriptors. Callers may use half of them, or what the connections to offices
+// leave of the unreserved ones if that is less. Without the limit, hundreds of idle callers could use up all
+// descriptors: no office and no restarted journal service could be reached, and new callers would be closed
+// unread.
 const (
-	// ownDescriptors are the program's own: its three streams, what it waits with, what it listens on, the journal's connection,
-	// a configuration that is read, and connects to be given up.
+	// baseDescriptors are used by the program itself: three standard streams, the poller, the listeners, the
+	// connection to the journal, a configuration file being read, and dials being abandoned.
 	baseDescriptors = 16
-	// leastCallers are let in however long the list is.
+	// minCallers callers are always accepted, however long the list of offices is.
 	minCallers = 16
-	// One part in callersPart of the descriptors is what usual callers may hold: connections to offices are opened ahead of
-	// their first set-up only as far as they leave that.
+	// One part in callerReserveDivisor of the descriptors is reserved for callers: connections to offices are
+	// opened before their first set-up only as far as they leave this part free.
 	callerReserveDivisor = 3
-	// listeners is the callers' address and the second one.
+	// listenerCount counts the callers' address and the control address.
 	listenerCount = 2
-	// mostTaken bounds what Taken gives.
+	// maxPendingAccepts bounds the result of Taken.
 	maxPendingAccepts = 16
 )
 
-// Taken is how many new connections of one address may wait for the loop where there are so many descriptors. Further ones
-// wait in the listener's backlog, where they take none.
+// Taken returns how many new connections of one address may wait for the loop, given the number of
+// descriptors. Further ones wait in the listener's backlog, where they use no descriptor.
 func Taken(sockets int) int { return min(maxPendingAccepts, max(1, sockets/32)) }
 
 func controlConnLimit(sockets int) int { return min(maxControlConns, max(2, sockets/16)) }
 
-// reserved is what is neither for callers nor for offices. At each address as many as may wait for the loop are also being
-// taken in by it, one more waits to be queued, and one is being copied.
+// reservedDescriptors is the number of descriptors that are for neither callers nor offices. For each address
+// as many connections as may wait for the loop may also be in processing by it, one more waits to be queued,
+// and one descriptor is being duplicated.
 func reservedDescriptors(sockets int) int {
 	return baseDescriptors + listenerCount*(2*Taken(sockets)+2) + controlConnLimit(sockets)
 }
 
-// mostCallers is how many callers' connections there may be now.
+// callerLimit is the maximum number of callers' connections at present.
 func (s *Session) callerLimit() int {
 	return min(s.maxCallers, max(minCallers, s.descriptorLimit-len(s.offices.All())-s.lanes.count))
 }
 
-// justCome is how long a new caller's first message may be on its way: a set-up that crosses the end of its connection is sent
-// again once only.
+// newCallerGrace is how long the first message of a new caller may take to arrive. Closing earlier would lose
+// set-ups in transit, which callers send again only once.
 const newCallerGrace = 50_000
 
-// unreadFor is how long callers on whose connections something waits to be read may keep new ones out.
+// unreadCallerGrace is how long callers with unread input may keep new ones from being accepted.
 const unreadCallerGrace = 500_000
 
-// Places is how many of so many new callers there is room for, or room can be made; past unreadFor all of them may come, and
-// be closed on. Guards against closing on new callers by dozens because those that came just before were not read yet.
+// Places returns how many of want new callers may be accepted, counting the connections that can be closed to
+// make room. After unreadCallerGrace all are accepted and the excess is closed. Without that grace, dozens of
+// new callers would be closed because the input of those just accepted is still unread.
 func (s *Session) Places(want int) int {
 	places, unread := s.callerLimit()-len(s.callers), false
 	for _, caller := range s.callers {
--- a/internal/session/descriptors_test.go
+++ b/internal/session/descriptors_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The shares never add up to more descriptors than there are, where callers are not let in below the least.
+// The shares never exceed the descriptors unless callers are at their guaranteed minimum.
 func TestDescriptorShares(t *testing.T) {
 	for _, c := range []struct{ sockets, offices int }{{64, 8}, {128, 24}, {256, 24}, {256, 100}, {1024, 24}, {1024, 600}} {
 		p := newPlayerOf(t, Config{Sockets: c.sockets, Seed: 7})
@@ -19,13 +19,13 @@
 			t.Errorf("%d descriptors, %d offices: %d callers, %d in all", c.sockets, c.offices, callers, sum)
 		}
 		if usual := c.sockets / callerReserveDivisor; c.offices <= 24 && callers < usual {
-			t.Errorf("%d descriptors, %d offices: %d callers, usual ones hold %d", c.sockets, c.offices, callers, usual)
+			t.Errorf("%d descriptors, %d offices: %d callers, below their reserve of %d", c.sockets, c.offices, callers, usual)
 		}
 	}
 }
 
-// New callers are kept out while those that fill the places were not read yet, and not for ever; one that has just come gives
-// no room while a usual one has been quiet.
+// New callers wait while the input of the connected ones is unread, but not for ever. A caller that has just
+// connected is not closed in place of an idle trusted one.
 func TestPlacesForCallers(t *testing.T) {
 	p := newPlayer(t)
 	p.s.maxCallers = 2
@@ -34,15 +34,15 @@
 		p.play(line)
 	}
 	if n := p.s.Places(4); n != 0 {
-		t.Errorf("%d places where both callers are unread", n)
+		t.Errorf("%d places while both callers have unread input", n)
 	}
 	p.until(600_000)
 	if n := p.s.Places(4); n != 4 {
-		t.Errorf("%d may come after a while, to be closed on", n)
+		t.Errorf("%d places after the grace period, want 4", n)
 	}
 	p.play("610 b idle")
 	if n := p.s.Places(4); n != 1 {
-		t.Errorf("%d places where one caller is quiet", n)
+		t.Errorf("%d places while one caller is idle", n)
 	}
 	p.play(`620 a idle`)
 	p.play(`620 a > [01 00000000000000a1 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`)
@@ -51,6 +51,6 @@
 	p.play("700 c open")
 	p.play("710 d open")
 	if got := strings.Join(p.lines, "; "); !strings.Contains(got, "710 a shut") || strings.Contains(got, "c shut") {
-		t.Errorf("c has just come, a has been quiet: %s", got)
+		t.Errorf("want a closed, which is idle, and not c, which has just connected: %s", got)
 	}
 }
--- a/internal/session/exchange_test.go
+++ b/internal/session/exchange_test.go
@@ -23,22 +23,22 @@
 	"pewterwheel/internal/wire"
 )
 
-// Each file in testdata is a recorded exchange, a line for each thing that happened, with its millisecond:
+// Each file in testdata is a recorded exchange with one line per event, beginning with its millisecond:
 //
-//	10 a open                 a caller connects; close: it ends the connection
+//	10 a open                 a caller connects; close: it closes the connection
 //	10 a > [01 0000…01 …]     bytes from the caller a, the office o1 or the journal j
-//	10 a < [0c …]             bytes that the program wrote there; shut: it closed the connection
-//	10 a waiting              from now on something waits on the connection, unread or unwritten; idle: nothing does
-//	10 a gone                 the caller has ended the connection, and nobody has been told yet
-//	10 o1 stuck               from now on not all that is written there leaves; taken: it has left
-//	10 o1 reset               the connection has ended unnoticed: what is written to it fails
-//	10 o1 refuse              what connects to the office find from now on: accept, refuse, silent, short (of descriptors here)
-//	10 term                   SIGTERM; end: the program has ended
+//	10 a < [0c …]             bytes written by the program; shut: the program closed the connection
+//	10 a waiting              from now on data waits on the connection, unread or unsent; idle: no longer
+//	10 a gone                 the caller has closed the connection, which is not reported yet
+//	10 o1 stuck               from now on written data is not sent completely; taken: it has been sent
+//	10 o1 reset               the connection has ended unnoticed: writes to it fail
+//	10 o1 refuse              result of connects from now on: accept, refuse, silent, short (of descriptors here)
+//	10 term                   SIGTERM; end: the program has exited
 //	10 hup                    SIGHUP: the journal service is at j2 from now on
-//	10 q1 open                someone connects to the second address
+//	10 q1 open                a client connects to the control address
 //
-// In bytes, [ ] stand for a two-byte length and what it counts, { } for a four-byte one, "" for text, and all
-// else is hex. What the program does is compared with the recording, to the byte and the millisecond.
+// In bytes, [ ] stand for a two-byte length and the content it counts, { } for a four-byte one, "" for text, and
+// everything else is hex. The program's output is compared with the recording, to the byte and the millisecond.
 var update = flag.Bool("update", false, "record what the program does now")
 
 const settings = `{"areas":["lisboa"],"balancers":2,"quantum_us":5000,"classes":[
@@ -55,7 +55,7 @@
 
 var connNames = map[string]string{"127.0.0.1:1001": "o1", "127.0.0.1:1002": "o2", "127.0.0.1:1003": "o3", "journal": "j", "journal2": "j2"}
 
-// player is the world round a session, its clock included.
+// player simulates the environment of a session, including its clock.
 type player struct {
 	t               testing.TB
 	s               *Session
@@ -65,22 +65,23 @@
 	pendingArrivals []Arrival
 	lines           []string
 	ended           bool
-	// leaving: no new callers are wanted any more. holds: it is told only by the test that nobody waits.
+	// listenerClosing: Leave was called. holdsListenerClosed: only the test reports that the listener is closed.
 	listenerClosing, holdsListenerClosed bool
-	laner                                *fakeLaner              // nil: calls are given no lanes
-	onWrite                              func(*fakeConn, []byte) // takes what is written, in place of the lines; nil: they do
-	onClose, onConnect                   func(*fakeConn)         // are told of connections that were closed, and that came up; nil: not
-	greeting                             func(*fakeConn) []byte  // what an office says first on a new connection; nil: nothing
-	split                                func(n int) int         // where what arrives is split, of so many bytes; nil: nowhere
+	laner                                *fakeLaner              // nil: calls are not assigned to lanes
+	onWrite                              func(*fakeConn, []byte) // receives what is written; nil: recorded in lines
+	onClose, onConnect                   func(*fakeConn)         // called for closed and opened connections
+	greeting                             func(*fakeConn) []byte  // an office's first message on a connection
+	split                                func(n int) int         // where data of length n is split; nil: nowhere
 }
 
 type fakeConn struct {
 	p      *player
 	name   string
 	closed bool
-	// Something waits on it: it has come and was not read yet, or is not written whole.
+	// Data has arrived and is unread, or written data has not been sent completely.
 	waiting bool
-	// Its peer has ended it, which was not told yet. Not all that was written has left; none of what will be does at once.
+	// peerClosed: the peer has closed it, which is not reported yet. unsent: some written data has not left.
+	// blocksWrites: written data does not leave at once.
 	peerClosed, unsent, blocksWrites bool
 }
 
@@ -150,7 +151,7 @@
 	}
 }
 
-// Leave ends listening in the next round, or when a test says so.
+// Leave reports a closed listener in the next round, or leaves that to the test.
 func (p *player) Leave() {
 	if p.listenerClosing = true; !p.holdsListenerClosed {
 		p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Left, At: p.now})
@@ -159,7 +160,7 @@
 
 func (p *player) step(arrivals ...Arrival) {
 	p.s.Step(p.now, arrivals)
-	for _, arrival := range arrivals { // the buffer is used again after the round: nobody may look at it any more
+	for _, arrival := range arrivals { // the buffer is reused after the round, so nothing may keep a reference to it
 		for i := range arrival.Data {
 			arrival.Data[i] = 0xdb
 		}
@@ -175,7 +176,7 @@
 	}
 }
 
-// until lets the time pass in which nothing arrives.
+// until advances the clock without arrivals.
 func (p *player) until(at int64) {
 	for p.s.Next() <= at && !p.s.Done() {
 		p.now = max(p.now, p.s.Next())
@@ -242,7 +243,7 @@
 	}
 }
 
-// parse reads the notation of bytes.
+// parse converts the notation of the recordings to bytes.
 func parse(t testing.TB, text string) []byte {
 	var open []int
 	var b []byte
@@ -275,7 +276,7 @@
 	return b
 }
 
-// render writes bytes in that notation.
+// render converts bytes to the notation of the recordings.
 func render(b []byte) string {
 	message, n, err := wire.Next(b)
 	if text, ok := strings.CutSuffix(string(b), "\n"); ok && n == 0 {
@@ -316,14 +317,14 @@
 	return p
 }
 
-// However what arrives is split, the program does what it did when it was recorded, to the byte.
+// The result must not depend on how arriving data is split: it matches the recording to the byte.
 func FuzzSplitExchanges(f *testing.F) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
 		f.Fatalf("no recordings: %v", err)
 	}
 	for i := range files {
-		f.Add(uint8(i), uint64(0)) // a byte at a time
+		f.Add(uint8(i), uint64(0)) // one byte at a time
 		f.Add(uint8(i), uint64(i)+1)
 	}
 	f.Fuzz(func(t *testing.T, file uint8, seed uint64) {
@@ -353,13 +354,13 @@
 			return 1 + rng.IntN(n-1)
 		})
 		if !slices.Equal(whole, split) {
-			t.Errorf("%s, split: the program does\n%s\nand whole\n%s", files[int(file)%len(files)], strings.Join(split, "\n"), strings.Join(whole, "\n"))
+			t.Errorf("%s: output for split data:\n%s\nfor unsplit data:\n%s", files[int(file)%len(files)], strings.Join(split, "\n"), strings.Join(whole, "\n"))
 		}
 	})
 }
 
-// A call is answered in the very round in which its caller gives it up: one of the two counts, whichever is read first,
-// and the office is told if nobody has the call.
+// A call is answered in the round in which its caller cancels it. Whichever is read first counts, and the
+// office gets a release if no caller has the call.
 func TestAnswerAndCancellationInOneRound(t *testing.T) {
 	up := `[01 %s 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`
 	for _, id := range []string{"0000000000000001", "8000000000000001", "8000000000000000", "ffffffffffffffff"} {
@@ -378,11 +379,11 @@
 			}
 			release := "10 o1 < [0c " + id + " 3a[10]]"
 			if n := strings.Count(strings.Join(p.lines, "\n"), release); n != 1 {
-				t.Errorf("%s, %s first: the office was told %d times; %q", id, first, n, p.lines)
+				t.Errorf("%s, %s first: the office got %d releases; %q", id, first, n, p.lines)
 			}
 			answered := strings.Contains(strings.Join(p.lines, "\n"), "a < [09 "+id)
 			if answered != (first == "answer") || len(p.s.calls)+len(p.s.established) != 0 {
-				t.Errorf("%s, %s first: %d calls, %d stand; %q", id, first, len(p.s.calls), len(p.s.established), p.lines)
+				t.Errorf("%s, %s first: %d open calls, %d established; %q", id, first, len(p.s.calls), len(p.s.established), p.lines)
 			}
 		}
 	}
@@ -428,15 +429,15 @@
 					t.Fatal(err)
 				}
 			} else if got != string(text) {
-				t.Errorf("the program does otherwise now:\n%s\nrecorded:\n%s", got, text)
+				t.Errorf("the program's output differs from the recording:\n%s\nrecorded:\n%s", got, text)
 			}
 		})
 	}
 }
 
-// brokenRules reads a recording for what must hold in any: one final answer for a call, one attempt out at a
-// time, six at most, and none within the guard after one that was reset or given up. It also holds while
-// recording, so that a wrong recording is not made unnoticed.
+// ruleViolations checks a recording for rules that hold in any: one final answer per call, one outstanding
+// attempt at a time, at most six attempts, and none within the guard time after one that was reset or
+// cancelled. It is also applied while recording, so that a wrong recording is noticed.
 func ruleViolations(t *testing.T, lines []string) (broken []string) {
 	final, out, sends, guard := map[uint64]wire.Type{}, map[uint64]string{}, map[uint64]int{}, map[uint64]int64{}
 	for _, line := range lines {
@@ -478,7 +479,7 @@
 					guard[message.Call] = ms + 200
 				}
 			case !office && words[2] == "<" && ends:
-				// The release of a call that stood may come again on another connection; nothing else may.
+				// Only the release of an established call may be repeated on another connection.
 				if was := final[message.Call]; was != 0 && (message.Type == wire.TypeAnswer || was == wire.TypeRelease) {
 					broken = append(broken, line+": a second final answer")
 				} else if was == 0 {
@@ -505,9 +506,9 @@
 	}
 }
 
-// A long day in short: callers, ids and offices are always new, some offices come at the address of one that has
-// gone, answers come, are refused, come spoilt or not at all, and callers leave at any point. Nothing of it is kept
-// once it is over: each map, list and timer is empty but for what serves.
+// A long run in short: callers, ids and offices keep changing, some offices reuse the address of a removed
+// one, calls are answered, refused, answered with malformed messages or not at all, and callers disconnect at
+// any point. Afterwards every map, list and timer must be empty except those in use.
 func TestLongRunLeavesNoState(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
@@ -554,7 +555,8 @@
 			t.Errorf("%d %s are left", n, what)
 		}
 	}
-	// The module's tick, the sweep, the journal's and the connections' watch; the two offices that serve, and the journal.
+	// Expected timers: the module's tick, the sweep, and the journal and connection checks. Expected
+	// connections: two offices in service and the journal.
 	if timers, roles := s.wheel.Len(), len(s.connOwners); timers > 8 || roles > 3 || len(s.offices.All()) != 2 {
 		t.Errorf("%d timers, %d connections, %d offices are left", timers, roles, len(s.offices.All()))
 	}
@@ -564,11 +566,11 @@
 		}
 	}
 	if c := s.Counters; c[state.SetUpsIn] != rounds || c[state.AnswersOut] == 0 || c[state.JournalEvents] != 2*rounds {
-		t.Errorf("little of the day was played: %s", c.String())
+		t.Errorf("too few events in the run: %s", c.String())
 	}
 }
 
-// Open set-ups take a part of memory at most, whatever their number, and give it back.
+// Open set-ups use at most their share of memory, whatever their number, and release it afterwards.
 func TestOpenSetUpsAreBoundedByMemory(t *testing.T) {
 	p := newPlayer(t)
 	p.s.maxCallBytes, p.s.maxCalls = 32<<20/memoryDivisor, 20_000
@@ -591,7 +593,8 @@
 	}
 }
 
-// After SIGTERM the program does not end while callers may wait to be taken in, and answers those that did.
+// After SIGTERM the program must not exit while callers may wait in the listener's backlog, and it answers
+// those that did.
 func TestShutdownWaitsForListenerBacklog(t *testing.T) {
 	p := newPlayer(t)
 	p.holdsListenerClosed = true
@@ -599,13 +602,13 @@
 	p.play("100 term")
 	p.until(1_500_000)
 	if p.ended || !p.listenerClosing {
-		t.Fatalf("ended: %v; asked to listen for no more: %v", p.ended, p.listenerClosing)
+		t.Fatalf("exited: %v; asked to close the listener: %v", p.ended, p.listenerClosing)
 	}
 	p.play("1500 a open")
 	p.play(`1500 a > [01 00000000000000a1 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`)
 	p.step(Arrival{Kind: Left, At: p.now})
 	if p.ended {
-		t.Error("ended with a call open")
+		t.Error("exited with an open call")
 	}
 	p.play(`1600 o1 > [09 00000000000000a1 3d["d1"]]`)
 	p.until(2_000_000)
@@ -614,7 +617,8 @@
 	}
 }
 
-// Room for a new caller is made by ending one on which nothing waits, though another has been quiet for longer.
+// Room for a new caller is made by closing a connection without pending data, even if one with pending data
+// has been idle longer.
 func TestCallerWithPendingDataIsNotClosed(t *testing.T) {
 	p := newPlayer(t)
 	p.s.maxCallers = 2
@@ -624,13 +628,14 @@
 	}
 	got := strings.Join(p.lines, "; ")
 	if !strings.Contains(got, "40 b shut") || strings.Contains(got, "a shut") || !strings.Contains(got, "60 d shut") {
-		t.Errorf("three came to two places, and a fourth: %s", got)
+		t.Errorf("three callers for two places, and a fourth: %s", got)
 	}
 }
 
 var _ state.Conn = (*fakeConn)(nil)
 
-// Long messages that come many in one read: only the one that is split is put together, not all that came with it.
+// When many long messages arrive in one read, only the split one is reassembled; the others are not copied
+// again.
 func TestOnlySplitMessagesAreReassembled(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
@@ -647,7 +652,7 @@
 		p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["a"], Data: came})
 		reads++
 	}
-	beside := p.s.Counters[state.Copied] - before - uint64(len(all)) // all that comes is copied once on its way
+	beside := p.s.Counters[state.Copied] - before - uint64(len(all)) // all arriving data is copied once on its way
 	if beside > reads*wire.MaxMessage {
 		t.Errorf("%d bytes were copied again of %d in %d reads", beside, len(all), reads)
 	}
--- a/internal/session/gone_test.go
+++ b/internal/session/gone_test.go
@@ -10,7 +10,7 @@
 	"pewterwheel/internal/state"
 )
 
-// upFor is a caller's set-up whose first choice is the office at a place.
+// setUpMessage returns a caller's set-up that prefers the office at a place.
 func setUpMessage(call, place int) string {
 	return fmt.Sprintf(`[01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["offer"]]`, call, call, place)
 }
@@ -19,7 +19,8 @@
 
 func cancelMessage(call int) string { return fmt.Sprintf("[0c %016x 3a[10]]", call) }
 
-// wrote tells whether a message of that type was written for a call on connections whose name begins so.
+// wroteMessage reports whether a message of the given type was written for a call to a connection with the given
+// name prefix.
 func (p *player) wroteMessage(conn string, kind, call int) bool {
 	return slices.ContainsFunc(p.lines, func(line string) bool {
 		words := strings.Fields(line)
@@ -28,12 +29,13 @@
 	})
 }
 
-// lane is the main connection to an office, as the session has it.
+// lane returns the session's main connection to an office.
 func (p *player) lane(office string) *state.Lane {
 	return &p.s.offices.Get(decide.ServerID(office)).Lane
 }
 
-// held has the caller b ask for call 3, which waits for a slot: the two offices have one set-up each, the caller a's.
+// newPlayerWithHeldCall sets up call 3 of the caller b, which is held for a slot: each of the two offices has one
+// open set-up of the caller a.
 func newPlayerWithHeldCall(t *testing.T) *player {
 	p := newPlayer(t)
 	p.step()
@@ -48,24 +50,25 @@
 	return p
 }
 
-// A caller ends its connection while its call waits; the slot comes free before its end is told. No attempt begins.
+// A caller disconnects while its call is held, and a slot becomes free before the disconnect is reported. No
+// attempt may begin.
 func TestNoAttemptForDisconnectedCaller(t *testing.T) {
 	p := newPlayerWithHeldCall(t)
 	p.play("200 b gone")
 	p.play("300 o1 > " + answerMessage(1))
 	p.until(1_000_000)
 	if p.wroteMessage("o", 1, 3) {
-		t.Errorf("an attempt began for a caller that had gone:\n%s", strings.Join(p.lines, "\n"))
+		t.Errorf("an attempt began for a disconnected caller:\n%s", strings.Join(p.lines, "\n"))
 	}
 	p.play("1000 b close")
-	p.play("1001 a > " + setUpMessage(4, 0)) // the slot was not lost by it
+	p.play("1001 a > " + setUpMessage(4, 0)) // the slot is still available
 	p.until(2_000_000)
 	if !p.wroteMessage("o1", 1, 4) {
-		t.Errorf("the office gets nothing more:\n%s", strings.Join(p.lines, "\n"))
+		t.Errorf("the office gets no further set-up:\n%s", strings.Join(p.lines, "\n"))
 	}
 }
 
-// The same with a caller that is there: the attempt begins.
+// The attempt does begin if the caller is still connected.
 func TestAttemptForConnectedCaller(t *testing.T) {
 	p := newPlayerWithHeldCall(t)
 	p.play("300 o1 > " + answerMessage(1))
@@ -75,7 +78,8 @@
 	}
 }
 
-// The connect for a call comes up slowly, and its caller has gone meanwhile, or given up; the other call that waits goes on.
+// A connect for a call takes long, and meanwhile the caller has disconnected or cancelled. The other waiting
+// call is sent.
 func TestNoAttemptForCallEndedDuringConnect(t *testing.T) {
 	for _, how := range []string{"gone", "given up", "not heard yet"} {
 		p := newPlayer(t)
@@ -91,7 +95,7 @@
 		case "given up":
 			p.play("100 b > " + cancelMessage(2))
 		}
-		if how == "not heard yet" { // nothing is read for a quarter of a second; then the offices' connections are told first
+		if how == "not heard yet" { // nothing is read for 250 ms; then the offices' connections are reported first
 			p.until(150_000)
 			p.conns["b"].waiting = true
 		} else {
@@ -123,27 +127,29 @@
 	}
 }
 
-// After a stand-still an attempt waits while something of its caller is unread, and no longer than two watches.
+// After a process pause an attempt waits while input of its caller is unread, but no longer than two watch
+// intervals.
 func TestAttemptAfterProcessPause(t *testing.T) {
 	for _, how := range []string{"given up", "something else"} {
 		p := newPlayerWithHeldCall(t)
 		p.conns["b"].waiting = true
-		p.now = 400_000 // nothing ran since 20 ms
+		p.now = 400_000 // no round since 20 ms
 		p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, answerMessage(1))})
 		if p.wroteMessage("o", 1, 3) {
-			t.Errorf("%s: an attempt began before its caller was heard", how)
+			t.Errorf("%s: an attempt began before its caller's input was read", how)
 		}
 		if how == "given up" {
 			p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["b"], Data: parse(t, cancelMessage(3))})
 		}
-		p.until(500_000) // something of it stays unread
+		p.until(500_000) // some input stays unread
 		if began := p.wroteMessage("o1", 1, 3); began != (how == "something else") {
 			t.Errorf("%s: an attempt began: %t\n%s", how, began, strings.Join(p.lines, "\n"))
 		}
 	}
 }
 
-// What was written to an office does not leave: further set-ups wait here, where they can be taken back.
+// While data written to an office has not left, further set-ups are queued in this process, where they can be
+// withdrawn.
 func TestNoSetUpBehindUnsentData(t *testing.T) {
 	for _, how := range []string{"given up", "gone", "drained", "waits"} {
 		p := newPlayer(t)
@@ -164,19 +170,20 @@
 			if office := p.s.offices.Get("s-00000002"); office.State != decide.Draining {
 				t.Fatalf("the office is not draining: %v", office.State)
 			}
-			p.play("160 b > " + cancelMessage(2)) // else it goes to the other office
+			p.play("160 b > " + cancelMessage(2)) // otherwise it would be sent to the other office
 		}
 		p.play("300 o1 taken")
 		p.play("300 o2 taken")
 		p.until(1_000_000)
 		if !p.wroteMessage("o1", 1, 1) || p.wroteMessage("o", 1, 2) != (how == "waits") {
-			t.Errorf("%s: what the offices got:\n%s", how, strings.Join(p.lines, "\n"))
+			t.Errorf("%s: unexpected messages to the offices:\n%s", how, strings.Join(p.lines, "\n"))
 		}
 	}
 }
 
-// A set-up has been written and not all of it has left when its caller gives it up, or the office is told to drain: its
-// connection ends, for else it would begin whenever the office reads again. What stands there is released on the next one.
+// A caller cancels, or the office is to drain, while a set-up is written but not sent completely. The
+// connection must be closed, because the set-up would otherwise begin once the office reads again. The
+// established calls there are released on the next connection.
 func TestUnsentSetUpIsWithdrawn(t *testing.T) {
 	for _, how := range []string{"given up", "gone", "drained", "taken in time"} {
 		p := newPlayer(t)
@@ -201,11 +208,11 @@
 			p.play("100 b > " + cancelMessage(2))
 		}
 		if first.closed == (how == "taken in time") {
-			t.Errorf("%s: the connection has ended: %t\n%s", how, first.closed, strings.Join(p.lines, "\n"))
+			t.Errorf("%s: connection closed: %t\n%s", how, first.closed, strings.Join(p.lines, "\n"))
 		}
 		p.until(400_000)
 		if how != "drained" && !p.wroteMessage("o2", 12, 2) {
-			t.Errorf("%s: the office was not told that nobody has the call:\n%s", how, strings.Join(p.lines, "\n"))
+			t.Errorf("%s: the office did not get the release:\n%s", how, strings.Join(p.lines, "\n"))
 		}
 		if n := len(p.s.calls); how != "drained" && n != 0 {
 			t.Errorf("%s: %d calls are left", how, n)
@@ -213,7 +220,7 @@
 	}
 }
 
-// sends is a decider that sends what comes to one office, to leave by a time.
+// singleOfficeDecider is a decider that sends all calls to one office, with a latest time of sending.
 type singleOfficeDecider struct {
 	office decide.ServerID
 	until  int64
@@ -237,8 +244,8 @@
 
 func (*singleOfficeDecider) Avoids(decide.ServerID) bool { return false }
 
-// The window in which a call may be repeated ends while its set-up waits for a connection: it is taken back then. One that has
-// left in time stays out until its answer comes.
+// The time in which a call may be repeated ends while its set-up waits for a connection: it is withdrawn. A
+// set-up sent in time stays out until it is answered.
 func TestSetUpIsSentWithinItsTimeLimit(t *testing.T) {
 	for _, up := range []int64{250, 299, 301, 400} {
 		decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
@@ -247,24 +254,24 @@
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
 		}
-		p.play("10 a > " + setUpMessage(1, 0)) // to leave by 300 ms
+		p.play("10 a > " + setUpMessage(1, 0)) // to be sent by 300 ms
 		p.until(up * 1000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
 		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
 		if left := p.wroteMessage("o1", 1, 1); left != (up < 300) || left != (len(decider.ended) == 0) {
-			t.Errorf("up at %d: left: %t; ended: %v", up, left, decider.ended)
+			t.Errorf("connected at %d: sent: %t; ended: %v", up, left, decider.ended)
 		}
 		p.play("900 o1 > " + answerMessage(1))
 		if answered := p.wroteMessage("a", 9, 1); answered != (up < 300) {
-			t.Errorf("up at %d: answered: %t", up, answered)
+			t.Errorf("connected at %d: answered: %t", up, answered)
 		}
 	}
 }
 
-// Where attempts may not be called off, one that waits for a connection outlives the final answer of its call, and its caller's
-// connection: nothing is sent for it once its connection comes up.
+// If attempts may not be cancelled, one that waits for a connection outlives its call's final answer and its
+// caller's connection. Nothing may be sent for it once the connection is open.
 func TestNoAttemptForAnsweredCall(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		decider := &singleOfficeDecider{office: "s-00000001"}
@@ -285,13 +292,13 @@
 		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
 		if p.wroteMessage("o1", 1, 1) || len(decider.ended) != 1 || len(p.s.calls) != 0 {
-			t.Errorf("its caller leaves: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
+			t.Errorf("caller disconnects: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
 		}
 	}
 }
 
-// Long set-ups that come in one round and do not leave are not written past what may wait unsent: the connection to their
-// office, which all callers share, does not end by one caller's.
+// Long set-ups in one round that do not leave must not exceed the limit of unsent data, so that one caller
+// can't end the office connection that all callers share.
 func TestLongSetUpsDoNotEndTheConnection(t *testing.T) {
 	decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
 	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
@@ -319,47 +326,47 @@
 	}
 }
 
-// An office may read a set-up that was stuck only after it has heard, on the next connection, that it was given up: it is told
-// once more.
+// An office may read an unsent set-up of a closed connection only after it has received the release on the
+// next one. The release is therefore repeated.
 func TestUnsentSetUpIsReleasedTwice(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 b open")
 	p.conns["o2"].blocksWrites = true
 	p.play("10 b > " + setUpMessage(2, 1))
-	p.play("100 b > " + cancelMessage(2)) // its connection ends, and the next one comes up
+	p.play("100 b > " + cancelMessage(2)) // its connection is closed, and the next one opens
 	p.play("150 o2 > [10 0000000000000002]")
 	p.lines = nil
 	p.until(3_500_000)
 	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+cancelMessage(2)); n != 1 {
-		t.Errorf("the office was told %d times more:\n%s", n, strings.Join(p.lines, "\n"))
+		t.Errorf("the release was repeated %d times:\n%s", n, strings.Join(p.lines, "\n"))
 	}
 	p.play("3600 o2 > [10 0000000000000002]")
 	if n := len(p.s.offices.Get("s-00000002").Ended); n != 0 {
-		t.Errorf("%d releases are still owed once they were heard again", n)
+		t.Errorf("%d releases are still pending after the second acknowledgment", n)
 	}
 }
 
-// A set-up has left and is given up, and its release waits behind another set-up, which is stuck: with that one's connection the
-// release is lost, though the office may read the set-up from it after it has heard of the end on the next connection. It is
-// told once more, as of the one that was stuck.
+// A set-up was sent and cancelled, and its release waits behind another, unsent set-up. The release is lost
+// with that connection, and the office may read the set-up after it has acknowledged the release on the next
+// one. Therefore this release is repeated, too.
 func TestReleaseLostWithConnectionIsRepeated(t *testing.T) {
 	for _, stuck := range []bool{true, false} {
 		decider := &singleOfficeDecider{office: "s-00000002"}
 		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		p.play("5 b open")
-		p.play("10 b > " + setUpMessage(1, 1)) // it leaves
+		p.play("10 b > " + setUpMessage(1, 1)) // it is sent
 		first := p.conns["o2"]
 		first.blocksWrites = stuck
 		p.play("20 b > " + setUpMessage(2, 1))
 		if !p.wroteMessage("o2", 1, 1) || !p.wroteMessage("o2", 1, 2) {
 			t.Fatal("the set-ups were not written")
 		}
-		p.play("90 b > " + cancelMessage(1)) // written, and does not leave
+		p.play("90 b > " + cancelMessage(1)) // written, but not sent
 		p.play("100 b > " + cancelMessage(2))
 		if first.closed != stuck {
-			t.Fatalf("stuck: %t; the connection has ended: %t", stuck, first.closed)
+			t.Fatalf("stuck: %t; connection closed: %t", stuck, first.closed)
 		}
 		p.play("150 o2 > [10 0000000000000001]")
 		p.play("150 o2 > [10 0000000000000002]")
@@ -367,30 +374,31 @@
 		p.until(3_500_000)
 		for call := 1; call <= 2; call++ {
 			if n := strings.Count(strings.Join(p.lines, "\n"), cancelMessage(call)); (n == 1) != stuck || n > 1 {
-				t.Errorf("stuck: %t; the office was told %d times more of call %d:\n%s", stuck, n, call, strings.Join(p.lines, "\n"))
+				t.Errorf("stuck: %t; the release was repeated %d times for call %d:\n%s", stuck, n, call, strings.Join(p.lines, "\n"))
 			}
 		}
 		p.play("3600 o2 > [10 0000000000000001]")
 		p.play("3600 o2 > [10 0000000000000002]")
 		if n := len(p.s.offices.Get("s-00000002").Ended); n != 0 {
-			t.Errorf("stuck: %t; %d releases are still owed once they were heard again", stuck, n)
+			t.Errorf("stuck: %t; %d releases are still pending after the second acknowledgment", stuck, n)
 		}
 	}
 }
 
-// The office hears the first release only when the second is due, and has not been told it yet: it still is.
+// The office acknowledges the first release after the second has become due but before it was sent: it is
+// still sent.
 func TestReleaseAcknowledgedLateIsRepeated(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
 	p.play("5 b open")
 	p.conns["o2"].blocksWrites = true
 	p.play("10 b > " + setUpMessage(2, 1))
-	p.play("100 b > " + cancelMessage(2)) // its connection ends, and the next one comes up
+	p.play("100 b > " + cancelMessage(2)) // its connection is closed, and the next one opens
 	p.until(100_000 + releaseRepeatDelay + 50_000)
 	p.play(fmt.Sprintf("%d o2 > [10 0000000000000002]", p.now/1000))
 	p.lines = nil
 	p.until(3_500_000)
 	if n := strings.Count(strings.Join(p.lines, "\n"), "o2 < "+cancelMessage(2)); n != 1 {
-		t.Errorf("the office was told %d times more:\n%s", n, strings.Join(p.lines, "\n"))
+		t.Errorf("the release was repeated %d times:\n%s", n, strings.Join(p.lines, "\n"))
 	}
 }
--- a/internal/session/hung_parts_test.go
+++ b/internal/session/hung_parts_test.go
@@ -12,43 +12,43 @@
 	"pewterwheel/internal/wire"
 )
 
-// Times of the world below, in microseconds.
+// Times of the simulation, in microseconds.
 const (
 	hangAt          = 12_000_000 // when the processor of the office o1 hangs
-	observedFor     = 16_000_000 // how long after that
-	delayBegins     = 2_000_000  // when work begins to wait for its processor; 2 s before the hang the wait grows no more
-	networkDelay    = 4_000      // one way between the process and an office
+	observedFor     = 16_000_000 // how long the simulation continues after that
+	delayBegins     = 2_000_000  // when work begins to queue; constant from 2 s before the hang
+	networkDelay    = 4_000      // one-way delay between the process and an office
 	callerPatience  = 3_000_000  // of callers
-	unreleasedLimit = 8_050_000  // the bound for an end that could not be released, with the slack of sockets
+	unreleasedLimit = 8_050_000  // limit for an end that could not be released, with 50 ms for sockets
 	forever         = math.MaxInt64 / 4
 )
 
-// hungOffice is how the office o1 behaves: what of it goes on once its processor hangs, and what is asked of it. Times are
-// microseconds.
+// officeScenario is the behaviour of the office o1: what continues once its processor hangs, and its load. Times
+// are microseconds.
 type officeScenario struct {
 	name             string
 	alive            bool  // its processor never hangs
 	recoversAfter    int64 // how long after the hang it works again; 0: never
-	reportInterval   int64 // distance of its reports of lines; 0: it never reports
-	reportsContinue  bool  // these go on
-	acksContinue     bool  // releases are still confirmed
-	reportsOnConnect bool  // one report comes first of all on each new connection
+	reportInterval   int64 // interval of its reports of free lines; 0: it never reports
+	reportsContinue  bool  // reports continue
+	acksContinue     bool  // releases are still acknowledged
+	reportsOnConnect bool  // a report is the first message on each new connection
 	refusesFor       int64 // how long after the hang set-ups are still refused
-	answersFor       int64 // how long they are still answered
-	maxDelay         int64 // how long answers and releases wait for the processor
-	connLifetime     int64 // how long connections last from the hang on; 0: they do
-	cutsFor          int64 // until how long after the hang
+	answersFor       int64 // how long after the hang set-ups are still answered
+	maxDelay         int64 // maximum delay of answers and releases by the processor
+	connLifetime     int64 // how long connections last from the hang on; 0: no limit
+	cutsFor          int64 // until how long after the hang connections are cut
 	initialCalls     int   // calls that are set up early and end at the hang
 	rate             float64
-	setUpInterval    int64        // distance of set-ups to o1 from the hang on, where rate is 0
-	holdTime         func() int64 // of calls set up at the rate; nil: exponential with a mean of holdMean
+	setUpInterval    int64        // interval of set-ups to o1 from the hang on, if rate is 0
+	holdTime         func() int64 // of calls set up at the rate; nil: exponential with mean holdMean
 	holdMean         float64      // seconds
 	lull             [2]int64     // no set-ups between these times
-	bothOffices      bool         // o2 does the same
-	resetInterval    int64        // distance of resets of the connection, all the time
+	bothOffices      bool         // o2 behaves in the same way
+	resetInterval    int64        // interval of connection resets, all the time
 	meanHoldAt       func(now int64) float64
-	refusesBetween   [2]int64 // it refuses set-ups between these times, and is well
-	needsReports     bool     // it may say nothing for seconds where it never reports, and may then not be told from a silent one
+	refusesBetween   [2]int64 // it refuses set-ups between these times but is alive
+	needsReports     bool     // may be idle for seconds: not told from a silent one without reports
 }
 
 // callAt is a call at an office; it may have been tried at another one before.
@@ -57,11 +57,11 @@
 	id     uint64
 }
 
-// officeCall is a call as the world sees it.
+// officeCall is the state of a call in the simulation.
 type officeCall struct {
 	established       bool  // its answer has reached its caller
-	endedAt           int64 // when it ended at its office; 0: it stands
-	releasedAt        int64 // when its office wrote its release; 0: never
+	endedAt           int64 // when it ended at its office; 0: it has not
+	releasedAt        int64 // when its office sent its release; 0: never
 	toldAt            int64
 	cause             byte
 	releasedByProcess bool // the process released it at its office before its end
@@ -87,7 +87,7 @@
 	return last
 }
 
-// hungWorld is a session between callers and two offices in virtual time.
+// officeSim simulates the callers and two offices of a session in virtual time.
 type officeSim struct {
 	*player
 	scenario       officeScenario
@@ -95,7 +95,7 @@
 	events         simEvents
 	lastOrder      int
 	calls          map[callAt]*officeCall
-	cancelled      map[uint64]bool // set-ups that the process gave up
+	cancelled      map[uint64]bool // set-ups that the process cancelled
 	unreportedEnds map[string][]uint64
 	nextID         uint64
 }
@@ -113,12 +113,12 @@
 	heap.Push(&w.events, simEvent{w.now + wait, w.lastOrder, do})
 }
 
-// hung tells whether an office's processor hangs now.
+// hung reports whether an office's processor hangs now.
 func (w *officeSim) hung(office string) bool {
 	return (office == "o1" || w.scenario.bothOffices) && !w.scenario.alive && w.now >= hangAt && (w.scenario.recoversAfter == 0 || w.now < hangAt+w.scenario.recoversAfter)
 }
 
-// say has an office write a message; it arrives if its connection is still there.
+// send sends a message of an office; it arrives if its connection is still open.
 func (w *officeSim) send(conn *fakeConn, message wire.Message) {
 	b, err := message.Append(nil)
 	if err != nil {
@@ -145,7 +145,7 @@
 	w.send(conn, wire.Message{Type: wire.TypeGroup, Params: []wire.Param{wire.Text(wire.ParamLoad, fmt.Sprintf("free:%d;size:900", 900-w.linesInUse(conn.name)))}})
 }
 
-// connected is told of each connection to an office that came up.
+// connected handles the opening of a connection to an office.
 func (w *officeSim) connected(conn *fakeConn) {
 	hung := w.hung(conn.name)
 	if w.scenario.reportsOnConnect && w.now > 0 || w.scenario.reportInterval > 0 && (!hung || w.scenario.reportsContinue) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// lose ends a connection.
+// closeConn ends a connection.
 func (w *officeSim) closeConn(conn *fakeConn) {
 	if !conn.closed {
 		conn.closed = true
@@ -173,7 +173,7 @@
 	}
 }
 
-// written takes what the process writes.
+// handleWrite handles what the process writes.
 func (w *officeSim) handleWrite(conn *fakeConn, b []byte) {
 	for _, message := range messages(b) {
 		switch {
@@ -203,12 +203,12 @@
 	}
 }
 
-// setUp is a set-up that has reached an office.
+// handleSetUp handles a set-up that has reached an office.
 func (w *officeSim) handleSetUp(conn *fakeConn, id uint64) {
 	if conn.closed {
 		return
 	}
-	delete(w.cancelled, id) // an earlier attempt of the call was
+	delete(w.cancelled, id) // an earlier attempt of the call was cancelled
 	office := conn.name
 	since := w.now - hangAt
 	switch {
@@ -227,7 +227,7 @@
 	}
 }
 
-// queue is how long work waits for an office's processor: it has grown from worldQueues on.
+// processingDelay returns the delay of work by an office's processor, which grows from delayBegins on.
 func (w *officeSim) processingDelay(office string) int64 {
 	if office != "o1" && !w.scenario.bothOffices {
 		return 0
@@ -244,7 +244,7 @@
 	w.send(conn, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, conn.name)}})
 	hold := int64(0)
 	switch {
-	case id < 0x1000: // one of those that stand until the hang
+	case id < 0x1000: // one of those that last until the hang
 		hold = max(hangAt-w.now, 0)
 	case w.scenario.meanHoldAt != nil:
 		hold = int64(w.scenario.meanHoldAt(w.now) * w.rng.ExpFloat64() * 1e6)
@@ -258,7 +258,7 @@
 	}
 }
 
-// end is the end of a call at its office, by itself.
+// endCall is the end of a call at its office.
 func (w *officeSim) endCall(office string, id uint64) {
 	call := w.calls[callAt{office, id}]
 	if call.releasedByProcess {
@@ -274,7 +274,7 @@
 	})
 }
 
-// release has an office tell the end of a call, on the next connection if there is none.
+// release sends the release of a call, on the next connection if there is none.
 func (w *officeSim) release(conn *fakeConn, id uint64) {
 	call := w.calls[callAt{conn.name, id}]
 	if conn.closed {
@@ -288,7 +288,7 @@
 	w.send(conn, wire.ReleaseOf(id, wire.CauseNormal))
 }
 
-// releasedHere is a release or a give-up of the process that has reached an office.
+// handleRelease handles a release or cancellation of the process that has reached an office.
 func (w *officeSim) handleRelease(conn *fakeConn, id uint64) {
 	hung := w.hung(conn.name)
 	if conn.closed || hung && !w.scenario.acksContinue {
@@ -301,13 +301,13 @@
 	w.send(conn, wire.Message{Type: wire.TypeHeard, Call: id})
 }
 
-// ask has the caller ask for a call at o1.
+// requestCall requests a call at o1.
 func (w *officeSim) requestCall(id uint64) {
 	w.step(Arrival{Kind: Data, At: w.now, Conn: w.conns["a"], Data: parse(w.t, fmt.Sprintf(
 		`[01 %016x 10["balance-check"] 13["%d"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, id, callerPatience/1000, id))})
 }
 
-// run plays the world to its end.
+// run plays the simulation to its end.
 func (w *officeSim) run() {
 	w.step()
 	w.play("10 a open")
@@ -361,7 +361,7 @@
 		w.after(w.scenario.resetInterval, reset)
 	}
 	for len(w.events) > 0 && w.events[0].at <= hangAt+observedFor {
-		if next := w.s.Next(); next < w.events[0].at { // what it writes may bring earlier events
+		if next := w.s.Next(); next < w.events[0].at { // what it writes may cause earlier events
 			w.now = max(w.now, next)
 			w.step()
 			continue
@@ -372,7 +372,7 @@
 	}
 }
 
-// recovered is an office that works again: it tells what ended meanwhile.
+// resume handles an office that works again: it sends the releases of calls that ended meanwhile.
 func (w *officeSim) resume() {
 	for _, office := range []string{"o1", "o2"} {
 		owed := w.unreportedEnds[office]
@@ -383,7 +383,8 @@
 	}
 }
 
-// judge holds each call of o1 against what its caller is owed, and tells how long after its end the latest was told.
+// judge checks each call of o1 against what its caller is owed, and returns the longest delay between an end
+// and its release to the caller.
 func (w *officeSim) judge() (late, cut, total int, worst int64) {
 	over := int64(hangAt + observedFor)
 	for at, call := range w.calls {
@@ -418,10 +419,11 @@
 	return late, cut, total, worst
 }
 
-// seconds is a time in microseconds.
+// seconds converts seconds to microseconds.
 func seconds(s float64) int64 { return int64(s * 1e6) }
 
-// partsOfNine are the ways in which parts of a hung office go on beside nine calls that stand there, none of which had ended.
+// nineCallScenarios are cases in which parts of a hung office continue while nine calls are established there, none
+// of which has ended before.
 func nineCallScenarios() []officeScenario {
 	often := seconds(0.1)
 	reports := seconds(3.2)
@@ -442,7 +444,8 @@
 	}
 }
 
-// A caller is left waiting for the end of a call at an office whose processor hangs while parts of it go on.
+// A caller waited too long for the release of a call at an office whose processor hangs while parts of it
+// continue.
 func TestPartsOfAHungOfficeLeaveNoCallerWaiting(t *testing.T) {
 	var cases []officeScenario
 	for _, scenario := range nineCallScenarios() {
@@ -480,9 +483,9 @@
 				sim.run()
 				late, _, total, worst := sim.judge()
 				if total < 9 {
-					t.Fatalf("seed %d: %d calls stood at the office", seed, total)
+					t.Fatalf("seed %d: %d calls were established at the office", seed, total)
 				}
-				t.Logf("seed %d: told %.2f s after its end at the latest", seed, float64(worst)/1e6)
+				t.Logf("seed %d: released to the caller %.2f s after its end at the latest", seed, float64(worst)/1e6)
 				if late > 0 {
 					t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest", seed, late, total, float64(worst)/1e6)
 				}
@@ -491,7 +494,8 @@
 	}
 }
 
-// A call is cut at an office that lives and tells its ends, though they grow rare, come late, or cross lost connections.
+// A call was cut at an office that is alive and releases its calls, although the releases become rare, come
+// late, or cross lost connections.
 func TestLivingOfficeKeepsItsCalls(t *testing.T) {
 	change := func(before, after float64) func(int64) float64 {
 		return func(now int64) float64 {
@@ -550,7 +554,7 @@
 	}
 }
 
-// drawHung draws a way in which an office hangs while parts of it go on.
+// drawHung draws a case of an office that hangs while parts of it continue.
 func drawHung(seed uint64) officeScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x9a7))
 	upTo := func(most float64) int64 { return int64(rng.Float64() * most * 1e6) }
@@ -578,8 +582,9 @@
 	return scenario
 }
 
-// evident tells whether it can be known in time that the office ends no calls: set-ups go there often enough, and answers or
-// refusals stop soon after it hung, or so many ends are owed that their absence tells.
+// detectable reports whether it can be detected in time that the office no longer ends calls: set-ups are
+// frequent enough, and answers or refusals stop soon after the hang, or so many ends are due that their
+// absence is evidence.
 func (c officeScenario) detectable(standing int) bool {
 	const often, soon, many = 5, 1_300_000, 40
 	goesOn := max(c.refusesFor, c.answersFor)
@@ -587,7 +592,8 @@
 	return goesOn <= soon && c.rate >= often || owed >= many
 }
 
-// A caller is left waiting at an office whose processor hangs in a way that was drawn, or its call is cut as the office is back.
+// A caller waited too long at an office that hangs in a randomly drawn way, or its call was cut although the
+// office had recovered.
 func TestDrawnPartsOfAHungOffice(t *testing.T) {
 	evident := 0
 	for seed := range uint64(400) {
@@ -614,11 +620,12 @@
 		}
 	}
 	if evident < 100 {
-		t.Errorf("in %d of the draws it can be known", evident)
+		t.Errorf("the hang can be detected in only %d of the draws", evident)
 	}
 }
 
-// drawLiving draws an office that lives and reports, whose calls change how long they last, pause, or cross lost connections.
+// drawLiving draws an office that is alive and reports, with changing call durations, pauses, or lost
+// connections.
 func drawLiving(seed uint64) officeScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x11f))
 	hold := func() float64 { return 0.4 * math.Pow(100, rng.Float64()) }
@@ -649,7 +656,7 @@
 	return scenario
 }
 
-// A call is cut at an office that lives and reports, in a way that was drawn.
+// A call was cut at an office that is alive and reports, in a randomly drawn case.
 func TestDrawnLivingOfficeKeepsItsCalls(t *testing.T) {
 	for seed := range uint64(400) {
 		if !slices.Contains(knownCutSeeds, seed) {
@@ -658,10 +665,10 @@
 	}
 }
 
-// cutAlive are the draws of living offices of which calls are known to be cut.
+// knownCutSeeds lists the draws of live offices at which calls are known to be cut.
 var knownCutSeeds = []uint64{160, 100066, 100910, 101593}
 
-// Calls are cut at an office that lives and reports, and where work waits long for its processor (KNOWN-RED.txt).
+// Calls are cut at an office that is alive and reports, with long processor delays (KNOWN-RED.txt).
 func TestDrawnLoadedOfficeKeepsItsCalls(t *testing.T) {
 	for _, seed := range knownCutSeeds {
 		checkKeepsItsCalls(t, seed)
@@ -678,10 +685,10 @@
 	}
 }
 
-// A caller is left waiting, or its call is cut, in any of the draws of hung offices, whether it can be known in time or not
-// (KNOWN-RED.txt).
+// A caller waited too long, or its call was cut, in any draw of a hung office, whether it can be detected in
+// time or not (KNOWN-RED.txt).
 func TestEveryDrawnHungOfficeIsToldOfInTime(t *testing.T) {
-	seeds := []uint64{100447, 100663, 100762, 101484, 101492, 101611, 101730} // unseen ones that were judged and late
+	seeds := []uint64{100447, 100663, 100762, 101484, 101492, 101611, 101730} // judged afterwards and found late
 	for seed := range uint64(400) {
 		seeds = append(seeds, seed)
 	}
@@ -696,8 +703,8 @@
 	}
 }
 
-// A caller is left waiting where nine calls stand, none had ended, and little is asked of the hung office or much of it goes on
-// (KNOWN-RED.txt).
+// A caller waited too long although only nine calls are established, none had ended, and the hung office has
+// little load or much of it continues (KNOWN-RED.txt).
 func TestNineCallsAtAHungOfficeWithLittleEvidence(t *testing.T) {
 	for _, scenario := range []officeScenario{
 		{name: "reports, a set-up each 4 s", setUpInterval: seconds(4)},
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -11,13 +11,13 @@
 	"pewterwheel/internal/wire"
 )
 
-// journal is the connection to the service that tells the changes of the list, where the source has one.
+// journal is the connection to the service that reports changes of the list, if the source has one.
 type journal struct {
 	conn      state.Conn
-	dialID    uint64 // the dial that is under way; 0: none
-	dialledAt int64  // when it began
-	lostAt    int64  // when the last connection ended, or did not come up
-	ready     bool   // it has come up since the start, or none is needed
+	dialID    uint64 // number of the current dial; 0: none
+	dialledAt int64  // when the current dial began
+	lostAt    int64  // when the last connection ended or failed to open
+	ready     bool   // was connected since the start, or is not needed
 }
 
 func (s *Session) dialJournal() {
@@ -30,7 +30,7 @@
 	s.journal.dialID = s.dial(address, nil)
 }
 
-// journalOpen asks for all that came after the last event we have.
+// journalConnected subscribes to all events after the last one received.
 func (s *Session) journalConnected(conn state.Conn) {
 	journal := &s.journal
 	journal.dialID, journal.conn, journal.ready = 0, conn, true
@@ -46,13 +46,13 @@
 	s.Counters[state.JournalLost]++
 	s.log.Warn("journal lost", "last", s.source.Last(), "error", err)
 	journal.conn, journal.dialID = nil, 0
-	if s.now-journal.dialledAt >= journalCheckInterval { // else watchJournal does
+	if s.now-journal.dialledAt >= journalCheckInterval { // otherwise checkJournal dials
 		s.dialJournal()
 	}
 }
 
-// reload takes a configuration that was read anew: the list's source moves on, and so does what stands before the
-// module, if that can. All else that the program holds goes on.
+// reload applies a reloaded configuration to the source of the list and, if it supports that, to the decider.
+// All other state is kept.
 func (s *Session) reload(arrival Arrival) {
 	journal, address, err := &s.journal, s.source.Address(), arrival.Err
 	if err == nil {
@@ -74,17 +74,17 @@
 	if s.source.Address() == address {
 		return
 	}
-	delete(s.dials, journal.dialID) // it leads to the old one
+	delete(s.dials, journal.dialID) // it leads to the old address
 	if journal.dialID = 0; journal.conn != nil {
 		delete(s.connOwners, journal.conn)
-		_ = journal.conn.Close() // its end is what is asked for
+		_ = journal.conn.Close() // the connection is being abandoned
 		journal.conn = nil
 	}
 	s.dialJournal()
 }
 
-// watchJournal connects again, and ends a connection that no longer brings even its empty frames. It also lets the
-// source tell what has come due by time alone.
+// checkJournal reconnects to the journal and ends a connection that no longer brings even its empty frames. It
+// also lets the source report changes that are due by time.
 func (s *Session) checkJournal() {
 	journal := &s.journal
 	s.source.Tick(s.now, s.callsInProgress, s.applyChange)
@@ -96,7 +96,7 @@
 	}
 }
 
-// busy is how many calls stand at an office or are out there.
+// callsInProgress counts the calls that are established, out or being released at an office.
 func (s *Session) callsInProgress(id decide.ServerID) int {
 	office := s.offices.Get(id)
 	if office == nil {
@@ -118,19 +118,19 @@
 	switch {
 	case errors.As(err, &skipped):
 		s.log.Warn("journal skipped events", "last", skipped.Last, "number", skipped.Number)
-		s.closeConn(s.journal.conn, nil) // changes only hold on top of all earlier ones: ask again
+		s.closeConn(s.journal.conn, nil) // changes depend on all earlier ones: subscribe again
 	case err != nil:
 		s.Counters[state.BadIn]++
-		s.closeConn(s.journal.conn, err) // a new connection resumes after the last event that could be read
+		s.closeConn(s.journal.conn, err) // a new connection resumes after the last valid event
 	}
 }
 
-// change takes one event of the journal: the list, what it ends, and the module's view of it.
+// applyChange applies one journal event to the list, ends what it removes and reports it to the module.
 func (s *Session) applyChange(change wire.Change) {
 	newOffices := slices.DeleteFunc(slices.Clone(change.Offices), func(office wire.Office) bool { return s.offices.Get(office.ID) != nil })
 	gone := s.offices.Apply(change)
 	for _, office := range newOffices {
-		if office.Started < s.startedAt { // calls of before our start may stand there
+		if office.Started < s.startedAt { // calls of a previous process may be established there
 			maps.Copy(s.offices.Get(office.ID).Ended, s.earlierReleases)
 		}
 	}
@@ -147,7 +147,8 @@
 	}
 	for _, office := range s.offices.All() {
 		if office.State != decide.Up {
-			// Set-ups that wait for a connect would reach it after the grace: they never left.
+			// Set-ups waiting for a connection would reach the office after the grace period; they have not
+			// been sent yet.
 			s.withdrawQueued(&office.Lane)
 			for _, lane := range slices.Clone(office.Lanes) {
 				s.withdrawQueued(lane)
@@ -158,7 +159,8 @@
 		}
 	}
 	for _, office := range change.Offices {
-		// A connection before the first set-up: releases of calls of before our start come on it.
+		// Connects before the first set-up, because the releases of a previous process's calls come on this
+		// connection.
 		listed := s.offices.Get(office.ID)
 		if listed.State != decide.Removed && len(s.offices.All()) <= s.maxEagerOffices {
 			s.connect(&listed.Lane)
--- a/internal/session/lane_choice.go
+++ b/internal/session/lane_choice.go
@@ -10,7 +10,8 @@
 	"pewterwheel/internal/wire"
 )
 
-// laneFor is the connection on which a call's next set-up goes to an office; the office's Room: there is no place for one.
+// laneFor returns the connection on which a call's next set-up goes to an office, or the office's waiting
+// queue (Room) if no lane is available.
 func (s *Session) laneFor(call *state.Call, office *state.Office) *state.Lane {
 	lanes, tracked := &s.lanes, s.lanes.tracked[call.ID]
 	if office.Serial == 0 {
@@ -43,7 +44,7 @@
 	return lane
 }
 
-// laneAs finds a lane for a call's set-up, or makes one if that is wanted; nil: there is none.
+// findLane finds a lane for a call's set-up, or creates one if create is set. It returns nil if there is none.
 func (s *Session) findLane(verdict pooling.Lane, call *state.Call, office *state.Office, create bool) *state.Lane {
 	switch verdict {
 	case pooling.Any:
@@ -67,7 +68,7 @@
 		}
 		return l
 	}
-	l := office.Own[call.From.Session] // and whatever else is said: this is the safest
+	l := office.Own[call.From.Session] // whatever other verdict there may be: a lane of its own is the safest
 	if l == nil && create {
 		if l = s.newLane(office); l != nil {
 			if l.Owner = call.From; office.Own == nil {
@@ -79,7 +80,7 @@
 	return l
 }
 
-// newLane makes a lane if there is room for one, or room can be made; its connection is opened by what waits for it.
+// newLane creates a lane if the limits allow it or an idle lane can be closed.
 func (s *Session) newLane(office *state.Office) *state.Lane {
 	lanes := &s.lanes
 	most := max(1, min(lanes.sockets/laneDivisor, lanes.sockets/2-laneReserve-len(s.offices.All())))
@@ -97,8 +98,9 @@
 	return lane
 }
 
-// clearLane makes room by closing the lane that has carried nothing for longest and is nobody's, of one office or of all.
-// A caller's own stays while it is connected: what the office keeps on it would be gone.
+// evictIdleLane closes the lane that has been idle longest and belongs to nobody, at one office or at all. A
+// caller's own lane stays while the caller is connected, because the state that the office keeps for the
+// connection would be lost.
 func (s *Session) evictIdleLane(office *state.Office, atOffice bool) bool {
 	var idle *state.Lane
 	consider := func(o *state.Office) {
@@ -123,8 +125,8 @@
 	return true
 }
 
-// awaitRoom lets an attempt wait for room for a lane, until its class's aim has passed; then its call is refused. Guards
-// against what would be quicker: another lane, which nobody has found to be safe.
+// waitForLane lets an attempt wait for a lane until its class's aim has passed; then its call is refused.
+// Using another lane would be faster, but no lane that is not known to be safe may be used.
 func (s *Session) waitForLane(attempt *state.Attempt) {
 	call := attempt.Call
 	s.lanes.waited++
@@ -138,7 +140,7 @@
 	}
 }
 
-// noRoom refuses a call whose attempt still waits for room.
+// refuseWaiting refuses a call whose attempt still waits for a lane.
 func (s *Session) refuseWaiting(id uint64, n int) {
 	call := s.calls[id]
 	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.N != n || call.Attempt.On.Number != waitingNumber {
@@ -148,7 +150,7 @@
 	s.finishCall(call, decide.Action{Call: decide.CallID(id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
 }
 
-// place gives those who wait the lanes that there are now; the offices have the first of them by turns.
+// assignLanes gives the available lanes to waiting attempts. The offices take turns at being first.
 func (s *Session) assignLanes() {
 	lanes := &s.lanes
 	lanes.laneAvailable = false
@@ -178,7 +180,7 @@
 	}
 }
 
-// laneFreed gives a lane back that a call had taken, if it still has it.
+// freeLane returns a lane to the pool if the call still holds it.
 func (s *Session) freeLane(lane *state.Lane, call uint64) {
 	if lane.Number == 0 {
 		return
@@ -190,7 +192,7 @@
 	s.lanes.laneAvailable = true
 }
 
-// another is a connection that no call has, other than this one, if there is one.
+// anotherLane returns a connection other than lane that no call holds, or lane if there is none.
 func anotherLane(lane *state.Lane) *state.Lane {
 	for _, other := range slices.Backward(lane.To.Free) {
 		if other != lane && other.Conn != nil {
--- a/internal/session/lane_ends.go
+++ b/internal/session/lane_ends.go
@@ -8,13 +8,13 @@
 	"pewterwheel/internal/state"
 )
 
-// told is a release that was sent to an office.
+// sentRelease is a release that was sent to an office.
 type sentRelease struct {
 	call   uint64
 	sentAt int64
 }
 
-// endHeard notes that an office has heard the release of a call.
+// releaseAcknowledged notes that an office has acknowledged the release of a call.
 func (s *Session) releaseAcknowledged(lane *state.Lane, call uint64) {
 	tracked := s.lanes.tracked[call]
 	if tracked == nil || tracked.releaseLane == nil || tracked.releaseLane.To != lane.To {
@@ -27,8 +27,8 @@
 	}
 }
 
-// watchEnds looks for releases that were not heard in time, and sends them again. One whose connection has ended tells
-// nothing: that may be what kept it.
+// checkReleases reports releases that were not acknowledged in time and sends them again. If the connection
+// has ended since, nothing is reported, because that may be the reason.
 func (s *Session) checkReleases() {
 	lanes := &s.lanes
 	for lanes.firstPending < len(lanes.sentReleases) && s.now-lanes.sentReleases[lanes.firstPending].sentAt >= releaseAckTimeout {
@@ -58,13 +58,13 @@
 	}
 }
 
-// laneToEnd is the lane on which a release of a call goes, or a give-up: that of its set-up, or another where the verdict
-// lets it; where that has ended, the office's main one.
+// laneForRelease returns the lane for a release or cancellation of a call: the lane of its set-up, or another
+// one if the verdict allows it. If that lane has ended, it is the office's main connection.
 func (s *Session) laneForRelease(lane *state.Lane, call uint64) *state.Lane {
 	lanes, tracked := &s.lanes, s.lanes.tracked[call]
 	if tracked != nil && !lanes.observeOnly {
-		// A give-up goes behind its set-up. Guards against one that overtakes it on another connection: the office would pass
-		// it over, and then work for nobody while the call is tried again elsewhere.
+		// A cancellation must follow its set-up on the same lane. If it overtook the set-up on another
+		// connection, the office would ignore it and then work on a call that has been retried elsewhere.
 		if tracked.established && lanes.laner.Lane(s.now, &tracked.call, pooling.End) == pooling.Any || !tracked.established && lanes.disabled.cancelInOrder {
 			lane = anotherLane(lane)
 		}
@@ -79,8 +79,8 @@
 	return lane
 }
 
-// laneToHear is the lane on which an office is told that its release of a call was taken: where it came, or where the call is
-// held.
+// laneForAck returns the lane on which an office's release of a call is acknowledged: the one on which it
+// arrived, or the one that holds the call.
 func (s *Session) laneForAck(lane *state.Lane, call uint64) *state.Lane {
 	established, tracked := s.established[call], s.lanes.tracked[call]
 	if established == nil || tracked == nil || s.lanes.observeOnly || established.On == lane || established.On.To != lane.To || established.On.Conn == nil ||
@@ -90,7 +90,8 @@
 	return established.On
 }
 
-// outAt is the attempt that is out at an office and that a message is of: mostly on the connection on which it came.
+// outstandingAttempt returns the attempt that a message of an office refers to. In most cases it is on the
+// connection on which the message arrived.
 func (s *Session) outstandingAttempt(lane *state.Lane, call uint64) *state.Attempt {
 	if attempt := lane.Out[call]; attempt != nil || len(lane.To.Lanes) == 0 {
 		return attempt
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// endHere releases on an office's main connection, which has just come up, what was not heard yet; but for what went on a
-// lane that is still there.
+// resendReleases repeats unacknowledged releases on an office's main connection, which has just been opened,
+// except those sent on a lane that is still open.
 func (s *Session) resendReleases(lane *state.Lane) {
 	office := lane.To
 	for call, ending := range inKeyOrder(office.Ended) {
@@ -117,7 +118,8 @@
 	}
 }
 
-// laneLost notes that a connection has ended. What was released on a lane and not heard is released again on the main one.
+// laneLost notes that a connection has ended. Unacknowledged releases of a lane are repeated on the main
+// connection.
 func (s *Session) laneLost(lane *state.Lane) {
 	office := lane.To
 	if lane.Stands > 0 {
@@ -143,7 +145,7 @@
 	}
 }
 
-// laneOver forgets a lane whose connection has ended, or has not come up.
+// removeLane removes a lane whose connection has ended or failed to open.
 func (s *Session) removeLane(lane *state.Lane) {
 	if lane.Number == 0 || lane.Number == waitingNumber {
 		return
--- a/internal/session/lanes.go
+++ b/internal/session/lanes.go
@@ -10,75 +10,78 @@
 	"pewterwheel/internal/wire"
 )
 
-// Beside its main connection an office may have further ones, lanes: a caller's own, or those of the pool, which a call
-// has to itself. Which of them a message takes is pooling's to say. All else is as on the main connection, by the same code.
+// An office may have further connections beside its main one, called lanes: lanes owned by one caller, and
+// pooled lanes, each of which one call at a time holds exclusively. Package pooling decides which of them a
+// message takes. Otherwise lanes use the same code as the main connection.
 const (
-	// lanePart of the descriptors may be lanes, over all offices; callers have half. What the offices' main connections
-	// need is left to them, and laneSpare for the journal, the second address and the listeners. One office may have half of
-	// the lanes. Guards against an office that answers slowly having all of them.
+	// One part in laneDivisor of the descriptors may be used for lanes of all offices; callers have half of
+	// the descriptors. The rest is for the offices' main connections, and laneReserve of it for the journal,
+	// the control address and the listeners. One office may have one part in officeLaneDivisor of the lanes,
+	// so that one that answers slowly does not take all of them.
 	laneDivisor, laneReserve, officeLaneDivisor = 4, 24, 2
-	// laneIdle is how long a lane of the pool may carry nothing, laneLinger one whose caller has left.
+	// laneIdleTimeout is how long a pooled lane may be idle, ownedLaneLinger how long a lane is kept after its
+	// owner has disconnected.
 	laneIdleTimeout, ownedLaneLinger = 10_000_000, 1_000_000
-	// maxWaiting set-ups wait at an office for room for a lane; more are refused at once.
+	// maxWaiting set-ups may wait for a lane at one office; more are refused at once.
 	maxWaiting = 256
-	// hearWithin is how long an office may take to hear a release before that is told, and the release sent again, maxAgain
-	// times at the most.
+	// releaseAckTimeout is how long an office may take to acknowledge a release before that is reported and
+	// the release repeated, at most maxReleaseRepeats times.
 	releaseAckTimeout, maxReleaseRepeats = 1_000_000, 2
-	// room is the number of what is no lane: where attempts wait for one.
+	// waitingNumber is the number of the pseudo-lane in which attempts wait for a lane.
 	waitingNumber = math.MaxUint32
 )
 
-// lanes is what is kept where calls are given lanes.
+// lanes is the state kept if calls are assigned to lanes.
 type lanes struct {
-	laner       pooling.Laner // nil: all go on the main connections, and nothing here is used
-	observeOnly bool          // it is told, and not asked
+	laner       pooling.Laner // nil: all calls use the main connections, and nothing here is used
+	observeOnly bool          // laner is informed but not asked
 	application string
 	sockets     int
 
-	lastSession   uint64 // numbers of callers' connections given out
-	lastSerial    uint64 // and of offices
-	lastNumber    uint32 // and of lanes
-	count         int    // lanes that there are
+	lastSession   uint64 // last number given to a caller's connection
+	lastSerial    uint64 // last number given to an office
+	lastNumber    uint32 // last number given to a lane
+	count         int    // existing lanes
 	tracked       map[uint64]*trackedCall
 	spareTracked  []*trackedCall
-	untracked     pooling.Call  // for what is seen of a call that is not followed
+	untracked     pooling.Call  // for observations of calls that are not tracked
 	maybeOver     []uint64      // calls that may have ended in this round
-	sentReleases  []sentRelease // releases that wait to be heard, in the order in which they were sent
-	firstPending  int           // those before it are done with
-	laneAvailable bool          // a lane may be had by one who waits
-	turn          int           // the office whose turn it is to have it first
+	sentReleases  []sentRelease // releases without acknowledgment, in the order of sending
+	firstPending  int           // index of the first one that is still pending
+	laneAvailable bool          // a lane may have become available to a waiting attempt
+	turn          int           // rotates the office that is served first
 	scratch       []*state.Lane
 	disabled      disabledGuards
-	opened        uint64 // lanes
-	waited        uint64 // set-ups that waited for room
-	refused       uint64 // set-ups that were refused for want of it
-	evicted       uint64 // lanes that were closed to make room
+	opened        uint64 // lanes opened
+	waited        uint64 // set-ups that waited for a lane
+	refused       uint64 // set-ups refused because no lane was available
+	evicted       uint64 // lanes closed to make room
 
 	mostTracked int
 }
 
-// without takes guards away, for tests that show what each is for.
+// disabledGuards switches single guards off, for tests that show what each of them prevents.
 type disabledGuards struct {
-	exclusiveLane  bool // the length of a call, for which it has its lane to itself
-	waitForLane    bool // waiting for room, in place of the main connection
-	repeatLost     bool // releasing again what went on a lane that was lost
-	cancelInOrder  bool // a give-up behind its set-up
-	laneLimit      bool // the number of lanes
-	returnLane     bool // giving a lane back
-	keepOnOpenLane bool // calls on a lane that is there, while the main connection is not
-	waitLimit      bool // the end of waiting
-	keepOwned      bool // a caller's own lane, while it is connected
+	exclusiveLane  bool // exclusive use of a lane for the length of a call
+	waitForLane    bool // waiting for a lane instead of using the main connection
+	repeatLost     bool // repeating the releases of a lost lane
+	cancelInOrder  bool // cancelling on the lane of the set-up
+	laneLimit      bool // the limit on the number of lanes
+	returnLane     bool // returning a lane to the pool
+	keepOnOpenLane bool // keeping calls on an open lane while the main connection is down
+	waitLimit      bool // the time limit of waiting
+	keepOwned      bool // keeping a caller's own lane while it is connected
 }
 
-// followed is what is kept of a call for pooling, until nothing more is to be told of it.
+// trackedCall is what is kept of a call for pooling until its last observation is reported.
 type trackedCall struct {
 	call        pooling.Call
-	verdict     pooling.Lane // of its newest attempt
+	verdict     pooling.Lane // of its latest attempt
 	established bool
 	over        bool
-	releaseLane *state.Lane // where a release of it went that was not heard yet
-	releasedAt  int64       // when
-	repeats     int         // times that it was sent again
+	releaseLane *state.Lane // lane of its unacknowledged release
+	releasedAt  int64       // when that release was sent
+	repeats     int         // how often the release was repeated
 }
 
 func (n *lanes) init(cfg Config) {
@@ -88,7 +91,7 @@
 	}
 }
 
-// callerOpened tells of a caller's connection.
+// registerCaller reports a caller's connection to the laner.
 func (s *Session) registerCaller(caller *state.Caller) {
 	lanes := &s.lanes
 	lanes.lastSession++
@@ -103,7 +106,7 @@
 	caller.Client = uint32(lanes.laner.Open(s.now, pooling.SessionID(caller.Session), lanes.application, source))
 }
 
-// follow begins to follow a call that was taken.
+// trackCall starts tracking an accepted call.
 func (s *Session) trackCall(call *state.Call, class int) {
 	lanes := &s.lanes
 	var tracked *trackedCall
@@ -119,7 +122,7 @@
 	s.observe(pooling.CameSetUp, call.ID, 0, call.SetUp.Description)
 }
 
-// unfollow lets go of a call of which all was told.
+// untrackCall stops tracking a call whose observations are all reported.
 func (s *Session) untrackCall(id uint64, tracked *trackedCall) {
 	const most = 512
 	delete(s.lanes.tracked, id)
@@ -128,21 +131,21 @@
 	}
 }
 
-// saw tells what was seen of a call, if it is followed.
+// observe reports an observation of a call if it is tracked.
 func (s *Session) observe(happening pooling.Happening, call uint64, cause byte, text []byte) {
 	if tracked := s.lanes.tracked[call]; tracked != nil {
 		s.lanes.laner.Observe(s.now, pooling.Observation{What: happening, Call: &tracked.call, Cause: cause, Text: text})
 	}
 }
 
-// cameEnd tells who brought a release or a give-up of a call.
+// observeCallerRelease reports the connection that brought a release or cancellation of a call.
 func (s *Session) observeCallerRelease(caller *state.Caller, call uint64) {
 	if tracked := s.lanes.tracked[call]; tracked != nil {
 		s.lanes.laner.Observe(s.now, pooling.Observation{What: pooling.CameEnd, Call: &tracked.call, On: pooling.SessionID(caller.Session)})
 	}
 }
 
-// cameAgain tells who brought a set-up under an id that was used.
+// observeRepeatedSetUp reports the connection that brought a set-up with an id already in use.
 func (s *Session) observeRepeatedSetUp(caller *state.Caller, call uint64) {
 	lanes := &s.lanes
 	lanes.untracked = pooling.Call{ID: call, Client: pooling.ClientID(caller.Client), Session: pooling.SessionID(caller.Session)}
@@ -153,7 +156,7 @@
 	lanes.laner.Observe(s.now, pooling.Observation{What: pooling.CameAgain, Call: c, On: pooling.SessionID(caller.Session)})
 }
 
-// stood notes that a call stands on a lane.
+// markEstablished notes that a call is established on a lane.
 func (s *Session) markEstablished(lane *state.Lane, call uint64, description []byte) {
 	lane.Stands++
 	if tracked := s.lanes.tracked[call]; tracked != nil {
@@ -162,14 +165,15 @@
 	}
 }
 
-// stoodOn notes that it stands no more.
+// markEnded notes that an established call has ended.
 func (s *Session) markEnded(established *state.Standing) {
 	established.On.Stands--
 	s.freeLane(established.On, established.ID)
 	s.lanes.maybeOver = append(s.lanes.maybeOver, established.ID)
 }
 
-// laneRound ends a round: who waits has what lanes there are, and what is over is told.
+// finishLaneRound ends a round: it assigns available lanes to waiting attempts and reports the calls that are
+// over.
 func (s *Session) finishLaneRound() {
 	lanes := &s.lanes
 	if lanes.laneAvailable {
@@ -190,13 +194,13 @@
 	lanes.laner.Round(s.now)
 }
 
-// holds tells whether a call stands on a connection that is there.
+// onOpenConn reports whether a call is established on a connection that is open.
 func (s *Session) onOpenConn(established *state.Standing) bool {
 	return established.On.Conn != nil && !s.lanes.disabled.keepOnOpenLane
 }
 
-// watchLanes ends lanes that bring nothing whole, or nothing any more, and those that nobody needs; and looks for releases
-// that were not heard.
+// checkLanes ends lanes that bring no complete message or nothing any more, and those that are no longer
+// needed. It also checks for unacknowledged releases.
 func (s *Session) checkLanes(paused bool) {
 	lanes := &s.lanes
 	for _, office := range s.offices.All() {
@@ -221,7 +225,8 @@
 	}
 }
 
-// sweepLanes closes callers' own lanes that have carried nothing for a while, where pooling no longer needs them.
+// closeIdleOwnedLanes closes callers' own lanes that have been idle for a while and that pooling no longer
+// needs.
 func (s *Session) closeIdleOwnedLanes() {
 	lanes := &s.lanes
 	for _, office := range s.offices.All() {
@@ -237,7 +242,7 @@
 	clear(lanes.scratch)
 }
 
-// laneLog is the log; of a lane it names that beside.
+// laneLogger returns the logger for a connection; for a lane it adds the lane's number.
 func (s *Session) laneLogger(lane *state.Lane) *slog.Logger {
 	if lane.Number == 0 {
 		return s.log
@@ -245,7 +250,7 @@
 	return s.log.With("lane", lane.Number)
 }
 
-// laneFigures are told to staff where calls are given lanes.
+// appendLaneMetrics appends the counters and gauges of lanes.
 func (s *Session) appendLaneMetrics(b []byte) []byte {
 	lanes := &s.lanes
 	b = wire.Gauge(b, "lanes", lanes.count)
--- a/internal/session/lanes_bench_test.go
+++ b/internal/session/lanes_bench_test.go
@@ -7,7 +7,8 @@
 	"pewterwheel/internal/wire"
 )
 
-// What a call costs the session's own code, from its set-up to the hearing of its end, without sockets.
+// BenchmarkCallOnLanes measures the session's own cost of a call without sockets, from its set-up to the
+// acknowledgment of its release.
 func BenchmarkCallOnLanes(b *testing.B) {
 	for _, how := range []string{"off", "watch", "any", "own", "taken"} {
 		b.Run(how, func(b *testing.B) {
--- a/internal/session/lanes_sockets_test.go
+++ b/internal/session/lanes_sockets_test.go
@@ -18,12 +18,12 @@
 	"pewterwheel/internal/wire"
 )
 
-// fixed gives all calls one kind of lane, and counts what it is told.
+// fixed is a Laner that assigns all calls to one kind of lane and counts observations.
 type fixed struct {
 	mu   sync.Mutex
 	mode pooling.Mode
 	next pooling.ClientID
-	from map[string]int // sources
+	from map[string]int // callers by application and source address
 	saw  map[pooling.Happening]int
 }
 
@@ -43,7 +43,7 @@
 	case k != pooling.SetUp:
 		return pooling.Held
 	}
-	c.Lane = pooling.Lane(l.mode) // they have the same order
+	c.Lane = pooling.Lane(l.mode) // both types have the same order
 	return c.Lane
 }
 func (l *fixed) Observe(_ int64, o pooling.Observation) {
@@ -53,7 +53,7 @@
 }
 func (l *fixed) Round(int64) {}
 
-// serving is a log's handler that tells when the program serves.
+// serving is a log handler that signals when the program logs that it is serving.
 type serving chan struct{}
 
 func (c serving) Enabled(context.Context, slog.Level) bool { return true }
@@ -68,7 +68,7 @@
 
 var starting sync.Mutex
 
-// serve runs the program until the test ends, or stop is called.
+// serve runs the program until the test ends or stop is called.
 func serve(t *testing.T, l pooling.Laner, sockets int, offices ...string) (address string, stop func()) {
 	t.Helper()
 	address = fmt.Sprintf("127.0.0.1:%d", standin.FreePort())
@@ -85,7 +85,7 @@
 	set.Rules.Ask = 1 << 60
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
 	up := make(serving)
-	starting.Lock() // the engine's package has a variable that each start sets
+	starting.Lock() // the network engine's package has a variable that each start sets
 	go func() {
 		ended <- service.Run(func() (service.Config, error) { return cfg, nil }, signals, slog.New(up))
 	}()
@@ -99,9 +99,9 @@
 	return address, stop
 }
 
-// On real sockets, at an office that keeps state on its connections: clients whose habits bear a mode come to no harm in it,
-// and some that don't do come to harm, so the office would have told. No rule is broken either way, and every call has its
-// one final answer.
+// With real sockets and an office that keeps state per connection: clients whose behaviour permits a mode are
+// not harmed by it, and some of the others are, so the office does detect violations. In both cases no rule is
+// broken, and every call has exactly one final answer.
 func TestLanesKeepWhatOfficesKeepOnConnections(t *testing.T) {
 	lanes := map[pooling.Mode]string{pooling.BySession: "by session", pooling.ByCall: "by call", pooling.ByMessage: "by message"}
 	harmed := map[string]bool{"by call, repeats token": true, "by call, relies on order": true, "by message, relies on order": true}
@@ -154,7 +154,8 @@
 	}
 }
 
-// On real sockets, with room for eight lanes, offices that end connections under set-ups, and SIGTERM while calls stand: no rule is broken, and every call has its one final answer.
+// With real sockets, capacity for eight lanes, offices that reset connections with open set-ups, and SIGTERM
+// while calls are established: no rule is broken, and every call has exactly one final answer.
 func TestLanesUnderFaultsOnSockets(t *testing.T) {
 	for _, mode := range []pooling.Mode{pooling.BySession, pooling.ByCall} {
 		t.Run(fmt.Sprint(mode), func(t *testing.T) {
@@ -195,7 +196,7 @@
 			<-faults
 			all.Wait()
 			is(t, "all answered", clients[0].Play("sale-auth", 3*time.Second, 5), "")
-			stop() // while calls stand on lanes
+			stop() // while calls are established on lanes
 			for _, c := range clients {
 				c.Close()
 			}
@@ -219,7 +220,7 @@
 func is(t *testing.T, what string, so bool, shown any) {
 	t.Helper()
 	if !so {
-		t.Errorf("not so: %s: %+v", what, shown)
+		t.Errorf("failed: %s: %+v", what, shown)
 	}
 }
 
--- a/internal/session/lanes_test.go
+++ b/internal/session/lanes_test.go
@@ -7,7 +7,7 @@
 	"pewterwheel/internal/pooling"
 )
 
-// fakeLaner gives each caller's calls the lane that a test says, and keeps what it is told.
+// fakeLaner assigns each caller's calls to the lane that a test chooses, and records its observations.
 type fakeLaner struct {
 	p          *player
 	nextCaller string            // the caller that connects next
@@ -44,7 +44,7 @@
 	}
 	call.Lane = pooling.Own
 	switch {
-	case call.Memo != 0: // refused on a shared lane
+	case call.Memo != 0: // it was refused on a shared lane
 	case mode == "taken":
 		call.Lane = pooling.Taken
 	case mode == "any":
@@ -86,8 +86,8 @@
 	return p
 }
 
-// Recorded exchanges in which calls are given lanes: o1 is an office's main connection, o1.1 a lane; verdict says how a
-// caller's calls go from then on, and see is what pooling was told.
+// Recorded exchanges of calls on lanes: o1 is an office's main connection, o1.1 a lane; verdict sets the mode
+// of a caller's further calls, and see is an observation reported to pooling.
 func TestLaneExchanges(t *testing.T) {
 	playFiles(t, "testdata/lanes/*.txt", func(t *testing.T) *player { return newLanePlayer(t, 68) })
 }
--- a/internal/session/lanes_world_test.go
+++ b/internal/session/lanes_world_test.go
@@ -14,17 +14,17 @@
 	"pewterwheel/internal/wire"
 )
 
-// laneWorld is callers and two offices round a session whose calls are given lanes, all by a seed. Offices read late, lose
-// what they have not read when a connection ends, end connections and refuse new ones; verdicts change. It holds every message
-// against what must hold on lanes.
+// laneSim simulates callers and two offices of a session whose calls use lanes, by a seed. Offices read
+// late, lose unread messages when a connection ends, end connections and refuse new ones; verdicts change.
+// Every message is checked against the rules for lanes.
 type laneSim struct {
 	*player
 	rng           *rand.Rand
 	officeConns   []*fakeConn                 // to offices
 	unread        map[*fakeConn][]sentMessage // by an office
-	ownerSession  map[*fakeConn]int           // of a lane that is a caller's own
-	pooled        map[*fakeConn]bool          // lanes that a call has had to itself
-	holder        map[*fakeConn]uint64        // the call that has one now
+	ownerSession  map[*fakeConn]int           // of a lane owned by a caller
+	pooled        map[*fakeConn]bool          // lanes that a call has held exclusively
+	holder        map[*fakeConn]uint64        // the call that holds the lane now
 	callers       []*simCaller
 	calls         map[uint64]*simCall
 	lastID        uint64
@@ -47,28 +47,28 @@
 type simCall struct {
 	caller           *simCaller
 	pick             pooling.Lane
-	sentOn           *fakeConn // where a set-up is out, as the program sees it
+	sentOn           *fakeConn // where a set-up is out, as the process sees it
 	guardUntil       int64
 	offices          [2]officeSide
-	knowsEstablished bool // its caller knows that it stands
+	knowsEstablished bool // its caller knows that it is established
 	answered         bool
-	cancelled        bool // its caller wants no answer any more
+	cancelled        bool // its caller expects no answer any more
 }
 
-// worldSide is what an office knows of a call.
+// officeSide is an office's state of a call.
 type officeSide struct {
-	openOn        *fakeConn // where the set-up came
+	openOn        *fakeConn // where the set-up arrived
 	establishedOn *fakeConn // where it was answered
 }
 
-// place is the office that a connection leads to.
+// officeIndex returns the index of the office that a connection leads to.
 func (c *fakeConn) officeIndex() int { return int(c.name[1] - '1') }
 
 func (w *laneSim) fault(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%d ms: ", w.now/1000)+fmt.Sprintf(format, args...))
 }
 
-// messages are those in what was written. Each write holds whole ones.
+// messages returns the messages in one write, each of which holds complete messages only.
 func messages(b []byte) (ms []wire.Message) {
 	for len(b) > 0 {
 		message, n, err := wire.Next(b)
@@ -109,7 +109,7 @@
 	w.seen["set-up "+laneNames[call.pick]]++
 	switch owner, owned := w.ownerSession[conn]; {
 	case (lane == "") != (call.pick == pooling.Any):
-		w.fault("set-up %x is to go on %s and went on %s", id, laneNames[call.pick], conn.name)
+		w.fault("set-up %x is to go on %s but went on %s", id, laneNames[call.pick], conn.name)
 	case call.pick == pooling.Own:
 		if owned && owner != call.caller.session || w.pooled[conn] {
 			w.fault("set-up %x of session %d on %s, which is not its own", id, call.caller.session, conn.name)
@@ -117,7 +117,7 @@
 		w.ownerSession[conn] = call.caller.session
 	case call.pick == pooling.Taken:
 		if w.holder[conn] != 0 || owned {
-			w.fault("set-up %x on %s, which %x has", id, conn.name, w.holder[conn])
+			w.fault("set-up %x on %s, which %x holds", id, conn.name, w.holder[conn])
 		}
 		w.holder[conn], w.pooled[conn] = id, true
 	}
@@ -136,7 +136,7 @@
 	w.free(id)
 	if call.sentOn != nil && call.sentOn.officeIndex() == conn.officeIndex() {
 		if call.sentOn != conn && !call.sentOn.closed {
-			w.fault("the give-up of %x on %s overtakes its set-up on %s", id, conn.name, call.sentOn.name)
+			w.fault("the cancellation of %x on %s overtakes its set-up on %s", id, conn.name, call.sentOn.name)
 		}
 		call.sentOn, call.guardUntil = nil, w.now+200_000
 		w.seen["give-up"]++
@@ -145,7 +145,7 @@
 	}
 }
 
-// free notes that a call has its lane no more.
+// free notes that a call no longer holds its lane.
 func (w *laneSim) free(id uint64) {
 	for conn, h := range w.holder {
 		if h == id {
@@ -160,16 +160,17 @@
 	case call == nil || message.Type != wire.TypeAnswer && message.Type != wire.TypeRelease:
 	case message.Type == wire.TypeAnswer || !call.answered:
 		if call.answered || call.caller.conn != conn {
-			w.fault("a second answer for %x, or another's", message.Call)
+			w.fault("a second answer for %x, or one for another caller", message.Call)
 		}
-		call.answered, call.knowsEstablished = true, message.Type == wire.TypeAnswer && !call.cancelled // else its give-up crosses this
+		// A cancellation of the caller crosses the answer.
+		call.answered, call.knowsEstablished = true, message.Type == wire.TypeAnswer && !call.cancelled
 		if message.Cause() == wire.CauseCongestion {
 			w.seen["refused"]++
 		}
-	default: // the end of a call that stood
+	default: // the release of an established call
 		for _, side := range call.offices {
 			if message.Cause() == wire.CauseCut && call.knowsEstablished && side.establishedOn != nil && !side.establishedOn.closed {
-				w.fault("%x is cut, and its connection %s is there", message.Call, side.establishedOn.name)
+				w.fault("%x is cut, though its connection %s is open", message.Call, side.establishedOn.name)
 			}
 		}
 		call.knowsEstablished = false
@@ -177,21 +178,21 @@
 	}
 }
 
-// closed is the end of a connection that the program closed: what was written to it is read.
+// handleClose handles a connection closed by the process: what was written to it is read.
 func (w *laneSim) handleClose(conn *fakeConn) {
 	if conn.name[0] != 'o' {
 		return
 	}
 	for _, caller := range w.callers {
 		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed && w.laner.modes[w.laner.callers[s-1]] != "taken" {
-			w.fault("%s is closed, and its caller is connected", conn.name)
+			w.fault("%s is closed, though its caller is connected", conn.name)
 		}
 	}
 	w.readMessages(conn, true)
 	w.loseConn(conn)
 }
 
-// lost is the end of a connection to an office.
+// loseConn handles the end of a connection to an office.
 func (w *laneSim) loseConn(conn *fakeConn) {
 	conn.closed = true
 	w.officeConns = slices.DeleteFunc(w.officeConns, func(l *fakeConn) bool { return l == conn })
@@ -207,7 +208,7 @@
 	}
 }
 
-// say brings a message to the program, if its connection is there.
+// send delivers a message to the process if its connection is open.
 func (w *laneSim) send(conn *fakeConn, message wire.Message) {
 	b, err := message.Append(nil)
 	if err == nil && !conn.closed {
@@ -215,7 +216,7 @@
 	}
 }
 
-// read lets an office read what came on a connection; quiet: it does not reply.
+// readMessages lets an office read what arrived on a connection; quiet: it sends no replies.
 func (w *laneSim) readMessages(conn *fakeConn, quiet bool) {
 	unread := w.unread[conn]
 	delete(w.unread, conn)
@@ -242,7 +243,7 @@
 	}
 }
 
-// tick lets a little time pass in which things happen; calm: nothing new does.
+// tick advances the clock a little with random events; calm: nothing new begins.
 func (w *laneSim) tick(calm bool) {
 	w.until(w.now + 3000 + w.rng.Int64N(20_000))
 	chance := func(one int) bool { return w.rng.IntN(one) == 0 }
@@ -277,13 +278,13 @@
 			call := office.Room.Queue[i].Call
 			w.seen["waits"]++
 			if waits := w.now - (call.Deadline - call.SetUp.Wait); waits > w.s.settings.Classes[w.s.classIndex[call.SetUp.Class]].Aim+100_000 {
-				w.fault("%x has waited %d ms for room", call.ID, waits/1000)
+				w.fault("%x has waited %d ms for a lane", call.ID, waits/1000)
 			}
 		}
 	}
 }
 
-// work lets an office go on with a call.
+// advanceCall advances a call at an office.
 func (w *laneSim) advanceCall(id uint64, call *simCall, side *officeSide, calm bool, chance func(int) bool) {
 	switch {
 	case side.openOn != nil && (calm || chance(2)):
@@ -316,7 +317,7 @@
 	}
 }
 
-// happen is what begins and what goes wrong.
+// injectEvents starts new calls and causes faults.
 func (w *laneSim) injectEvents(chance func(int) bool) {
 	for range w.rng.IntN(3) {
 		by := w.callers[w.rng.IntN(len(w.callers))]
@@ -363,7 +364,7 @@
 }
 
 func (w *laneSim) disconnectCaller(caller *simCaller) {
-	w.step() // it leaves once what it has sent is taken in
+	w.step() // it disconnects once what it has sent is handled
 	caller.conn.closed = true
 	for _, call := range w.calls {
 		if call.caller == caller && !call.answered {
@@ -373,14 +374,15 @@
 	w.step(Arrival{Kind: Closed, At: w.now, Conn: caller.conn, Err: io.EOF})
 }
 
-// playLanes plays a day of so many ticks and then lets all come to its end; it returns what did not hold.
+// runLaneSim runs the simulation for a number of ticks, then lets everything finish. It returns the violations
+// found.
 func runLaneSim(t *testing.T, seed uint64, ticks int, disabled disabledGuards, events map[string]int) []string {
 	sim := &laneSim{player: newLanePlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]sentMessage{},
 		ownerSession: map[*fakeConn]int{}, pooled: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*simCall{},
 		refused: map[string]int64{}, seen: events}
 	sim.laner.silent, sim.s.lanes.disabled = true, disabled
 	sim.onWrite, sim.onClose, sim.onConnect = sim.handleWrite, sim.handleClose, func(conn *fakeConn) { sim.officeConns = append(sim.officeConns, conn) }
-	for _, arrival := range sim.pendingArrivals { // those of the start
+	for _, arrival := range sim.pendingArrivals { // the connections opened at the start
 		if conn, ok := arrival.Conn.(*fakeConn); ok && conn.name[0] == 'o' {
 			sim.officeConns = append(sim.officeConns, conn)
 		}
@@ -395,7 +397,7 @@
 		}
 		sim.lines = nil
 	}
-	sim.officesPaused = true // what is released now is lost with the lanes
+	sim.officesPaused = true // releases sent now are lost with the lanes
 	for range 5 {
 		sim.tick(false)
 	}
@@ -416,7 +418,7 @@
 		}
 		for _, side := range call.offices {
 			if side.establishedOn != nil {
-				sim.fault("%x still stands at its office, on %s", id, side.establishedOn.name)
+				sim.fault("%x is still established at its office, on %s", id, side.establishedOn.name)
 			}
 		}
 	}
@@ -460,7 +462,7 @@
 	}
 }
 
-// Each guard is needed: without it the same world finds what it is for.
+// Each guard is needed: without it the same simulation finds the violation that it prevents.
 func TestEachGuardOfLanesIsNeeded(t *testing.T) {
 	for _, c := range []struct {
 		without disabledGuards
@@ -468,13 +470,13 @@
 	}{
 		{disabledGuards{exclusiveLane: true}, "which"},
 		{disabledGuards{waitForLane: true}, "is to go on"},
-		{disabledGuards{repeatLost: true}, "still stands at its office"},
+		{disabledGuards{repeatLost: true}, "is still established at its office"},
 		{disabledGuards{cancelInOrder: true}, "overtakes"},
 		{disabledGuards{laneLimit: true}, "lanes"},
 		{disabledGuards{returnLane: true}, "are left"},
-		{disabledGuards{keepOnOpenLane: true}, "is cut, and its connection"},
-		{disabledGuards{waitLimit: true}, "for room"},
-		{disabledGuards{keepOwned: true}, "its caller is connected"},
+		{disabledGuards{keepOnOpenLane: true}, "is cut, though its connection"},
+		{disabledGuards{waitLimit: true}, "for a lane"},
+		{disabledGuards{keepOwned: true}, "though its caller is connected"},
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 40 && !strings.Contains(caught, c.finds); seed++ {
--- a/internal/session/leave.go
+++ b/internal/session/leave.go
@@ -7,25 +7,30 @@
 	"pewterwheel/internal/state"
 )
 
-// Callers are sent away while a drain lasts, and after SIGTERM. New connections come for a while yet; then each
-// connection ends as soon as nothing is open on it, and where something always is, new set-ups are refused until
-// nothing is. In a drain it stays while a call that was set up on it stands, for its end is to be told; after SIGTERM
-// another process tells it. From the start of a drain on, the times are:
+// Callers are disconnected during a drain and after SIGTERM. New connections still arrive for a while; then
+// each connection is closed as soon as no set-up is open on it. Where one always is, new set-ups are refused
+// until none is. During a drain a connection stays while a call that was set up on it is established, because
+// its release has to be delivered; after SIGTERM another process delivers it. The times below count from the
+// start of a drain:
 const (
-	// awayAfter: no connection ends before this. The front asks every 0.1 s and sends callers for 0.2 s more.
+	// drainCloseAfter is when the first connections are closed. The load balancer checks every 0.1 s and sends
+	// callers for another 0.2 s.
 	drainCloseAfter = 450_000
-	// awayNew is how long a new connection with nothing asked for is left alone: its first set-up is on its way.
+	// drainNewGrace is how long a new connection without a request is kept, because its first set-up is in
+	// transit.
 	drainNewGrace = 250_000
-	// awayRefuse: set-ups on what is still connected are refused. Trying again elsewhere does no harm.
+	// drainRefuseAfter is when new set-ups are refused. A retry at another controller does no harm.
 	drainRefuseAfter = 1_300_000
-	// awayEnd: a connection on which set-ups keep coming ends with all that is open on it. Guards against one that
-	// is never idle: at 4 s none may have brought a set-up within 2 s.
+	// drainEndAfter is when connections on which set-ups keep arriving are closed with all open set-ups. 4 s
+	// after the start of a drain no connection may have brought a set-up within the last 2 s, and some
+	// connections are never idle.
 	drainEndAfter = 1_800_000
 )
 
 var errDrained = errors.New("sent away")
 
-// away tells for how long callers have been sent away; negative: they are not, or not yet.
+// drainElapsed returns for how long callers have been disconnected; it is negative if they are not, or not
+// yet.
 func (s *Session) drainElapsed() int64 {
 	switch {
 	case s.stoppedAt != 0:
@@ -36,11 +41,12 @@
 	return -1
 }
 
-// refusing tells whether new set-ups are refused, for their connection is to end.
+// refusingSetUps reports whether new set-ups are refused because their connection is about to be closed.
 func (s *Session) refusingSetUps() bool { return s.drainElapsed() >= drainRefuseAfter-drainCloseAfter }
 
-// sendAway ends callers' connections with nothing open, while callers are sent away. Guards against ending one on which a
-// set-up has come that was not read yet, as after a stand-still, or an answer is not written whole: both would be lost.
+// closeDrainedCallers closes callers' connections with no open set-up during a drain or shutdown. A connection
+// with an unread set-up, as after a process pause, or with a partly written answer stays open, since both
+// would be lost.
 func (s *Session) closeDrainedCallers() {
 	elapsed := s.drainElapsed()
 	if elapsed < 0 {
@@ -56,7 +62,7 @@
 	}
 }
 
-// turnAway ends a connection after the final answers of what is open on it.
+// closeDrained closes a connection after the final answers to its open set-ups.
 func (s *Session) closeDrained(caller *state.Caller) {
 	for _, call := range inKeyOrder(caller.Open) {
 		s.failCall(call)
@@ -64,8 +70,9 @@
 	s.closeConn(caller.Conn, errDrained)
 }
 
-// owes tells whether a connection to an office that is to be told of ends is coming up. Guards against ending just then: a
-// call that its caller has released would stand on there for nobody. Where the connect is refused the office is no more.
+// releasesPending reports whether a connection that is to carry releases to an office is being opened. Exiting
+// now would leave calls established there that their callers have released. If the connect is refused, the
+// office no longer exists.
 func (s *Session) releasesPending() bool {
 	return s.now < s.lastAnswerTime() && slices.ContainsFunc(s.offices.All(), func(office *state.Office) bool {
 		return office.Dialling != 0 && len(office.Ended) > 0 && !office.Unreached
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// connectBeside opens a connection that is to take the place of the present one once it has come up.
+// connectReplacement opens a connection that replaces the present one once it is open.
 func (s *Session) connectReplacement(office *state.Office) {
 	if office.Dialling == 0 && s.now >= office.NotUntil {
 		office.Dialling = s.dial(office.Address.String(), &office.Lane)
@@ -31,14 +31,14 @@
 func (s *Session) officeConnected(lane *state.Lane, conn state.Conn) {
 	office := lane.To
 	if lane.Conn != nil {
-		if len(lane.Out) > 0 { // what is out there would be reset
+		if len(lane.Out) > 0 { // closing the present connection would reset the attempts that are out on it
 			lane.Dialling = 0
 			_ = conn.Close() // nothing was written to it
 			return
 		}
 		s.closeConn(lane.Conn, errOfficeSilent)
 	}
-	if lane.Dialling, lane.In = 0, nil; lane.Number == 0 { // the backoff goes on until a connection has lasted
+	if lane.Dialling, lane.In = 0, nil; lane.Number == 0 { // the backoff continues until a connection has lasted
 		office.Unreached = false
 		office.Liveness.Connected()
 	}
@@ -76,12 +76,12 @@
 	s.scheduleRedial(office, maxRedialDelay)
 }
 
-// refusedByPeer tells whether a connect was refused by the office's system, and did not fail in this process.
+// refusedByPeer reports whether a connect was refused by the office's system, as opposed to a local failure.
 func refusedByPeer(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// unreached ends the set-ups that wait for a connection: nothing of them has been sent.
+// failQueued ends the set-ups that wait for a connection. Nothing of them has been sent.
 func (s *Session) failQueued(lane *state.Lane) {
 	queue := lane.Queue
 	lane.Queue = nil
@@ -91,13 +91,13 @@
 	}
 }
 
-// officeLost ends what was open on a connection. Calls that stand outlive it: the office sends their releases
-// on the next one, which is opened at once.
+// officeDisconnected ends what was open on a connection. Established calls outlive it: the office sends their
+// releases on the next connection, which is opened at once.
 func (s *Session) officeDisconnected(lane *state.Lane, err error) {
 	office, unsent := lane.To, errors.Is(err, errUnsentSetUps) || lane.Conn.Unsent()
 	unanswered := s.unansweredSetUps(lane)
 	lane.Conn, lane.In = nil, nil
-	s.writeOffice(lane) // nobody is there: what was to be written has not left
+	s.writeOffice(lane) // discards the outbox and marks its attempts as not sent
 	level := slog.LevelWarn
 	if errors.Is(err, errIdle) {
 		level = slog.LevelDebug
@@ -107,7 +107,7 @@
 	for _, attempt := range inKeyOrder(lane.Out) {
 		if attempt.Failed {
 			s.Counters[state.Unreached]++
-			if attempt.Unheard { // the earlier one may stand there all the same
+			if attempt.Unheard { // the call of the earlier attempt may be established there all the same
 				office.Ended[attempt.Call.ID] = attempt.Over
 			}
 			s.endAttempt(attempt, decide.Unreached)
@@ -131,11 +131,11 @@
 		office.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: lane.Spoken.Opened, Unanswered: unanswered})
 	}
 	switch short := s.now-lane.Spoken.Opened < maxRedialDelay; {
-	case lane.Number != 0: // it says nothing of the main one
-	case short && office.Backoff != 0: // guards against a connect for each round trip, where each is taken and ended at once
+	case lane.Number != 0: // a lane says nothing about the main connection
+	case short && office.Backoff != 0: // else a connect per round trip where each is closed at once
 		s.scheduleRedial(office, maxReopenDelay)
 		return
-	case short: // the first such loss may be chance
+	case short: // the first short connection may be chance
 		office.Backoff = minRedialDelay / 2
 	default:
 		office.Backoff = 0
@@ -143,7 +143,7 @@
 	s.redialIfNeeded(office)
 }
 
-// sinceOrNever is how many milliseconds ago something was, for the log; -1: it never was.
+// millisSince returns how many milliseconds ago then was, for the log; -1: never.
 func millisSince(now, time int64) int64 {
 	if time == 0 {
 		return -1
@@ -151,9 +151,9 @@
 	return (now - time) / 1000
 }
 
-// owedAgain has what was released on a connection that ended before all of it had left, and was not heard, told once more:
-// what ended with it, and what was given up before. The release of the latter may be among what did not leave, though its
-// set-up had.
+// scheduleReleaseRepeats schedules another transmission of the unacknowledged releases of a connection that
+// ended before everything on it had been sent: those of attempts that ended with it, and those of attempts
+// cancelled before. The release of the latter may be lost although its set-up was sent.
 func (s *Session) scheduleReleaseRepeats(lane *state.Lane) {
 	office := lane.To
 	for call, ending := range office.Ended {
@@ -164,8 +164,9 @@
 	}
 }
 
-// tellAgain tells an office once more of what is owed it again. Guards against an office that reads a set-up of a connection
-// which has ended only after it has heard of its end on the next one: it would stand for nobody.
+// repeatReleases sends an office the releases that are due for repetition. An office may read a set-up of an
+// ended connection only after it has read the call's release on the next one; the call would then stay
+// established without a caller.
 func (s *Session) repeatReleases(office *state.Office) {
 	for call, ending := range inKeyOrder(office.Ended) {
 		if ending.Again != 0 && s.now >= ending.Again && office.Conn != nil {
@@ -176,7 +177,8 @@
 	}
 }
 
-// redial connects again where calls stand, also those of before our start, or releases wait; else the next set-up does.
+// redialIfNeeded reconnects if calls are established at an office, also those of a previous process, or
+// releases are pending. Otherwise the next set-up does.
 func (s *Session) redialIfNeeded(office *state.Office) {
 	needed := len(office.Standing) > 0 || len(office.Ended) > 0 || s.mayHaveEarlierCalls(office)
 	if office.State != decide.Removed && needed && s.now >= office.NotUntil {
@@ -184,12 +186,12 @@
 	}
 }
 
-// inherits tells whether calls of the process before may stand at an office.
+// mayHaveEarlierCalls reports whether calls of the previous process may be established at an office.
 func (s *Session) mayHaveEarlierCalls(office *state.Office) bool {
 	return s.now-s.earlierCallSeen < earlierCallsWindow && office.Started <= s.startedAt && len(s.offices.All()) <= s.maxEagerOffices
 }
 
-// redialLater connects again after a pause that doubles each time, up to a bound.
+// scheduleRedial reconnects after a delay that doubles each time, up to a maximum.
 func (s *Session) scheduleRedial(office *state.Office, maxDelay int64) {
 	office.Backoff = min(max(2*office.Backoff, minRedialDelay), maxDelay)
 	office.NotUntil = s.now + office.Backoff
@@ -198,8 +200,8 @@
 	s.wheel.Set(office.NotUntil, state.Timer{Kind: state.TimerRedial, ID: s.lastDialID})
 }
 
-// officeGone ends an office, or one life of it, when the list tells so. The list is late: guards against
-// cutting what a server that started anew has taken since, on a connection that has come up since.
+// endOffice ends an office or one incarnation of it when the list reports its end. The list is late, so calls
+// that a restarted server has accepted since, on a connection opened since, are kept.
 func (s *Session) endOffice(gone state.Gone) {
 	office, startedBefore := gone.Office, int64(math.MaxInt64)
 	if gone.Removed {
@@ -214,7 +216,7 @@
 	s.endLane(&office.Lane, startedBefore)
 }
 
-// laneGone ends a connection to an office, or to one life of it, that is over.
+// endLane closes a connection to an office, or to one incarnation of it, that has ended.
 func (s *Session) endLane(lane *state.Lane, openedBefore int64) {
 	if lane.Conn != nil && lane.Spoken.Opened >= openedBefore {
 		return
@@ -222,7 +224,7 @@
 	if lane.Conn != nil {
 		s.writeOffice(lane)
 		delete(s.connOwners, lane.Conn)
-		_ = lane.Conn.Close() // its end is what is asked for
+		_ = lane.Conn.Close() // the connection is being abandoned
 		lane.Conn = nil
 	}
 	for _, attempt := range inKeyOrder(lane.Out) {
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// longStandStill is a stand-still of this process after which offices have settleFor, of time in which it runs, to be
-	// read and connected to before their silence counts.
+	// longPause is the length of a process pause after which offices get settleTime, counted while this
+	// process runs, to be read and connected to before their silence counts.
 	longPause  = 1_000_000
 	settleTime = 700_000
-	// settleLeast is what is left of it where the time of calls would run out: what waits to be read is read within it.
+	// minSettleTime remains of settleTime if the calls' time would otherwise run out. Input that waits to be
+	// read is read within it.
 	minSettleTime = 100_000
-	// mostWaited is the longest that a word is taken to have waited for this process to read it.
+	// maxReadDelay is the longest time for which a message is assumed to have waited unread in this process.
 	maxReadDelay = 2_000_000
 )
 
-// watchClock is when offices were last looked at, and how much of this process's own stand-still is still to be settled.
+// checkClock records when offices were last checked and how much time is left to settle after a process
+// pause.
 type checkClock struct {
 	lastCheck int64
 	settling  int64
 }
 
-// advance notes a look; it tells whether the process has stood still since the last one. A stand-still while another one is
-// settled begins nothing anew. Guards against a process short of processor that would never judge an office.
+// advance records a check and reports whether the process was paused since the last one. A pause during
+// settling does not restart it; otherwise a process short of CPU would never judge an office.
 func (w *checkClock) advance(now int64) (paused bool) {
 	elapsed := now - w.lastCheck
 	w.lastCheck = now
@@ -42,7 +44,8 @@
 	return elapsed > 2*watchInterval
 }
 
-// settled tells whether an office may be judged: a stand-still is over for long enough, or calls that stand there can't wait.
+// canJudge reports whether an office may be judged: enough time has passed since a process pause, or its
+// established calls can't wait.
 func (s *Session) canJudge(office *state.Office) bool {
 	left := s.livenessClock.settling
 	if left > settleTime-minSettleTime {
@@ -51,10 +54,11 @@
 	return left <= 0 || !office.Liveness.CanWait(s.now, left)
 }
 
-// watchOffices ends connections to offices on which a message has begun and does not end, or nothing comes any more, and
-// releases the calls that stand at an office that can't end them.
+// checkOffices ends connections to offices on which a message stays incomplete or nothing arrives any more. It
+// releases the calls established at an office that can't end them.
 func (s *Session) checkOffices() {
-	// Guards against taking our own stand-still for theirs: what came meanwhile may not have been read yet.
+	// After a pause of this process, what arrived meanwhile may be unread, so offices are not blamed for the
+	// silence.
 	paused := s.livenessClock.advance(s.now)
 	for _, office := range s.offices.All() {
 		s.checkLane(&office.Lane, len(office.Standing), paused)
@@ -71,8 +75,8 @@
 	}
 }
 
-// watchOffice ends a connection at which so many calls stand if it brings nothing any more, or nothing whole. Guards
-// against ending one whose bytes wait unread while much comes from others.
+// checkLane ends a connection that brings nothing any more, or no complete message. established is the number
+// of calls on it. A connection with unread input is kept, because this process may be busy with others.
 func (s *Session) checkLane(lane *state.Lane, established int, paused bool) {
 	if lane.Conn != nil && len(lane.Queue) > 0 {
 		s.flushQueue(lane)
@@ -89,8 +93,9 @@
 	}
 }
 
-// inspectOffice replaces a silent connection on which nothing is out, so that the next one shows whether the office still
-// speaks. The present one stays until that is up: where nothing passes to the office, what it says may still come.
+// probeOffice replaces a silent connection with nothing outstanding, so that the new one shows whether the
+// office still responds. The present connection stays until the new one is open: if nothing passes to the
+// office, its messages may still arrive.
 func (s *Session) probeOffice(office *state.Office) {
 	if office.Conn == nil || len(office.Out) > 0 || office.Conn.Unread() {
 		return
@@ -100,7 +105,7 @@
 	}
 }
 
-// officeSpoke notes a whole message of an office.
+// recordOfficeMessage records a complete message of an office.
 func (s *Session) recordOfficeMessage(lane *state.Lane, message wire.Message, at int64) {
 	record := liveness.Message{At: s.earliestWriteTime(at), Word: s.messageKind(lane, message), Main: lane.Number == 0, Opened: lane.Spoken.Opened}
 	if record.Word == liveness.Answer {
@@ -111,7 +116,7 @@
 	}
 }
 
-// wordOf is what kind of message an office sent.
+// messageKind returns the kind of an office's message.
 func (s *Session) messageKind(lane *state.Lane, message wire.Message) liveness.Word {
 	switch {
 	case message.Type == wire.TypeGroup:
@@ -128,7 +133,8 @@
 	return liveness.End
 }
 
-// askedAt is when the set-up of a call was sent to an office at which it is out, or was until it was given up; 0: it is not.
+// setUpSentAt returns when the set-up of a call was sent to an office at which it is out, or was until it was
+// cancelled; 0: neither.
 func (s *Session) setUpSentAt(lane *state.Lane, call uint64) int64 {
 	if attempt := s.outstandingAttempt(lane, call); attempt != nil {
 		return attempt.Since
@@ -136,9 +142,10 @@
 	return lane.To.Ended[call].Asked
 }
 
-// writtenAt is the earliest time at which an office may have written what was read at a time: during a stand-still of this
-// process its words wait. Guards against a term that begins anew when an old word is read. The bound
-// guards against judging an office that speaks by our own absence.
+// earliestWriteTime returns the earliest time at which an office may have written a message that was read at
+// the given time, since messages wait unread during a process pause. Without it, an old message would restart
+// a timeout when it is read. The lower bound keeps an office that does respond from being judged by this
+// process's own pause.
 func (s *Session) earliestWriteTime(read int64) int64 {
 	if s.pauseEnded == 0 || s.now-s.pauseEnded > minSettleTime {
 		return read
@@ -146,7 +153,7 @@
 	return max(min(read, s.pauseBegan), read-maxReadDelay)
 }
 
-// judgeOffice releases the calls that stand at an office if it can't end them any more.
+// judgeOffice releases the calls established at an office if it can't end them any more.
 func (s *Session) judgeOffice(office *state.Office) {
 	if len(office.Standing) == 0 || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
@@ -162,12 +169,13 @@
 	}
 }
 
-// departing tells whether callers are about to be sent away for good: nobody is there afterwards to be told of an end.
+// nearDeparture reports whether callers are about to be disconnected for good, after which releases can't be
+// delivered.
 func (s *Session) nearDeparture() bool {
 	return s.stoppedAt != 0 && s.now >= s.stoppedAt+acceptAfterStop-2*watchInterval
 }
 
-// judgeDeparting releases what stands at an office of which there is doubt, while its callers are still connected.
+// judgeDeparting releases the calls at a doubtful office while their callers are still connected.
 func (s *Session) judgeDeparting(office *state.Office) {
 	observation := liveness.LastObservation{Usual: max(s.reportRhythm, office.Spoken.Rhythm), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.Lane)}
 	if transition, changed := office.Liveness.JudgeDeparting(s.now, observation); changed && len(office.Standing) > 0 {
@@ -175,7 +183,7 @@
 	}
 }
 
-// officeBecame logs and counts a transition, and does what follows from it.
+// applyTransition logs and counts a transition and acts on it.
 func (s *Session) applyTransition(office *state.Office, transition liveness.Transition) {
 	if transition.From != transition.To {
 		s.logLiveness(office, transition)
@@ -186,7 +194,7 @@
 	}
 }
 
-// transitions counts offices by what they are believed to have become.
+// transitionCounters counts offices by their new liveness state.
 var transitionCounters = [...]state.Counter{
 	liveness.Responsive:   state.OfficesBack,
 	liveness.Suspected:    state.OfficesSuspected,
@@ -202,8 +210,8 @@
 		"reason", transition.Reason.String()}, s.livenessFields(office)...)...)
 }
 
-// evidence is what the log says of an office that is judged: how long ago it said what, how long work waits there, what is owed,
-// and how late this process reads.
+// livenessFields returns the log fields of an office that is judged: the age of its latest messages, how long
+// set-ups have waited there, what is outstanding, and how late this process reads.
 func (s *Session) livenessFields(office *state.Office) []any {
 	ago := func(word liveness.Word) int64 { return millisSince(s.now, office.Liveness.Last(word)) }
 	return []any{"silent_ms", millisSince(s.now, office.Liveness.Spoke()), "answered_ms", ago(liveness.Answer), "refused_ms", ago(liveness.Refusal),
@@ -211,7 +219,7 @@
 		"out", len(office.Out), "standing", len(office.Standing), "read_late_ms", s.readDelay / 1000}
 }
 
-// releasedBy counts released calls by the evidence against their office.
+// releaseCounters counts released calls by the reason.
 var releaseCounters = [liveness.Reasons]state.Counter{
 	liveness.Silent:      state.ReleasedSilent,
 	liveness.Stalled:     state.ReleasedStalled,
@@ -222,8 +230,8 @@
 	liveness.NoneEnded:   state.ReleasedNoneEnded,
 }
 
-// releaseStanding releases the calls that stand at an office which can't end them. Where it can't be connected to, those on a
-// pooled connection that is there are left.
+// releaseEstablished releases the calls established at an office that can't end them. If the office can't be
+// connected to, those on a lane that is still open are kept.
 func (s *Session) releaseEstablished(office *state.Office, reason liveness.Reason) {
 	unconnected := reason == liveness.Refused || reason == liveness.Unreachable
 	for _, established := range inKeyOrder(office.Standing) {
@@ -236,7 +244,7 @@
 	}
 }
 
-// judgeRestart releases the calls of a process of the office that has ended, where another one speaks for it.
+// judgeRestart releases the calls of an office's previous process once another one responds for it.
 func (s *Session) judgeRestart(office *state.Office) {
 	if !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
@@ -258,7 +266,8 @@
 	}
 }
 
-// judgeUnended releases the calls that have stood for long at an office of which none ends any more.
+// judgeUnended releases the calls that have been established for long at an office at which calls no longer
+// end.
 func (s *Session) judgeUnended(office *state.Office) {
 	if !office.Liveness.UnendedDue(s.now) || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
@@ -277,7 +286,8 @@
 	}
 }
 
-// observed is what stands at each office, and until when nothing of it is known to have ended.
+// observedOffices yields the calls established at each office, and until when none of them is known to have
+// ended.
 func (s *Session) observedOffices() iter.Seq[liveness.Observed] {
 	return func(yield func(liveness.Observed) bool) {
 		for _, office := range s.offices.All() {
@@ -292,7 +302,7 @@
 	}
 }
 
-// callsAt is the calls that stand at an office.
+// callsAtOffice yields the calls established at an office.
 func callsAtOffice(office *state.Office) iter.Seq[liveness.Call] {
 	return func(yield func(liveness.Call) bool) {
 		for _, established := range office.Standing {
@@ -303,7 +313,7 @@
 	}
 }
 
-// waiting is the set-ups that are out at an office for long enough to have been answered by now.
+// overdueSetUps returns the set-ups that have been out at an office long enough to have been answered.
 func (s *Session) overdueSetUps(office *state.Office) (waiting liveness.Unanswered) {
 	for _, attempt := range office.Out {
 		waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
@@ -316,7 +326,7 @@
 	return waiting
 }
 
-// standing counts the calls that stand at an office by when they began to.
+// countEstablished returns a function that counts the calls at an office that were established in [from, to).
 func countEstablished(office *state.Office) liveness.Standing {
 	return func(from, to int64) int {
 		n := 0
@@ -329,7 +339,7 @@
 	}
 }
 
-// unanswered counts the set-ups that are out on a connection for long enough to have been answered by now.
+// unansweredSetUps counts the set-ups that have been out on a connection long enough to have been answered.
 func (s *Session) unansweredSetUps(lane *state.Lane) int {
 	n := 0
 	for _, attempt := range lane.Out {
@@ -340,7 +350,7 @@
 	return n
 }
 
-// releaseFor releases a call towards its caller and, if its office still has it, there.
+// releaseForOffice releases a call to its caller and, if the office is connected, at the office.
 func (s *Session) releaseForOffice(office *state.Office, established *state.Standing, reason liveness.Reason) {
 	call, lane := established.ID, established.On
 	s.log.Info("call released for its office", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -26,20 +26,20 @@
 	errUnsentSetUps   = errors.New("what was given up, or is not to be sent any more, has not left")
 )
 
-// EndHearer is a Decider that may want to be told of the end of each call that stood, by an event of kind decide.Over.
-// A Decider in front of others passes it on. Who does not hear ends gets no such event.
+// EndHearer is a Decider that may need to be told of the end of each established call by an event of kind
+// decide.Over. A Decider that wraps others forwards it. A Decider that does not need ends gets no such events.
 type EndHearer interface {
 	HearsEnds() bool
 }
 
-// standOver tells the module that a call which had begun stands no more, if it hears of that.
+// reportCallOver tells the decider that an established call has ended, if it needs to know.
 func (s *Session) reportCallOver(call uint64) {
 	if s.endHearer != nil && s.endHearer.HearsEnds() {
 		s.queueEvent(decide.Event{Kind: decide.Over, Call: decide.CallID(call)})
 	}
 }
 
-// officeBox is where messages for an office are written.
+// officeOutbox returns the buffer for messages to an office.
 func (s *Session) officeOutbox(lane *state.Lane) *state.Outbox {
 	if len(lane.Box.Bytes) > maxOutbox {
 		s.writeOffice(lane)
@@ -47,7 +47,7 @@
 	return s.outbox(lane, &lane.Box)
 }
 
-// toOffice releases a call at an office, if it is connected.
+// sendOfficeRelease sends a release to an office if it is connected.
 func (s *Session) sendOfficeRelease(lane *state.Lane, call uint64, cause byte) {
 	if lane.Conn != nil {
 		box := s.officeOutbox(lane)
@@ -55,7 +55,7 @@
 	}
 }
 
-// endAt releases a call at an office, or gives its set-up up there, on this connection or the next.
+// releaseAtOffice releases a call at an office, or cancels its set-up there, on this connection or the next.
 func (s *Session) releaseAtOffice(lane *state.Lane, call uint64, cause byte) {
 	office := lane.To
 	if office.State == decide.Removed {
@@ -76,7 +76,7 @@
 
 func (s *Session) handleOfficeMessage(lane *state.Lane, message wire.Message, at int64) {
 	if message.Bad {
-		// Where a parameter does not fit, nothing behind it on this connection can be relied on.
+		// After an invalid parameter nothing further on this connection can be relied on.
 		s.Counters[state.BadIn]++
 		s.closeConn(lane.Conn, errMalformed)
 		return
@@ -89,17 +89,17 @@
 		s.handleOfficeRelease(lane, message, at)
 	case wire.TypeHeard:
 		if lane.To.Ended[message.Call].Again != 0 {
-			break // it is told again first
+			break // the release has to be repeated first
 		}
 		delete(lane.To.Ended, message.Call)
 		if s.lanes.laner != nil {
 			s.releaseAcknowledged(lane, message.Call)
 		}
 	case wire.TypeGroup:
-		// Comes unasked, again and again; the module draws by the free lines.
+		// Arrives unrequested at regular intervals; the module weights its choice by the free lines.
 		lane.Spoken.Report(at, &s.reportRhythm)
 		if lane.Number != 0 && lane.To.Conn != nil {
-			break // it comes on the main connection, too
+			break // the report also arrives on the main connection
 		}
 		if lines, reported := message.LinesInUse(); reported {
 			lane.To.Liveness.LinesInUse(at, lines, countEstablished(lane.To))
@@ -117,14 +117,14 @@
 		_, ended := office.Ended[message.Call]
 		if established := s.established[message.Call]; !ended && (established == nil || established.On.To != office) {
 			s.Counters[state.BadIn]++
-			s.releaseAtOffice(lane, message.Call, wire.CauseNormal) // it stands there for nobody
+			s.releaseAtOffice(lane, message.Call, wire.CauseNormal) // it is established there without a caller
 		}
 		return
 	}
 	description, _ := message.Get(wire.ParamDescription)
 	if len(description) == 0 {
-		// The call stands there, with nothing that its caller could use. Guards against passing on as served
-		// what no office made. officeLost releases it on the next connection.
+		// The call is established there, but without a usable description. Passing it on would report a call
+		// as served that no office set up. officeDisconnected releases it on the next connection.
 		s.Counters[state.BadIn]++
 		s.closeConn(lane.Conn, errMalformed)
 		return
@@ -146,7 +146,7 @@
 	s.forgetCall(call)
 	if !s.sendAnswer(call.From, call.ID, description) {
 		s.reportCallOver(call.ID)
-		s.releaseAtOffice(lane, call.ID, wire.CauseNormal) // nobody knows that it stands
+		s.releaseAtOffice(lane, call.ID, wire.CauseNormal) // no caller knows that it is established
 		s.freeLane(lane, call.ID)
 		return
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-// unheard ends a call whose answer did not reach its caller: nobody knows that it stands.
+// answerUndelivered ends a call whose answer did not reach its caller.
 func (s *Session) answerUndelivered(call uint64) {
 	if established := s.established[call]; established != nil {
 		s.Counters[state.AnswersOut]--
@@ -174,7 +174,8 @@
 	}
 }
 
-// outcomes of a release that comes before the answer, by cause, and how they are counted.
+// releaseOutcomes maps the cause of a release that precedes the answer to the attempt's outcome and its
+// counter.
 var releaseOutcomes = map[byte]struct {
 	outcome decide.Outcome
 	counter state.Counter
@@ -184,8 +185,9 @@
 
 func (s *Session) handleOfficeRelease(lane *state.Lane, message wire.Message, arrivedAt int64) {
 	office, cause := lane.To, message.Cause()
-	// Where nobody is there to be told of a call's end, the office is to tell it again on its next connection: this process
-	// may have ended by then, and with it what it has heard.
+	// If no caller is connected that could be told of the call's end, the release is not acknowledged, so that
+	// the office repeats it on its next connection. This process may have exited by then, and what it has
+	// received would be lost.
 	if _, ended := office.Ended[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
 		ackOn := lane
 		if s.lanes.laner != nil {
@@ -211,7 +213,7 @@
 			s.Counters[state.ReleasedEarly]++
 			office.Liveness.EndSeen(arrivedAt)
 		}
-		delete(office.Ended, message.Call) // it crossed our own
+		delete(office.Ended, message.Call) // it crossed this side's release
 		if s.lanes.laner != nil {
 			s.releaseAcknowledged(lane, message.Call)
 		}
@@ -219,7 +221,7 @@
 	}
 	if established := s.established[message.Call]; established != nil {
 		if established.On.To != office {
-			return // it was given up here and stands elsewhere: its end there is what counts
+			return // it was cancelled here and is established elsewhere; only its end there counts
 		}
 		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, lane.Spoken.Opened)
 		s.callDurations.Ended(established.Class, s.now-established.Since)
@@ -229,12 +231,12 @@
 		s.endEstablished(established)
 		s.releaseToCaller(message.Call, cause, established.From)
 	} else if _, known := s.endedCalls[message.Call]; !known && s.calls[message.Call] == nil {
-		if office.Strays++; office.Strays > maxPendingReleases { // no office has so many to tell at once: guards against filling memory
+		if office.Strays++; office.Strays > maxPendingReleases { // bounds memory; no office has so many at once
 			s.Counters[state.BadIn]++
 			return
 		}
 		s.earlierCallSeen = s.now
-		s.releaseToCaller(message.Call, cause, nil) // a call of before our own start
+		s.releaseToCaller(message.Call, cause, nil) // a call of a previous process
 	}
 	s.endedCalls[message.Call] = s.now
 }
@@ -250,7 +252,8 @@
 	s.callPool.Ended(established)
 }
 
-// cut releases towards their callers the calls that stood before a time at an office which is no more.
+// cutEstablishedBefore releases to their callers the calls established before a given time at an office that
+// no longer exists.
 func (s *Session) cutEstablishedBefore(office *state.Office, before int64) {
 	for _, established := range inKeyOrder(office.Standing) {
 		if established.Since < before {
@@ -259,7 +262,7 @@
 	}
 }
 
-// cutStanding releases a call towards its caller as cut.
+// cutEstablished releases a call to its caller with cause cut.
 func (s *Session) cutEstablished(established *state.Standing) {
 	call, from := established.ID, established.From
 	s.endedCalls[call] = s.now
--- a/internal/session/outbox.go
+++ b/internal/session/outbox.go
@@ -4,11 +4,12 @@
 	"pewterwheel/internal/state"
 )
 
-// maxBox is what may wait for a connection before it is written within the round. With the longest message behind it it is less
-// than the least that the engine keeps for one connection (64 KiB): a write of more would end the connection.
+// maxOutbox is how many bytes may wait for a connection before they are written within the round. Together
+// with the longest message this is less than the minimum that the network layer buffers for one connection (64
+// KiB); a larger write would end the connection.
 const maxOutbox = 32 << 10
 
-// box is where messages for a connection are written behind each other; it is written at the end of the round.
+// outbox returns the buffer for messages to a connection, which is written at the end of the round.
 func (s *Session) outbox(owner any, box *state.Outbox) *state.Outbox {
 	if !box.Dirty {
 		box.Dirty = true
@@ -17,8 +18,8 @@
 	return box
 }
 
-// flush writes what the round has for each connection, in one write. What one finds out, that its connection has ended,
-// may be something for others to be told.
+// flush writes the pending messages of each connection in one write. A failed write may add messages for other
+// connections.
 func (s *Session) flush() {
 	for i := 0; i < len(s.pendingWrites); i++ {
 		switch to := s.pendingWrites[i].(type) {
@@ -32,7 +33,8 @@
 	s.pendingWrites = s.pendingWrites[:0]
 }
 
-// writeCaller writes what there is for a caller. Where that fails, nobody knows of the calls whose answers were in it.
+// writeCaller writes a caller's pending messages. If that fails, the calls whose answers were among them are
+// ended.
 func (s *Session) writeCaller(caller *state.Caller) {
 	if !s.writeBox(caller.Conn, &caller.Box) {
 		for _, call := range caller.Box.Told {
@@ -42,8 +44,9 @@
 	caller.Box.Clear()
 }
 
-// writeOffice writes what there is for an office. A write that fails has ended the connection; its end is told next and
-// ends the attempts. That it failed, as on a connection that was reset while idle, proves that the office has nothing of them.
+// writeOffice writes a lane's pending messages. A failed write, for instance on a connection that was reset
+// while idle, proves that the office received nothing of them. The end of the connection is reported next and
+// ends the attempts.
 func (s *Session) writeOffice(lane *state.Lane) {
 	sent := s.writeBox(lane.Conn, &lane.Box)
 	stuck := sent && len(lane.Box.Sent) > 0 && lane.Conn.Unsent()
@@ -58,7 +61,7 @@
 	lane.Box.Clear()
 }
 
-// write writes a box; false: the connection is no more.
+// writeBox writes an outbox. It reports false if the connection is closed.
 func (s *Session) writeBox(conn state.Conn, box *state.Outbox) bool {
 	if len(box.Bytes) == 0 {
 		return true
--- a/internal/session/pooling_world_test.go
+++ b/internal/session/pooling_world_test.go
@@ -14,7 +14,7 @@
 
 var hours = flag.Float64("hours", 0, "hours of virtual time that clients call in TestVerdictsReachTheLanes; 0: a few minutes")
 
-// addressed is a caller's connection with the address that it came from.
+// addressedConn is a caller's connection with a source address.
 type addressedConn struct {
 	fakeConn
 	address string
@@ -24,7 +24,7 @@
 	return &net.TCPAddr{IP: net.ParseIP(c.address), Port: 40_000}
 }
 
-// habitual is a client with one connection.
+// simClient is a client with one connection.
 type simClient struct {
 	conn      *addressedConn
 	behaviour *standin.Mind
@@ -32,7 +32,7 @@
 	next      int64 // when it may set up its next call
 	calls     int
 	harmed    int
-	raised    int // calls until it was raised above BySession; 0: not
+	raised    int // number of calls after which it was raised above BySession; 0: not raised
 }
 
 type delayedAction struct {
@@ -40,9 +40,10 @@
 	do func()
 }
 
-// Verdicts of the true module in virtual time, with one process: clients of every habit call through sessions whose lanes the
-// module chooses, at two offices that keep state on their connections. Nobody is raised above what its habit bears, and who
-// relies on nothing is raised; each call has its one final answer; who is harmed in a trial is answered all the same.
+// Verdicts of the real pooling module in virtual time, with one process: clients of every habit call through
+// sessions whose lanes the module chooses, at two offices that keep state per connection. No client is raised
+// above what its habit permits, and those that rely on no state are raised. Each call has exactly one final
+// answer, and a client harmed in a trial is still answered.
 func TestVerdictsReachTheLanes(t *testing.T) {
 	long := int64(230_000_000)
 	if *hours > 0 {
@@ -104,7 +105,7 @@
 			case conn.name[0] == 'o' && message.Type == wire.TypeRelease:
 				if ties[conn.officeIndex()].End(conn, id) {
 					of[id].harmed++
-					return // it knows no such call here
+					return // it knows no such call on this connection
 				}
 				say(conn, wire.Message{Type: wire.TypeHeard, Call: id})
 			case conn.name[0] == 'o', conn.name[0] == 'j':
@@ -131,7 +132,7 @@
 		p.step(Arrival{Kind: Accepted, At: p.now, Conn: client.conn})
 	}
 	for habit := standin.Stateless; habit <= standin.Rarely; habit++ {
-		if habit != standin.ReusesIDs { // its second connection is not in this world
+		if habit != standin.ReusesIDs { // needs a second connection, which this simulation does not have
 			connect(habit)
 		}
 	}
@@ -176,9 +177,9 @@
 	for i, client := range clients {
 		v := loop.Verdict(pooling.Key("app", client.conn.address))
 		t.Logf("%2d %-16s mode %v trial %v, raised after %d of %d calls, harmed %d", i, client.behaviour.Habit, v.Mode, v.Trial, client.raised, client.calls, client.harmed)
-		// When the others that bear sharing are raised is pooling's own to measure.
+		// When other clients that tolerate sharing are raised is measured in package pooling.
 		if safe := client.behaviour.Habit.Safe; !safe(max(v.Mode, pooling.BySession)) || safe(pooling.ByMessage) && v.Mode < pooling.ByCall {
-			t.Errorf("client %d, %s, goes %v", i, client.behaviour.Habit, v.Mode)
+			t.Errorf("client %d, %s, has mode %v", i, client.behaviour.Habit, v.Mode)
 		}
 	}
 	for id := range ids {
--- a/internal/session/reload_test.go
+++ b/internal/session/reload_test.go
@@ -12,7 +12,7 @@
 	"pewterwheel/internal/wire"
 )
 
-// update is a file's with a journal address, and one office more in its last event.
+// updateOf returns the update of a file with a journal address and one more office in its last event.
 func updateOf(t *testing.T, address, health string) membership.Update {
 	t.Helper()
 	var k wire.Known
@@ -25,8 +25,8 @@
 	return membership.Update{Address: address, Known: k}
 }
 
-// A SIGHUP crosses whatever the program is at. A file that cannot be read, in whole or in part, is counted and changes
-// nothing; a good one leads to one connection to the address of the last file, and to one alone.
+// SIGHUP arrives in different states of the program. A file that is unreadable in whole or in part is counted
+// and changes nothing. A valid one leads to a single connection to the address in the last file.
 func TestReloadCrossings(t *testing.T) {
 	hup := func(address string) func(*player) {
 		return func(p *player) {
@@ -37,7 +37,7 @@
 	for _, c := range []struct {
 		name            string
 		do              []func(*player)
-		asked           []string // what was asked at each journal address from the first SIGHUP on, in order
+		asked           []string // subscriptions at each journal address from the first SIGHUP on, in order
 		reloads, errors uint64
 	}{
 		{"unreadable", []func(*player){func(p *player) {
--- a/internal/session/replaced_office_test.go
+++ b/internal/session/replaced_office_test.go
@@ -9,15 +9,15 @@
 	"pewterwheel/internal/state"
 )
 
-// replacement is an office's process that hangs at lastWord, is killed some time later, and is replaced by one that knows
-// nothing of its calls. Times are milliseconds.
+// officeReplacement is an office's process that hangs at lastMessageAt, is killed some time later, and is replaced
+// by one that knows none of its calls. Times are milliseconds.
 type officeReplacement struct {
 	name            string
-	hangTime        int  // from the last word to the kill
+	hangTime        int  // from the last message to the kill
 	downTime        int  // from the kill until the new process listens; 0: it listens before the kill
-	reportInterval  int  // distance of its reports of lines; 0: it never reports
-	reportsContinue bool // reports go on while it hangs, and set-ups have no answer
-	journalResponds bool // discovery is heard, and says nothing
+	reportInterval  int  // interval of its reports of free lines; 0: it never reports
+	reportsContinue bool // reports continue while it hangs, and set-ups are not answered
+	journalResponds bool // the journal is connected but reports nothing
 }
 
 const (
@@ -25,7 +25,7 @@
 	loadedReport = `[2b 0000000000000000 2b["free:7;size:9"]]`
 )
 
-// lines is what happens, with its times. The office says something every 200 ms until it hangs, the new one too.
+// lines returns the events. The office sends a message every 200 ms until it hangs, and so does the new one.
 func (r officeReplacement) lines() []string {
 	killed := lastMessageAt + r.hangTime
 	up := killed + max(r.downTime, 1)
@@ -42,7 +42,7 @@
 			lines = append(lines, fmt.Sprintf("%d o1 > %s", at, loadedReport))
 		}
 	}
-	// The new process speaks on a connection that comes up some time after it listens.
+	// The new process sends on a connection that opens some time after it listens.
 	for at := up + 1200; at < caseLength; at += 200 {
 		lines = append(lines, fmt.Sprintf("%d o1 > %s", at, "[06 00000000000000b1]"))
 	}
@@ -54,7 +54,7 @@
 	return lines
 }
 
-// play has two calls stand at o1 and returns when each was told to its caller; 0: never.
+// play establishes two calls at o1 and returns when the release of each was sent to its caller; 0: never.
 func (r officeReplacement) play(t *testing.T) (told []int, all []string) {
 	scenario := officeCase{events: r.lines}
 	scenario.earlierEvents = []string{
@@ -78,8 +78,9 @@
 	return told, lines
 }
 
-// A caller is left waiting for the end of a call whose office's process hung, was killed, and was replaced by one that speaks
-// for it and knows nothing of the call: its time counted from the loss of the connection, or not at all.
+// A caller waited too long for the release of a call whose office's process hung, was killed, and was replaced
+// by one that responds but does not know the call: the time was counted from the loss of the connection, or
+// not at all.
 func TestReplacedOfficeLeavesNoCallerWaiting(t *testing.T) {
 	cases := []officeReplacement{
 		{name: "reports seldom, hangs briefly", hangTime: 400, downTime: 150, reportInterval: 3200},
@@ -105,7 +106,7 @@
 			told, lines := replacement.play(t)
 			for i, at := range told {
 				if at == 0 || at > releaseDue {
-					t.Errorf("the caller of call %d was told at %d ms, want by %d ms (0: never)", i+1, at, releaseDue)
+					t.Errorf("the release of call %d reached its caller at %d ms, want by %d ms (0: never)", i+1, at, releaseDue)
 				}
 			}
 			if t.Failed() && testing.Verbose() {
@@ -115,8 +116,8 @@
 	}
 }
 
-// A call is cut at an office that is alive, whose connections were lost or refused for a moment, and which says so: by the end
-// of another call of before, or by its lines in use.
+// A call was cut at a live office whose connections were lost or refused for a moment, although the office
+// gave evidence of being the same process: the release of an earlier call, or its lines in use.
 func TestOfficeBackAfterALossKeepsItsCalls(t *testing.T) {
 	reporting := func(*player) []byte { return parse(t, loadedReport) }
 	spoken := repeatEvery(lastMessageAt, 200, "o1 > [06 00000000000000b1]")
@@ -146,19 +147,20 @@
 			}
 			lines := scenario.play(t)
 			if at, cause := releaseOf(lines, "a1"); at != 0 {
-				t.Errorf("the call was released at %d ms with cause %s, though its office lives:\n%s", at, cause, strings.Join(lines, "\n"))
+				t.Errorf("the call was released at %d ms with cause %s, though its office is alive:\n%s", at, cause, strings.Join(lines, "\n"))
 			}
 		})
 	}
 }
 
-// officeReport is a report of so many free lines of nine.
+// officeReport returns a report of the given number of free lines out of nine.
 func officeReport(free int) string {
 	return fmt.Sprintf(`[2b 0000000000000000 2b["free:%d;size:9"]]`, free)
 }
 
-// Many short calls are left standing for ever at an office that never reports, whose process was replaced without a refused
-// connect: none of them ends, though many ended each second before. Where the process lives, they end one after the other.
+// Many short calls stayed established for ever at an office that never reports and whose process was replaced
+// without a refused connect: none of them ends, though many ended each second before. If the process lives on,
+// they end one after the other.
 func TestOfficeThatEndsNoneOfManyCalls(t *testing.T) {
 	const calls, distance, holds, lost = 400, 25, 1500, 8010
 	for _, lives := range []bool{false, true} {
@@ -181,17 +183,18 @@
 			p.until(int64(lost+8050) * 1000)
 			for _, established := range p.s.offices.Get("s-00000001").Standing {
 				if established.Since < lost*1000 {
-					t.Errorf("call %d stands still, 8.05 s after its process has ended", established.ID)
+					t.Errorf("call %d is still established 8.05 s after its process ended", established.ID)
 				}
 			}
 			if cut := p.s.Counters[state.ReleasedRestarted]; lives == (cut > 0) {
-				t.Errorf("%d calls were released as those of another process", cut)
+				t.Errorf("%d calls were released as those of a previous process", cut)
 			}
 		})
 	}
 }
 
-// A caller is left waiting for the end of a call at a silent office, as this process stood still when its time came.
+// A caller waited too long for the release of a call at a silent office, because this process was paused when
+// the release became due.
 func TestProcessPauseDelaysNoRelease(t *testing.T) {
 	for _, c := range []struct{ from, until int }{{6500, 7600}, {5000, 7000}, {6900, 7800}, {3000, 5000}, {6000, 7850}} {
 		t.Run(fmt.Sprintf("from %d ms to %d ms after the last word", c.from, c.until), func(t *testing.T) {
@@ -206,13 +209,13 @@
 			p.step()
 			p.until(caseLength * 1000)
 			if at, _ := releaseOfFirstCall(p.lines); at == 0 || at > releaseDue {
-				t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, releaseDue)
+				t.Errorf("the release reached the caller at %d ms, want by %d ms (0: never)", at, releaseDue)
 			}
 		})
 	}
 }
 
-// A call is cut at an office that spoke while this process stood still, and whose word waits to be read.
+// A call was cut at an office that sent a message during a pause of this process, which was still unread.
 func TestMessageDuringProcessPauseCounts(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
@@ -228,12 +231,12 @@
 	p.play(fmt.Sprintf("%d o1 > [06 00000000000000a1]", lastMessageAt+12_300))
 	p.until((lastMessageAt + 13_500) * 1000)
 	if at, _ := releaseOfFirstCall(p.lines); at != 0 {
-		t.Errorf("the call was released at %d ms, though its office spoke", at)
+		t.Errorf("the call was released at %d ms, though its office sent a message", at)
 	}
 }
 
-// A caller is left waiting for the end of a call at a silent office by a process so short of processor that each of its rounds
-// comes late.
+// A caller waited too long for the release of a call at a silent office, because this process was short of CPU
+// and each of its rounds came late.
 func TestLateRoundsDelayNoRelease(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
@@ -246,12 +249,12 @@
 		p.step()
 	}
 	if at, _ := releaseOfFirstCall(p.lines); at == 0 || at > releaseDue {
-		t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, releaseDue)
+		t.Errorf("the release reached the caller at %d ms, want by %d ms (0: never)", at, releaseDue)
 	}
 }
 
-// A caller is left waiting for the end of a call whose office wrote its last word while this process stood still: its time
-// counted from when the word was read.
+// A caller waited too long for the release of a call whose office sent its last message during a pause of this
+// process: the time was counted from when the message was read.
 func TestMessageReadAfterProcessPauseCountsAsOld(t *testing.T) {
 	const from = 1000
 	for _, stood := range []int{100, 600, 1100, 1400} {
@@ -266,7 +269,7 @@
 			p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, "[06 00000000000000a1]")})
 			p.until(caseLength * 1000)
 			if at, _ := releaseOfFirstCall(p.lines); at == 0 || at > from+8050 {
-				t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, from+8050)
+				t.Errorf("the release reached the caller at %d ms, want by %d ms (0: never)", at, from+8050)
 			}
 		})
 	}
--- a/internal/session/reset_office_test.go
+++ b/internal/session/reset_office_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A caller is told late of the end of a call that its office released on a connection which was just then reset, as were the
-// next ones: the connect after them waited longer than a release may take.
+// The release of a call was delivered late if its office sent it on a connection that was reset just then,
+// like the next ones: the delay before the connect after them was longer than a release may take.
 func TestReleaseBetweenResetsIsDeliveredInTime(t *testing.T) {
 	const released, toldWithin = 6000, 1050
 	for _, lasts := range []int{20, 50, 150, 300} {
@@ -16,7 +16,8 @@
 			p.play("10 a open")
 			p.play(`12 a > [01 00000000000000a1 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`)
 			p.play(`30 o1 > [09 00000000000000a1 3d["d1"]]`)
-			// Each connection is reset some time after it came up. From the release on the second that comes up brings it.
+			// Each connection is reset some time after it was opened. From the release on, the second one to
+			// open delivers it.
 			came, ups := int64(0), 0
 			p.onConnect = func(c *fakeConn) {
 				if c.name == "o1" {
@@ -41,19 +42,19 @@
 				}
 			}
 			if at, _ := releaseOf(p.lines, "a1"); at == 0 || at > released+toldWithin {
-				t.Errorf("the caller was told of the end at %d ms, want by %d ms (0: never)", at, released+toldWithin)
+				t.Errorf("the release reached the caller at %d ms, want by %d ms (0: never)", at, released+toldWithin)
 			}
 		})
 	}
 }
 
-// The end of a call of the process before is never told: its office could not be reached, or lost its connection, as this
-// process started, and no call of this one stands there that it would connect for.
+// The release of a previous process's call was never delivered: its office was unreachable or lost its
+// connection as this process started, and no call of this process made it reconnect.
 func TestReconnectForCallsOfPreviousProcess(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lines []string
-		back  int // when the office can be reached again
+		back  int // when the office is reachable again
 	}{
 		{"connects did not come up", []string{"40 o1 silent", "41 o1 close", "3000 o1 accept"}, 3000},
 		{"connects were refused", []string{"40 o1 refuse", "41 o1 close", "2000 o1 accept"}, 2000},
@@ -79,18 +80,18 @@
 			}
 			p.until(int64(c.back+1000) * 1000)
 			if up < int64(c.back)*1000 {
-				t.Fatalf("the last connection came up at %d ms, want one between %d and %d ms", up/1000, c.back, c.back+1000)
+				t.Fatalf("the last connection opened at %d ms, want one between %d and %d ms", up/1000, c.back, c.back+1000)
 			}
 			p.play(fmt.Sprintf("%d o1 > [0c 00000000000000b7 3a[10]]", c.back+1000))
 			if at, _ := releaseOf(p.lines, "b7"); at == 0 {
-				t.Error("the caller was not told of the end of a call of before")
+				t.Error("the release of a previous process's call did not reach the caller")
 			}
 		})
 	}
 }
 
-// A caller is told late of the end of a call at an office that never reports, to which nothing passes: its connection was
-// ended after 3.5 s of silence, and with it the way on which the office released the call.
+// The release of a call was delivered late at an office that never reports and to which nothing passes: its
+// connection was closed after 3.5 s of silence, and with it the path on which the office sent the release.
 func TestReleaseOnIdleConnectionIsDelivered(t *testing.T) {
 	for _, connects := range []string{"silent", "refuse"} {
 		t.Run("connects: "+connects, func(t *testing.T) {
@@ -102,11 +103,11 @@
 			p.play("600 o1 " + connects)
 			p.until(6_000_000)
 			if p.conns["o1"].closed {
-				t.Fatal("the connection was ended, and no other one had come up")
+				t.Fatal("the connection was closed before another one was open")
 			}
 			p.play("6000 o1 > [0c 00000000000000a1 3a[10]]")
 			if at, _ := releaseOfFirstCall(p.lines); at == 0 || at > 7050 {
-				t.Errorf("the caller was told of the end at %d ms, want by 7050 ms (0: never)", at)
+				t.Errorf("the release reached the caller at %d ms, want by 7050 ms (0: never)", at)
 			}
 		})
 	}
