--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,5 +1,5 @@
-// Package session turns what arrives on connections into the decision module's events, and the module's
-// actions into messages. Nothing is decided here, and nothing here reads a clock or opens a socket itself.
+// Package session converts input from connections into events of the decision module, and the module's actions
+// into messages. It makes no routing decisions, reads no clock and opens no sockets itself.
 package session
 
 import (
@@ -17,139 +17,149 @@
 	"pewterwheel/internal/wire"
 )
 
-// Decider is the decision module as the session drives it.
+// Decider is the decision module as used by a Session.
 type Decider interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
 }
 
-// Reloader is a Decider that takes its own part of a configuration that was read anew, and answers with actions.
+// Reloader is a Decider with its own part of a reloaded configuration. It returns actions to carry out.
 type Reloader interface {
 	Reload(now int64, part any, out []decide.Action) []decide.Action
 }
 
-// Figurer is a Decider that has figures of its own for staff: counts that only grow, and gauges.
+// MetricsReporter is a Decider that reports metrics of its own: counters, and gauges.
 type MetricsReporter interface {
 	Figures(put func(name string, n uint64, gauge bool))
 }
 
-// Network opens connections; the result comes back as an arrival of kind Dialled.
+// Network opens connections; the result is delivered as an Arrival of kind Dialled.
 type Network interface {
 	Dial(address string, id uint64)
-	// Leave takes in the callers that wait to be, and listens for no more; then an arrival of kind Left comes.
+	// Leave accepts the callers that wait in the listener's backlog and closes the listener; then an Arrival
+	// of kind Left follows.
 	Leave()
 }
 
-// Times of the program's own, in microseconds; those of the service come with its settings.
+// Fixed times in microseconds; configurable ones come with the settings.
 const (
 	wheelTick = 5_000
-	// journalSilence: an empty frame comes each second, so a connection silent for longer has died. What was to
-	// come on it counts as told 4 s after it fell silent, or 2 s after it broke; a new one must be up by then,
-	// and a connect that does not come up takes half a second of that.
+	// journalSilenceTimeout: the journal sends an empty frame each second, so a connection that is silent for
+	// longer has died. A change must be applied within 4 s after the connection fell silent, or 2 s after it
+	// broke. A new connection must be open by then, and a failed connect takes half a second of that time.
 	journalSilenceTimeout = 2_200_000
 	journalCheckInterval  = 200_000
-	// wholeWithin is how long an office may take from the first byte of a message to its last. Guards against
-	// a length that is too large: the message never ends, and takes in all that follows on the connection.
+	// officeMessageTimeout is how long an office may take from the first byte of a message to its last. It
+	// detects a wrong length field, with which the message would never end and swallow all later messages.
 	officeMessageTimeout = 100_000
 	watchInterval        = 20_000
-	// standStill without a round, though one comes with each watch, means that the process did not run, or the loop had too
-	// much to do.
+	// minPause is the time without a round, though one follows each watchInterval, that counts as a process
+	// pause: the process did not run, or the loop was overloaded.
 	minPause = 3 * watchInterval
-	// callerWithin is how long a caller's connection may take to bring its first whole set-up, test or release,
-	// and each later message from its first byte to its last. A bad client is owed an end within 3 s.
+	// callerMessageTimeout is how long a caller's connection may take to send its first complete set-up, test
+	// or release, and each later message from its first byte to its last. The connection of a misbehaving
+	// client must end within 3 s.
 	callerMessageTimeout = 2_000_000
-	// maxOpen bounds the set-ups that one connection may have open. Many calls share one, but no usual caller
-	// sends several seconds' worth of calls on one.
+	// maxOpenPerCaller bounds the open set-ups of one connection. Many calls share a connection, but no
+	// well-behaved caller sends several seconds' worth of calls on one.
 	maxOpenPerCaller = 256
-	// maxOdd bounds the set-ups that cannot be read and the releases of calls that nobody knows on one
-	// connection. After a restart callers release the calls that stand, so it must bear some.
+	// maxInvalidPerCaller bounds the unreadable set-ups and the releases of unknown calls on one connection.
+	// After a restart callers release calls of the previous process, so some must be tolerated.
 	maxInvalidPerCaller = 256
-	// badSetUp is what a set-up that cannot be read counts towards maxOdd: eight end the connection.
+	// invalidSetUpWeight is what an unreadable set-up counts towards maxInvalidPerCaller: eight end the
+	// connection.
 	invalidSetUpWeight = maxInvalidPerCaller / 8
-	// One part in heldPart of the memory is for open set-ups, each of which takes callSize beside its description.
-	// Guards against set-ups of 16 KiB each, of which the settings would let more be open than memory holds.
+	// One part in memoryDivisor of the memory is for open set-ups, each of which takes callOverhead beside its
+	// description. Otherwise the settings would allow more set-ups of 16 KiB each than fit in memory.
 	memoryDivisor, callOverhead = 8, 1024
-	// maxEndings bounds the releases kept for an office until it is heard to take them.
+	// maxPendingReleases bounds the unacknowledged releases kept for one office.
 	maxPendingReleases = 4096
-	// maxBefore bounds the releases of calls of before our start that are kept for offices that are named later.
+	// maxEarlierReleases bounds the releases of a previous process's calls that are kept for offices listed
+	// later.
 	maxEarlierReleases = 1024
-	// redialFirst and redialMost bound the pause between connects to an office at which calls stand.
+	// minRedialDelay and maxRedialDelay bound the delay between connects to an office with established calls.
 	minRedialDelay, maxRedialDelay = 100_000, 800_000
-	// reopenMost bounds it after a connection that came up and did not last: the office is there, and what it releases on a
-	// connection that ends, and on the next one that does, has to come within a second.
+	// maxReopenDelay bounds the delay after a connection that was opened and soon lost. The office is
+	// reachable, and what it releases on a connection that ends, and then on the next one, has to arrive
+	// within a second.
 	maxReopenDelay = 250_000
-	// inheritFor is how long after its start, and after the last end of a call of before it, this process counts on further
-	// ones: it connects again to all offices, for their releases come on the next connection.
+	// earlierCallsWindow is how long after its start, and after the last end of a previous process's call,
+	// this process expects further ones. Meanwhile it reconnects to all offices, because their releases arrive
+	// on the next connection.
 	earlierCallsWindow = 10_000_000
-	// maxEager offices have a connection each from when they are first named, fewer where descriptors are short; of longer
-	// lists each has it from its first set-up. Guards against thousands of connects at once, most of which nobody will need.
+	// maxEagerOffices offices are connected to as soon as they are listed, fewer if descriptors are short.
+	// With a longer list each is connected to at its first set-up, to avoid thousands of simultaneous connects
+	// of which most are never needed.
 	maxEagerOffices = 512
-	// remember is how long ids of calls that are over are known, to tell a crossing release from that of a
-	// call of before our start.
+	// endedCallTTL is how long ids of ended calls are kept, to tell a crossing release from that of a previous
+	// process's call.
 	endedCallTTL  = 20_000_000
 	sweepInterval = 1_000_000
-	// tellAfter is how much later an office is told once more of set-ups that were stuck on a connection which has ended.
+	// releaseRepeatDelay is how much later an office is told again of set-ups that were stuck on an ended
+	// connection.
 	releaseRepeatDelay = 1_000_000
-	// unsureFor: a caller that closes so soon after a release was written to it, and has not said that it heard
-	// it, may not have read it.
+	// unconfirmedReleaseTTL: a caller that disconnects within this time after a release was written to it,
+	// without acknowledging it, may not have read it.
 	unconfirmedReleaseTTL = 6_000_000
-	// goOn is how long after SIGTERM connections (0.4 s) and set-ups on them (0.2 s more) may still come.
+	// acceptAfterStop is how long after SIGTERM connections (0.4 s) and set-ups on them (another 0.2 s) may
+	// still arrive.
 	acceptAfterStop = 850_000
-	// No kill comes sooner after SIGTERM than the longest deadline, counted as longestCounted where it is
-	// longer, plus killAfter. Every call has its final answer this much before: beforeKill.
+	// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as at most maxCountedDeadline,
+	// plus killDelay. Every call gets its final answer killMargin before that.
 	maxCountedDeadline, killDelay, killMargin = 3_000_000, 700_000, 200_000
 	maxEndedCalls                             = 1 << 16
 	maxEventPasses                            = 32
 )
 
-// Config is what a Session is made from.
+// Config configures a Session.
 type Config struct {
 	Settings wire.Settings
 	Source   membership.Source
 	Sockets  int
-	Memory   int64 // bytes; 0: not limited
+	Memory   int64 // bytes; 0: unlimited
 	Seed     uint64
-	// Node makes what decides; nil: the module alone.
+	// Node creates the decider; nil: the decision module alone.
 	Node func(decide.Settings, uint64) (Decider, error)
-	// Laner says on which connection to an office a message goes; nil: each office has one for all, and nothing of it is kept.
+	// Laner selects the connection to an office for each message; nil: each office has a single connection,
+	// and no state is kept for lanes.
 	Laner pooling.Laner
-	// Watch: Laner is told what is seen and not asked; all goes as without it.
+	// Watch: Laner is informed but not asked, and calls are routed as without it.
 	Watch bool
-	// Application is the name of the application whose callers come here, for Laner.
+	// Application is the name of the application of the callers, for Laner.
 	Application string
 }
 
-// Session is one running session controller. All of it belongs to one goroutine.
+// Session is a running session controller. It must be used by one goroutine only.
 type Session struct {
 	Counters state.Counters
 
 	net               Network
 	decider           Decider
-	endHearer         EndHearer // the node, if it is one
+	endHearer         EndHearer // the decider, if it implements EndHearer
 	log               *slog.Logger
 	source            membership.Source
 	journal           journal
 	now               int64
-	lastStep          int64 // when the last round was
-	pauseBegan        int64 // when the last round before a stand-still was; 0: never
-	readDelay         int64 // how long what came in this round had waited at most
-	pauseEnded        int64 // when it last came to after standing still, or was found to have been told late; 0: never
+	lastStep          int64 // time of the last round
+	pauseBegan        int64 // time of the last round before a process pause; 0: never
+	readDelay         int64 // longest time for which input of this round had waited
+	pauseEnded        int64 // when the last process pause ended, or input was found to have waited long; 0: never
 	wheel             *state.Wheel
 	dueTimers         []state.Timer
 	events            []decide.Event
 	spareEvents       []decide.Event
 	actions           []decide.Action
 	controlReply      []byte
-	params            []wire.Param // of the message that is being read
-	pendingWrites     []any        // *state.Caller and *state.Lane that have something to be written
+	params            []wire.Param // of the message being read
+	pendingWrites     []any        // *state.Caller and *state.Lane with messages to write
 	callPool          state.Calls
 	callerScratch     []*state.Caller
 	admission         admit.Door
 	offeredSetUps     []offeredSetUp // set-ups of this round
 	admissionOffers   []admit.Offer
-	admittedEvents    []decide.Event // room for those that the door takes
+	admittedEvents    []decide.Event // scratch space for the events of admitted set-ups
 	refusedScratch    []bool
-	admissionRefusals int // set-ups of this round that the door refused
+	admissionRefusals int // set-ups of this round refused by admission control
 
 	classIndex      map[string]int
 	classNames      map[string]string // of classes
@@ -162,37 +172,37 @@
 	maxControlConns int
 	descriptorLimit int // descriptors for callers and offices together
 	maxEagerOffices int
-	fullSince       int64 // since when there has been no place for a new caller; 0: there is one
+	fullSince       int64 // since when no new caller can be accepted; 0: one can
 	dialTimeout     int64
 	maxDeadline     int64 // the longest deadline of a class
 
 	reportRhythm    liveness.Rhythm    // of all offices' reports
-	callDurations   *liveness.Holding  // how long calls last
-	livenessClock   checkClock         // when connections to offices were last looked at
-	connOwners      map[state.Conn]any // *state.Caller, *state.Lane or *journal
-	callers         []*state.Caller    // in the order in which they came
-	controlConns    []*state.Asker     // in the order in which they came
+	callDurations   *liveness.Holding  // distribution of call durations
+	livenessClock   checkClock         // state of the office checks
+	connOwners      map[state.Conn]any // *state.Caller, *state.Lane, *state.Asker or *journal
+	callers         []*state.Caller    // in order of arrival
+	controlConns    []*state.Asker     // in order of arrival
 	answerCounts    []state.Ends       // by class
 	calls           map[uint64]*state.Call
 	established     map[uint64]*state.Standing
-	unsentReleases  map[uint64]state.Ending // releases to callers, of whom none is connected
-	earlierReleases map[uint64]state.Ending // callers' releases of calls of before our start, for offices that are named later
-	endedCalls      map[uint64]int64        // ids of calls that ended, and when
-	// The most entries that these have had at a sweep, since they were last made anew.
+	unsentReleases  map[uint64]state.Ending // releases for callers that could not be sent to a trusted one
+	earlierReleases map[uint64]state.Ending // callers' releases of a previous process's calls, for offices listed later
+	endedCalls      map[uint64]int64        // ids of ended calls, and when they ended
+	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
 	offices                                    state.Offices
 	dials                                      map[uint64]*state.Lane   // nil: the journal
-	pendingRedials                             map[uint64]*state.Office // those that wait to be dialled again, by the wait's number
+	pendingRedials                             map[uint64]*state.Office // by number of the timer
 	lastDialID                                 uint64
 	startedAt                                  int64
-	earlierCallSeen                            int64 // when a call of before our start was last heard of; at first the start
-	stoppedAt                                  int64 // when SIGTERM came; 0: not
-	listenerClosed                             bool  // nobody listens for callers any more
-	drainingSince                              int64 // since when callers are sent away though the program goes on; 0: they are not
+	earlierCallSeen                            int64 // last sign of a previous process's call; initially the start
+	stoppedAt                                  int64 // when SIGTERM arrived; 0: not yet
+	listenerClosed                             bool  // the callers' listener is closed
+	drainingSince                              int64 // since when a drain lasts; 0: none
 	lanes                                      lanes
 }
 
-// New returns a session that knows the list of its configuration. The first Step starts it.
+// New returns a session with the list in the source's configuration. The first Step starts it.
 func New(cfg Config, net Network, log *slog.Logger, now int64) (*Session, error) {
 	set, err := cfg.Settings.Decide()
 	if err != nil {
@@ -237,7 +247,7 @@
 	return s, nil
 }
 
-// Next tells when Step is due at the latest, whatever arrives.
+// Next returns the time by which Step has to be called even without arrivals.
 func (s *Session) Next() int64 {
 	if len(s.events) > 0 {
 		return s.now
@@ -246,8 +256,8 @@
 	return at
 }
 
-// Step takes in what has arrived and the timers that are due, hands all of it to the module at one clock
-// value, and carries out the module's actions in order.
+// Step handles arrivals and due timers, passes the resulting events to the decider at one clock value, and
+// carries out its actions in order.
 func (s *Session) Step(now int64, arrivals []Arrival) {
 	if s.now = max(s.now, now); s.wasPaused(arrivals) {
 		s.pauseEnded = s.now
@@ -271,8 +281,8 @@
 	for _, timer := range s.dueTimers {
 		s.handleTimer(timer)
 	}
-	// What an action ends at once, like a cancelled attempt, is an event of a further round. The bound only
-	// lets arrivals in between; it cuts nothing off.
+	// What an action ends at once, like a cancelled attempt, is an event of a further pass. The bound only
+	// lets arrivals in between; no event is dropped.
 	for range maxEventPasses {
 		if len(s.events) == 0 {
 			break
@@ -295,26 +305,26 @@
 	s.callPool.Settle()
 }
 
-// stoodStill tells whether this round comes long after the last one, or tells of what came in long ago. Guards against
-// beginning an attempt for a caller who has left meanwhile: that he has may not have been read yet.
+// wasPaused reports whether this round comes long after the last one, or delivers input that arrived long ago.
+// In this case the end of a caller may be unread, and no attempt should begin for it.
 func (s *Session) wasPaused(arrivals []Arrival) bool {
 	return s.now-s.lastStep > minPause || slices.ContainsFunc(arrivals, func(arrival Arrival) bool { return s.now-arrival.At > minPause })
 }
 
-// Done tells whether a stop that was asked for is complete: nothing that was taken lacks its answer, no more can come, and
-// all that was written has been read, or a kill may come. Guards against ending while callers wait to be taken in: the
-// system resets them, with the set-ups that they have sent.
+// Done reports whether a requested stop is complete: every accepted call is answered, no more can arrive, and
+// everything written has been read, or SIGKILL may come. Exiting while callers wait to be accepted would reset
+// their connections and lose the set-ups that they have sent.
 func (s *Session) Done() bool {
 	return s.stoppedAt != 0 && s.now >= s.stoppedAt+acceptAfterStop && s.countOpen() == 0 && !s.releasesPending() && (s.listenerClosed && len(s.callers) == 0 || s.now >= s.lastAnswerTime())
 }
 
-// lastAnswer is when the last call must have its answer once SIGTERM has come.
+// lastAnswerTime is when the last call must have its answer after SIGTERM.
 func (s *Session) lastAnswerTime() int64 {
 	return s.stoppedAt + min(maxCountedDeadline, s.maxDeadline) + killDelay - killMargin
 }
 
-// endAll gives what is still open its final answer. Guards against the kill, which loses it: callers may wait
-// longer than that. They may try another controller at once, so no time to come back is told.
+// failOpenCalls gives each open call its final answer, because SIGKILL would lose it; a caller's own time
+// limit may be later. Callers may try another controller at once, so no retry delay is sent.
 func (s *Session) failOpenCalls() {
 	for _, call := range inKeyOrder(s.calls) {
 		if !call.Answered {
@@ -323,7 +333,8 @@
 	}
 }
 
-// endNow gives an open call its final answer, whatever the module would still do for it, and calls it off.
+// failCall gives an open call its final answer, whatever the module would still do for it, and cancels its
+// attempt.
 func (s *Session) failCall(call *state.Call) {
 	s.finishCall(call, decide.Action{Call: decide.CallID(call.ID)}, wire.CauseCut, state.FailuresOut)
 }
@@ -348,13 +359,13 @@
 
 func (s *Session) queueEvent(event decide.Event) { s.events = append(s.events, event) }
 
-// Report logs the counters and what is held now.
+// Report logs the counters and the current state.
 func (s *Session) Report() {
 	s.log.Info("counters", "counts", s.Counters.String(), "open", s.countOpen(), "standing", len(s.established),
 		"callers", len(s.callers), "offices", len(s.offices.All()))
 }
 
-// act carries out one action of the module.
+// execute carries out one action of the decider.
 func (s *Session) execute(action decide.Action) {
 	switch action.Kind {
 	case decide.Send:
--- a/internal/session/silent_office_test.go
+++ b/internal/session/silent_office_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Times of the cases below. An office that falls silent says its last word at lastWord, and the calls that stand there may
-// end right after it. The protocol lets a caller wait for 8 s after the end of a call that nobody could release, and every
-// limit is 50 ms longer on sockets.
+// Times of the cases below. A silent office sends its last message at lastMessageAt, and its established calls may
+// end right after it. The protocol allows a caller to wait for 8 s after the end of a call that could not be
+// released; each limit includes 50 ms for sockets.
 const (
 	lastMessageAt   = 505
 	releaseDue      = lastMessageAt + 8_050
@@ -18,16 +18,16 @@
 	freeLinesReport = `o1 > [2b 0000000000000000 2b["free:%d;size:9"]]`
 )
 
-// officeCase is how the office o1 behaves once a call stands there.
+// officeCase is the behaviour of the office o1 after a call was established there.
 type officeCase struct {
 	name          string
-	reports       bool                   // it told its free lines until it fell silent
-	events        func() []string        // what happens, each with its millisecond
-	greeting      func(p *player) []byte // what it says first on each new connection
-	earlierEvents []string               // what happens before, each with its millisecond
+	reports       bool                   // it reported its free lines until it fell silent
+	events        func() []string        // events, each with its millisecond
+	greeting      func(p *player) []byte // first message on each new connection
+	earlierEvents []string               // events before, each with its millisecond
 }
 
-// every repeats a line at a distance, until the end of the case.
+// repeatEvery repeats a line at a fixed interval until the end of the case.
 func repeatEvery(first, gap int, line string) []string {
 	var lines []string
 	for at := first; at < caseLength; at += gap {
@@ -36,7 +36,7 @@
 	return lines
 }
 
-// play lets a call stand at o1 from 30 ms on, plays the lines in the order of their times, and returns all that happened.
+// play establishes a call at o1 at 30 ms, plays the lines in the order of their times, and returns all events.
 func (c officeCase) play(t *testing.T) []string {
 	p := newPlayer(t)
 	lines := []string{
@@ -70,16 +70,16 @@
 	return p.lines
 }
 
-// at is the millisecond of a line.
+// eventTime returns the millisecond of a line.
 func eventTime(line string) int {
 	ms, _ := strconv.Atoi(strings.Fields(line)[0])
 	return ms
 }
 
-// released is when the caller was told that the call a1 is over, and with which cause; 0: never.
+// releaseOfFirstCall returns when the caller was told of the release of the call a1, and its cause; 0: never.
 func releaseOfFirstCall(lines []string) (ms int, cause string) { return releaseOf(lines, "a1") }
 
-// releasedCall is the same for a call by the last two digits of its id.
+// releaseOf is releaseOfFirstCall for the call with the given last two digits of its id.
 func releaseOf(lines []string, call string) (ms int, cause string) {
 	for _, line := range lines {
 		if strings.Contains(line, " a < ") {
@@ -93,12 +93,12 @@
 	return 0, ""
 }
 
-// setUpAt asks for a call at o1, which o1 gets if the module tries it.
+// setUpAt returns a line that requests a call at o1; o1 gets it if the module tries it.
 func setUpAt(ms int, call int) string {
 	return fmt.Sprintf(`%d a > [01 00000000000001%02x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, ms, call, call+10)
 }
 
-// A caller is left waiting for the end of a call whose office has stopped speaking, in any of these ways.
+// A caller waited too long for the release of a call whose office had gone silent in one of these ways.
 func TestSilentOfficeLeavesNoCallerWaiting(t *testing.T) {
 	setUps := func() (lines []string) {
 		for i := range 40 {
@@ -140,13 +140,13 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			lines := scenario.play(t)
 			if at, _ := releaseOfFirstCall(lines); at == 0 || at > releaseDue {
-				t.Errorf("the caller was told of the end of its call at %d ms, want by %d ms (0: never)", at, releaseDue)
+				t.Errorf("the release reached the caller at %d ms, want by %d ms (0: never)", at, releaseDue)
 			}
 		})
 	}
 }
 
-// A call is cut at an office that is alive: one that is slow, has little to say, drains, or lost a connection.
+// A call was cut at an office that is alive but slow, idle, draining, or reconnecting.
 func TestResponsiveOfficeKeepsItsCalls(t *testing.T) {
 	reporting := func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
 	reports := func(gap int) []string { return repeatEvery(lastMessageAt+gap, gap, fmt.Sprintf(freeLinesReport, 8)) }
@@ -185,14 +185,14 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			lines := scenario.play(t)
 			if at, cause := releaseOfFirstCall(lines); at != 0 {
-				t.Errorf("the call was released at %d ms with cause %s, though its office speaks:\n%s", at, cause, strings.Join(lines, "\n"))
+				t.Errorf("the call was released at %d ms with cause %s, though its office responds:\n%s", at, cause, strings.Join(lines, "\n"))
 			}
 		})
 	}
 }
 
-// A process that is told to end leaves a caller waiting for the end of a call at an office that has fallen silent: no later
-// process knows of it.
+// A process that shuts down left a caller waiting for the release of a call at a silent office, because no
+// later process knows of it.
 func TestSilentOfficeAsTheProcessEnds(t *testing.T) {
 	reports := repeatEvery(lastMessageAt+500, 500, fmt.Sprintf(freeLinesReport, 8))
 	term := "2000 term"
@@ -232,8 +232,8 @@
 	}
 }
 
-// A caller is left waiting for the end of a call whose office's process has died and was back at once, while discovery could
-// tell nobody of its new start.
+// A caller waited too long for the release of a call whose office's process had died and restarted at once,
+// while discovery could not report the restart.
 func TestRestartedOfficeWhileDiscoveryIsSilent(t *testing.T) {
 	restart := []string{"1000 o1 refuse", "1001 o1 close", "1800 o1 accept"}
 	frames := repeatEvery(500, 500, "j > {0000000000000001 00}")
@@ -258,8 +258,8 @@
 	}
 }
 
-// The release of many calls fills a caller's box, its connection has ended unnoticed, and a call among them, whose answer was
-// in the box, is ended by that: the process crashed.
+// The releases of many calls filled a caller's outbox, its connection was closed unnoticed, and one of the
+// calls, whose answer was in the outbox, was ended by the failed write: the process crashed.
 func TestManyReleasesToDisconnectedCaller(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
@@ -276,12 +276,12 @@
 		p.play(fmt.Sprintf(`%d o1 > [2b 0000000000000000 2b["free:9;size:9"]]`, at+2))
 	}
 	if n := len(p.s.offices.Get("s-00000001").Standing); n < calls*9/10 {
-		t.Fatalf("%d calls stand, want %d", n, calls-1)
+		t.Fatalf("%d calls are established, want %d", n, calls-1)
 	}
 	p.conns["a"].closed = true
 	p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, "[09 "+id(calls)+` 3d["d"]]`)},
 		Arrival{Kind: Data, At: p.now, Conn: p.conns["j"], Data: parse(t, "{0000000000000002 02 00000001 7f000001 03e9 02 00 00 0000 000003e8 0000000000000000}")})
 	if n := len(p.s.offices.Get("s-00000001").Standing); n != 0 {
-		t.Errorf("%d calls stand at an office that has gone", n)
+		t.Errorf("%d calls are established at a removed office", n)
 	}
 }
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// sweep drops what is kept only for a while.
+// sweep removes expired entries.
 func (s *Session) sweep() {
 	s.callPool.Trim()
 	s.mostEndedCalls = max(s.mostEndedCalls, len(s.endedCalls))
@@ -91,7 +91,8 @@
 	s.offices.Forget()
 }
 
-// shrunk makes a map anew that had many more entries than it has: a map keeps the room of its largest size for good.
+// shrinkMap reallocates a map that has far fewer entries than it had at most, since a map never shrinks by
+// itself.
 func shrinkMap[V any](m map[uint64]V, largest *int) map[uint64]V {
 	const least, much = 4096, 8
 	if *largest < least || len(m) > *largest/much {
@@ -103,8 +104,8 @@
 	return n
 }
 
-// inOrder goes through what a map holds now by key, so that nothing depends on the order of a map. What is taken out of the map
-// meanwhile is passed over.
+// inKeyOrder iterates over a map by ascending key, so that nothing depends on map order. Entries removed
+// during the iteration are skipped.
 func inKeyOrder[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
--- a/internal/session/told_test.go
+++ b/internal/session/told_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// What the journal service has to tell counts as told so long after a fault, whether it has come or not. By then it must
-// have been asked again, whatever the fault has to do with the frames that came each second before. Ending 100 ms ahead
-// leaves the events the time to come.
+// A change of the list counts as known a fixed time after a fault, whether it has arrived or not. By then the
+// journal must have been subscribed to again, whatever the phase of the fault relative to the frames sent each
+// second. The margin of 100 ms is for the events to arrive.
 func TestJournalIsResubscribedInTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault string // what happens, a line each; ms after the fault, +0 is the fault
-		told  int64  // ms after the fault
+		fault string // events separated by |, each with its time in ms after the fault
+		told  int64  // when a change counts as known, in ms after the fault
 	}{
 		{"it breaks off", "+0 j close", 2000},
 		{"it breaks off, and connects are refused for a second", "+0 j refuse|+0 j close|+1000 j accept", 2000},
@@ -37,7 +37,7 @@
 			for line := range strings.SplitSeq(c.fault, "|") {
 				if after, rest, ok := strings.Cut(strings.TrimPrefix(line, "+"), " "); ok {
 					var ms int64
-					_, _ = fmt.Sscan(after, &ms) // it is one of ours
+					_, _ = fmt.Sscan(after, &ms) // the format is fixed by this test
 					p.play(fmt.Sprint(fault+ms, " ", rest))
 				}
 			}
@@ -52,9 +52,9 @@
 			}
 			worst = max(worst, asked)
 		}
-		t.Logf("%s: asked again after %d ms at most", c.name, worst)
+		t.Logf("%s: subscribed again after %d ms at most", c.name, worst)
 		if worst > c.told-100 {
-			t.Errorf("%s: asked again only after %d ms; it counts as told after %d", c.name, worst, c.told)
+			t.Errorf("%s: subscribed again only after %d ms; changes count as known after %d", c.name, worst, c.told)
 		}
 	}
 }
