--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -113,7 +113,7 @@
 		}
 		if err != nil {
 			s.Counters[state.BadIn]++
-			s.log.Debug("connection unreadable", "error", err)
+			s.log.Debug("invalid message on connection", "error", err)
 			if caller, ok := s.connOwners[arrival.Conn].(*state.Caller); ok {
 				s.disconnectCaller(caller, err)
 			} else {
--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -126,7 +126,7 @@
 		return // already disconnected
 	}
 	s.Counters[state.TurnedOut]++
-	s.log.Debug("caller turned out", "open", len(caller.Open), "error", err)
+	s.log.Debug("disconnecting caller", "open", len(caller.Open), "error", err)
 	for _, call := range inKeyOrder(caller.Open) {
 		s.failCall(call)
 	}
@@ -249,7 +249,7 @@
 	if err != nil {
 		s.Counters[state.BadIn]++
 		s.Counters[state.FailuresOut]++
-		s.log.Debug("set-up unreadable", "call", formatCallID(message.Call), "error", err)
+		s.log.Debug("invalid set-up", "call", formatCallID(message.Call), "error", err)
 		s.sendRelease(caller, message.Call, wire.CauseMissing, 0)
 		s.callPool.Over(call)
 		s.countInvalid(caller, invalidSetUpWeight)
@@ -290,16 +290,16 @@
 // validateSetUp checks a set-up against the settings, so that no value out of range reaches the module.
 func (s *Session) validateSetUp(setUp wire.SetUp, class int, known bool) error {
 	if !known {
-		return fmt.Errorf("parameter 16: no class %.20q", setUp.Class)
+		return fmt.Errorf("parameter 16: unknown class %.20q", setUp.Class)
 	}
 	if setUp.Wait > s.settings.Classes[class].Deadline {
-		return fmt.Errorf("parameter 19: %d us is past the deadline of the class", setUp.Wait)
+		return fmt.Errorf("parameter 19: %d us exceeds the deadline of the class", setUp.Wait)
 	}
 	if cells := s.settings.Info.Cells; class < len(cells) && setUp.Dest >= 0 && !slices.Contains(cells[class], setUp.Dest) {
-		return fmt.Errorf("parameter 31: dest %d", setUp.Dest)
+		return fmt.Errorf("parameter 31: class has no dest %d", setUp.Dest)
 	}
 	if widths := s.settings.Info.Widths; class < len(widths) && setUp.Width > 0 && setUp.Width != widths[class] {
-		return fmt.Errorf("parameter 31: width %d", setUp.Width)
+		return fmt.Errorf("parameter 31: width of the class is not %d", setUp.Width)
 	}
 	return nil
 }
--- a/internal/session/control.go
+++ b/internal/session/control.go
@@ -20,7 +20,7 @@
 	readyWithoutJournal = 2_000_000
 )
 
-var errControlTimeout = errors.New("nothing asked for in time, or no room")
+var errControlTimeout = errors.New("no request in time, or too many control connections")
 
 // controlAccepted registers a connection to the control address.
 func (s *Session) controlAccepted(arrival Arrival) {
@@ -74,7 +74,7 @@
 	case wire.AskDrain:
 		if s.drainingSince == 0 {
 			s.drainingSince = s.now
-			s.log.Info("sending callers away", "callers", len(s.callers), "open", s.countOpen())
+			s.log.Info("draining, disconnecting callers", "callers", len(s.callers), "open", s.countOpen())
 		}
 		return wire.Told(b, true, "draining")
 	case wire.AskUndrain:
@@ -83,7 +83,7 @@
 		}
 		if s.drainingSince != 0 {
 			s.drainingSince = 0
-			s.log.Info("taking callers again")
+			s.log.Info("drain cancelled, accepting callers again")
 		}
 		return wire.Told(b, true, "taking callers")
 	}
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -44,7 +44,7 @@
 	journal := &s.journal
 	journal.lostAt = s.now
 	s.Counters[state.JournalLost]++
-	s.log.Warn("journal lost", "last", s.source.Last(), "error", err)
+	s.log.Warn("journal connection lost", "last", s.source.Last(), "error", err)
 	journal.conn, journal.dialID = nil, 0
 	if s.now-journal.dialledAt >= journalCheckInterval { // otherwise checkJournal dials
 		s.dialJournal()
@@ -64,7 +64,7 @@
 		return
 	}
 	s.Counters[state.Reloads]++
-	s.log.Info("configuration read anew", "journal", arrival.Update.Address, "last", s.source.Last(), "known", arrival.Update.Known.Last)
+	s.log.Info("configuration reloaded", "journal", arrival.Update.Address, "last", s.source.Last(), "known", arrival.Update.Known.Last)
 	if r, ok := s.decider.(Reloader); ok && arrival.Update.Part != nil {
 		s.actions = r.Reload(s.now, arrival.Update.Part, s.actions[:0])
 		for _, act := range s.actions {
--- a/internal/session/leave.go
+++ b/internal/session/leave.go
@@ -27,7 +27,7 @@
 	drainEndAfter = 1_800_000
 )
 
-var errDrained = errors.New("sent away")
+var errDrained = errors.New("disconnected by drain or shutdown")
 
 // drainElapsed returns for how long callers have been disconnected; it is negative if they are not, or not
 // yet.
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -277,7 +277,7 @@
 		return
 	}
 	if countEstablished(office)(0, before) > 0 {
-		s.log.Warn("office ends no calls", append([]any{"office", office.ID}, s.livenessFields(office)...)...)
+		s.log.Warn("calls no longer end at office", append([]any{"office", office.ID}, s.livenessFields(office)...)...)
 	}
 	for _, established := range inKeyOrder(office.Standing) {
 		if established.Since < before {
@@ -353,7 +353,7 @@
 // releaseForOffice releases a call to its caller and, if the office is connected, at the office.
 func (s *Session) releaseForOffice(office *state.Office, established *state.Standing, reason liveness.Reason) {
 	call, lane := established.ID, established.On
-	s.log.Info("call released for its office", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
+	s.log.Info("releasing call because its office cannot end it", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
 		"stood_ms", (s.now-established.Since)/1000)
 	s.Counters[releaseCounters[reason]]++
 	s.cutEstablished(established)
