--- a/internal/keeper/book.go
+++ b/internal/keeper/book.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	firstLines = 4          // a number is thought to have so many lines until more is known
-	probeFirst = 250_000    // one more line is tried so soon after one more was found
-	probeKnown = 2_000_000  // and so soon after a busy end, while fewer than were known are thought to be there
-	probeMost  = 8_000_000  // and so often at the least
-	moveOver   = 60_000_000 // over which the demand is reckoned that says who should keep a number
-	turnOver   = 10_000_000 // over which the turnover of lines is reckoned
-	knownFor   = 60_000_000 // lines that were seen are remembered for so long
-	idlePart   = 12         // one part in so many of the lines may be in hand unused, before more is given ahead
-	aheadMost  = 4          // permits ahead that may be saved up
-	writeGap   = 100_000    // between two writes of the record
-	writeSoon  = 5_000      // and if an answer waits for one
-	leastLife  = 100_000    // a permit that would last less is not given
-	maxPeers   = 4096       // processes in one record
-	wantLately = 5_000_000  // who wanted a line so lately may get one ahead
+	firstLines = 4          // lines that a number is assumed to have until more is known
+	probeFirst = 250_000    // delay of the next probe for lines after a probe that found some
+	probeKnown = 2_000_000  // delay after a busy end, while fewer lines than were known are assumed
+	probeMost  = 8_000_000  // longest delay between probes
+	moveOver   = 60_000_000 // averaging window of the demand that decides who should keep a number
+	turnOver   = 10_000_000 // averaging window of the turnover of lines
+	knownFor   = 60_000_000 // the most lines seen in use are remembered for this long
+	idlePart   = 12         // no advance grants while more than one in this many of the lines is an unused permit
+	aheadMost  = 4          // most advance permits that may be saved up
+	writeGap   = 100_000    // least time between two writes of the record
+	writeSoon  = 5_000      // the same if an answer waits for the write
+	leastLife  = 100_000    // a permit that would be valid for less is not granted
+	maxPeers   = 4096       // processes in one ledger
+	wantLately = 5_000_000  // a process that wanted a line this recently may get one in advance
 	againLeast = 20_000
 	againMost  = 500_000
 	stayLeast  = 200_000
 	stayMost   = 10_000_000
 )
 
-// peer is one process as the record of a number has it.
+// peer is one process in the ledger of a number.
 type peer struct {
 	name string
 	life uint64
-	n    uint64 // its newest report
-	at   int64  // when that came
+	n    uint64 // number of its newest report
+	at   int64  // when that report came
 	seen bool   // it has reported under this keeper's fence
 	due  bool   // its answer waits for the record to be written
-	it   item   // that report
-
-	granted int64   // given for that report
-	lasts   int64   // how long these last, from when the report was sent
-	ghost   int64   // lines that an earlier life of it held
-	laid    int64   // until when these count
-	ceil    int64   // most that it may hold, by the record that a majority has
-	next    int64   // and by that which is being written
+	it   item   // its newest report
+
+	granted int64   // permits granted for that report
+	lasts   int64   // lifetime of these permits, from when the report was sent
+	ghost   int64   // lines that an earlier incarnation of it held
+	laid    int64   // when these no longer count
+	ceil    int64   // most lines that it may hold by the record stored at a majority
+	next    int64   // the same by the record that is being written
 	wanted  int64   // when it last wanted a line
-	turn    float64 // grants had for its part of the demand: who has the least is served first
-	rate    float64 // its demand over a minute, which says whether the number should move
-	noted   int64   // lines that it is counted with, by the notes; before: those of an earlier life
+	turn    float64 // grants weighted by demand, as in weighted fair queuing: the lowest is served first
+	rate    float64 // its demand averaged over a minute, which decides whether the number should move
+	noted   int64   // lines counted for it in the last note; notedPrevious: those of an earlier incarnation
 	before  int64
 }
 
-// holds is the lines that a process may hold: what it told, and what it was given since.
+// heldLines returns the lines that a process may hold: those it reported and those granted since.
 func (p *peer) holds(now int64) int64 {
 	return p.it.Hold + p.granted + p.earlier(now)
 }
 
-// earlier is the lines of an earlier life of it that count yet.
+// previousLines returns the lines of an earlier incarnation that still count as held.
 func (p *peer) earlier(now int64) int64 {
 	if now < p.laid {
 		return p.ghost
@@ -66,55 +66,55 @@
 	return 0
 }
 
-// book is the authoritative record of one number, at its keeper.
+// ledger is the authoritative record of one number at its keeper.
 type book struct {
 	cfg   *Config
 	key   string
 	thing string
 	fence uint64
 	begun int64
-	peers []*peer // by name
-
-	lines  int64 // that the number seems to have
-	known  int64 // the most that were seen in use, lately
-	knew   int64 // when
-	slow   bool  // nothing has been busy yet: the lines are sought by doubling
-	most   int64 // that the site says there are; 0: it does not
-	probe  int64 // when one more is tried
-	pause  int64 // until the next such time
-	sought bool  // whether the last line tried is there is not known yet
-	step   int64 // lines tried at once
-	need   int64 // calls that are to begin before these count as found
-
-	ended  float64 // lines that became free, decayed
-	counts int64   // as of when
-	ahead  float64 // permits that may be given before they are asked for
-	served float64 // the turn of who was served last
-	unmet  int64   // when a call was last turned away
-
-	// What the last keeper may have granted, and is not told yet.
-	holders []holder // that have not reported here
-	all     bool     // any process may hold some
-	old     int64    // lines as the last record had them
-	told    int64    // of them, held by those that have reported, as they first did
-	window  int64    // until when a permit of the last keeper may be valid
-	silent  int64    // until when those that say nothing count
-
-	write    uint64 // the record that is being written; 0: none
+	peers []*peer // sorted by name
+
+	lines  int64 // lines that the number is assumed to have
+	known  int64 // most lines seen in use recently
+	knew   int64 // when they were seen
+	slow   bool  // nothing has been busy yet: the assumed lines grow exponentially
+	most   int64 // lines by the site's configuration; 0: not configured
+	probe  int64 // when more lines are probed next
+	pause  int64 // delay between probes
+	sought bool  // it is not known yet whether the lines probed last exist
+	step   int64 // lines probed at once
+	need   int64 // calls still to begin before the probed lines count as found
+
+	ended  float64 // lines that became free, with exponential decay
+	counts int64   // when freedLines was last brought up to date
+	ahead  float64 // permits that may be granted in advance
+	served float64 // virtual time of the peer served last
+	unmet  int64   // when a call was last refused
+
+	// What the previous keeper may have granted without this one having been told.
+	holders []holder // those that have not reported here yet
+	all     bool     // any process may hold lines
+	old     int64    // lines in the previous keeper's record
+	told    int64    // of these, lines in the first reports of those that have reported
+	window  int64    // until when permits of the previous keeper may be valid
+	silent  int64    // until when lines of processes that have not reported count as held
+
+	write    uint64 // the write that is in progress; 0: none
 	wrote    int64
 	dirty    bool
-	wroteAll bool // the record being written says that all may hold; isAll: that which a majority has
+	wroteAll bool // the record being written allows any holder; storedAnyHolder: the one stored at a majority
 	isAll    bool
-	wroteN   int64 // the lines that it tells of; isN: those of the record that a majority has
+	wroteN   int64 // the lines in the record being written; storedLines: in the one stored at a majority
 	isN      int64
 
-	more    int64  // since when an other process has so much more of the demand; 0: none has
-	leaving string // who is to be the next keeper
-	leave   int64  // when it is given up at the latest; 0: it is not
+	more    int64  // since when another process has enough more of the demand; 0: none has
+	leaving string // the next keeper
+	leave   int64  // when the number is handed over at the latest; 0: it is not
 
-	doubts uint64 // permits that were not given because the lease ends too soon
+	doubts uint64 // permits not granted because the lease ends too soon
 
-	notes                    []fleet.Note // not handed out yet
+	notes                    []fleet.Note // not passed on yet
 	notedLines, notedUnknown int64        // as last noted; -1: never
 }
 
@@ -127,7 +127,7 @@
 		b.lines, b.known, b.knew = r.Lines, r.Known, now
 		b.ended = float64(r.Turn) * turnOver / 1e9
 		b.old, b.all, b.holders = max(r.Lines, r.Out), r.All, r.holders()
-		// Of clocks that run apart, the oldest permit may have been given just before this lease began.
+		// The previous keeper may have granted a permit just before this lease began, and clocks may drift apart.
 		b.window = now + int64(float64(cfg.Permit)*(1+2*cfg.Drift))
 		b.silent = now + cfg.Silent
 	}
@@ -140,7 +140,7 @@
 	return b, err
 }
 
-// peer returns a process's place; nil: there is no room.
+// peer returns the state of a process; nil: the ledger is full.
 func (b *book) peer(name string) *peer {
 	i, ok := slices.BinarySearchFunc(b.peers, name, func(p *peer, name string) int { return strings.Compare(p.name, name) })
 	if ok {
@@ -154,7 +154,7 @@
 	return p
 }
 
-// held is the lines that processes may hold that have reported; calls those on which a call stands.
+// held returns the lines that the processes that have reported may hold, and how many of these carry a call.
 func (b *book) held(now int64) (held, calls int64) {
 	for _, p := range b.peers {
 		held += p.holds(now)
@@ -163,9 +163,9 @@
 	return held, calls
 }
 
-// unknown is the lines that the last keeper may have granted to processes that have not reported to this one. While its
-// permits may be valid, that is all that it could give; later, what its record allowed them, until they have been silent
-// for so long that they count as gone.
+// unreported returns the lines that the previous keeper may have granted to processes that have not reported to this
+// one. While permits of that keeper may be valid, these are all the lines it could grant; later, those that its
+// record allowed, until the processes have been silent for so long that they count as gone.
 func (b *book) unknown(now int64) int64 {
 	if b.cfg.doctor.forgetOld || now >= b.silent || !b.all && len(b.holders) == 0 {
 		return 0
@@ -181,8 +181,8 @@
 	return min(rest, sum)
 }
 
-// limit is the lines that grants are held against. Guards against a next keeper that reads of fewer lines than are granted: those
-// that a majority does not know of yet are not.
+// grantLimit returns the number of lines that may be granted in total. Lines that are not yet stored at a majority
+// are not granted, so that the next keeper never reads of fewer lines than are granted.
 func (b *book) limit() int64 {
 	lines := min(b.lines, b.isN)
 	if b.write != 0 {
@@ -191,7 +191,7 @@
 	return lines
 }
 
-// free is the lines that may be granted now.
+// freeLines returns the lines that may be granted now.
 func (b *book) free(now int64) int64 {
 	held, _ := b.held(now)
 	free := b.limit() - held - b.unknown(now)
@@ -201,12 +201,12 @@
 	return free
 }
 
-// note adds a note of the record.
+// addNote adds a note on the number.
 func (b *book) note(what string, n int64, who string, until int64) {
 	b.notes = append(b.notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: b.key, Fence: b.fence, Until: until, N: n, Text: who})
 }
 
-// counted notes what a process is counted with, if that has changed.
+// noteHeld notes the lines counted for a process if they have changed.
 func (b *book) counted(now int64, what string, p *peer, n int64) {
 	if n != p.noted || what == "met" {
 		b.note(what, n, p.name, 0)
@@ -218,7 +218,7 @@
 	}
 }
 
-// noteGrant notes a grant, and before it whatever it was reckoned with that is not noted yet.
+// noteGrant notes a grant, preceded by every value it was computed from that has not been noted yet.
 func (b *book) noteGrant(now int64, p *peer, n, lasts int64) {
 	for _, q := range b.peers {
 		b.counted(now, "holds", q, q.it.Hold+q.granted)
@@ -235,7 +235,7 @@
 	p.noted += n
 }
 
-// demand is what all ask for, in calls in a thousand seconds; at least 1.
+// totalRate returns the demand of all processes, in calls in 1000 s; at least 1.
 func (b *book) demand() int64 {
 	n := int64(1)
 	for _, p := range b.peers {
@@ -244,7 +244,7 @@
 	return n
 }
 
-// turnover is the lines that become free, in a thousand seconds.
+// turnover returns the lines that become free in 1000 s.
 func (b *book) turnover(now int64) int64 {
 	b.decay(now)
 	return int64(b.ended * 1e9 / turnOver)
@@ -257,8 +257,9 @@
 	}
 }
 
-// lasting is how long a permit given now for a report may last, from when that was sent. Guards against one that is still
-// valid when an other process keeps the number: what is given ends before the lease does, also by a clock that runs slow.
+// permitLifetime returns how long a permit granted now for a report may be valid, from when the report was sent.
+// Permits end before the lease does, also by a slow clock, so that none is valid while another process keeps the
+// number.
 func (b *book) lasting(now int64, p *peer, g lease.Grant) int64 {
 	lasts := b.cfg.Permit
 	if !b.cfg.doctor.noStop {
@@ -271,20 +272,21 @@
 	return lasts
 }
 
-// report takes what a process tells, and returns the process; nil: it is old, or there is no room.
+// applyReport applies the report of a process and returns the process; nil: the report is outdated, or the ledger is
+// full.
 func (b *book) report(now int64, from string, it item) *peer {
 	p := b.peer(from)
 	if p == nil || it.Life < p.life || it.Life == p.life && it.N < p.n {
 		return nil
 	}
 	if it.Life > p.life {
-		if p.life != 0 { // its last life is over, but what it held may stand yet
+		if p.life != 0 { // its previous incarnation has ended, but lines held by that may still be in use
 			p.ghost, p.laid = p.holds(now), now+b.cfg.Silent
 		}
 		*p = peer{name: p.name, life: it.Life, ghost: p.ghost, laid: p.laid, ceil: p.ceil, next: p.next, turn: p.turn, noted: p.noted, before: p.before}
 	}
 	if it.N == p.n && p.seen {
-		return p // said twice
+		return p // duplicate
 	}
 	was, first := p.it, !p.seen
 	if keep := math.Exp(-float64(now-p.at) / moveOver); first {
@@ -318,8 +320,8 @@
 	return p
 }
 
-// learn takes so many busy ends, and set-ups that became calls, under permits. A busy end says that there is one line less
-// than was thought, though never less than those on which calls stand.
+// learnLines takes busy ends, and set-ups under permits that became calls. A busy end shows that there is one line
+// less than assumed, but never fewer than carry calls.
 func (b *book) learn(now, busy, began int64) {
 	held, calls := b.held(now)
 	if calls >= b.known || now-b.knew > knownFor {
@@ -337,15 +339,16 @@
 		b.probe = now + b.pause
 		b.dirty = true
 	case b.slow && began > 0 && 4*held > 3*b.lines:
-		b.lines += 2 * began // each one that is found lets two more be tried
+		b.lines += 2 * began // each line found allows two more to be tried
 		b.dirty = true
-	case b.sought && (calls >= b.lines || b.need <= 0): // the lines that were tried are there: the next may be, too
+	case b.sought && (calls >= b.lines || b.need <= 0): // the probed lines exist: there may be more
 		b.sought, b.pause, b.probe = false, probeFirst, now+probeFirst
 		b.step = min(2*b.step, 1+b.lines/8)
 	}
 }
 
-// seek tries one more line, or twice as many as were found the last time, when all that are known are in use and calls are turned away.
+// probeLines assumes one more line, or twice as many as the last probe found, while all known lines are in use and
+// calls are refused.
 func (b *book) seek(now int64) {
 	if b.most > 0 && b.lines >= b.most || b.slow || now < b.probe || now-b.unmet > wantLately || b.unknown(now) > 0 {
 		return
@@ -354,7 +357,7 @@
 	if held < b.lines {
 		return
 	}
-	b.need = held - calls + 2*b.step // when so many calls have begun, some of them are on the lines that are tried
+	b.need = held - calls + 2*b.step // once this many calls have begun, some use the probed lines
 	b.lines, b.sought = b.lines+b.step, true
 	if b.most > 0 {
 		b.lines = min(b.lines, b.most)
@@ -363,7 +366,7 @@
 	b.dirty = true
 }
 
-// room is how many more lines a process may hold by the record that a later keeper would read.
+// headroom returns how many more lines a process may hold by the record that a later keeper would read.
 func (b *book) room(now int64, p *peer) int64 {
 	if b.isAll && (b.write == 0 || b.wroteAll) {
 		return maxCeil
@@ -375,13 +378,13 @@
 	return ceil - p.holds(now)
 }
 
-// waits tells whether a process could have a line as soon as the record says so.
+// awaitsRecord tells whether a process could have a line as soon as the record allows it.
 func (b *book) waits(now int64, p *peer) bool {
 	held, _ := b.held(now)
 	return held+b.unknown(now) < b.lines && (b.room(now, p) < 1 || b.free(now) < 1)
 }
 
-// give grants a process up to so many permits for its newest report, and returns how many.
+// grant grants a process up to the wanted number of permits for its newest report, and returns how many.
 func (b *book) give(now int64, p *peer, want int64, g lease.Grant) int64 {
 	n := min(want, b.free(now), b.room(now, p))
 	if n <= 0 || b.leave != 0 {
@@ -399,8 +402,9 @@
 	return n
 }
 
-// answer gives what a report asks for. Where lines are free, and the record does not let the process have one yet, its answer
-// waits once until it does. While there is plenty, more than that is given, by the process's part of the demand.
+// answerReport grants what a report requests. If lines are free but the record does not allow the process one yet,
+// its answer waits once until it does. While lines are plentiful, it grants extra permits by the process's share of
+// the demand.
 func (b *book) answer(now int64, p *peer, g lease.Grant) (gave int64) {
 	if p.it.Want <= p.granted {
 		return 0
@@ -423,8 +427,9 @@
 	return gave
 }
 
-// early gives one permit ahead to the process that was served least for its part of the demand, and returns it; nil: none is
-// to be given. Guards against a process that hardly ever asks at the moment when a line is free.
+// grantAhead grants one permit in advance to the process that was served least for its share of the demand, and
+// returns that process; nil: no permit is granted. It serves processes that hardly ever ask at the moment when a line
+// is free.
 func (b *book) early(now int64, g lease.Grant) *peer {
 	if b.ahead < 1 || b.free(now) < 1 {
 		return nil
@@ -434,7 +439,7 @@
 	for _, p := range b.peers {
 		idle += p.it.Idle + p.granted
 	}
-	if idle > b.lines/idlePart { // lines in hand serve nobody, and show nothing of those that are sought
+	if idle > b.lines/idlePart { // lines behind unused permits serve no call and hide whether the probed lines exist
 		return nil
 	}
 	for _, p := range b.peers {
@@ -453,9 +458,10 @@
 	return best
 }
 
-// times are when a process may ask again, how long its callers are to stay away, and its part of the turnover.
+// retryTimes returns when a process may ask again, how long its callers are to stay away, and its share of the
+// turnover.
 func (b *book) times(now int64, p *peer) (again, stay, share int64) {
-	turn := float64(b.turnover(now)) / 1e9 // lines a microsecond
+	turn := float64(b.turnover(now)) / 1e9 // lines in a microsecond
 	part := float64(p.it.Rate) / float64(b.demand())
 	again, stay = 100_000, 1_000_000
 	if turn > 0 {
@@ -465,7 +471,7 @@
 	return max(again, againLeast), max(stay, stayLeast), int64(turn * part * 1e9)
 }
 
-// forget lets go of processes that have said nothing for long, or want and hold nothing any more.
+// forgetSilent removes processes that have not reported for long and whose lines no longer count.
 func (b *book) forget(now int64) {
 	b.peers = slices.DeleteFunc(b.peers, func(p *peer) bool {
 		over := now-p.at > b.cfg.Silent && now >= p.laid
@@ -476,7 +482,8 @@
 	})
 }
 
-// stores is the record as it should stand: each process may hold what it holds, and twice its part of the lines, and a few.
+// prepareRecord returns the record to write: each process may hold what it holds, and at least twice its share of the
+// lines plus 3.
 func (b *book) stores(now int64) record {
 	held, _ := b.held(now)
 	r := record{Lines: b.lines, Known: b.known, Turn: b.turnover(now), Out: held + b.unknown(now)}
@@ -500,7 +507,7 @@
 	return r
 }
 
-// stored notes that a majority has the record that was written.
+// recordStored notes that the record that was written is stored at a majority.
 func (b *book) stored() {
 	b.write, b.isAll, b.isN = 0, b.wroteAll, b.wroteN
 	for _, p := range b.peers {
--- a/internal/keeper/choice.go
+++ b/internal/keeper/choice.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	maxSeen   = 16         // numbers that one process tells of
-	seenRoom  = 256        // numbers that it bears in mind
-	seenFor   = 10_000_000 // and for how long after their last busy end
-	claimFor  = 10_000_000 // a claim that nobody grants is given up after this
-	urged     = 2_000_000  // a keeper that hands over is followed at once within this
-	evalEvery = 250_000    // who keeps what is looked at so often
+	maxSeen   = 16         // numbers in contention that one process announces
+	seenRoom  = 256        // numbers in contention that it tracks
+	seenFor   = 10_000_000 // how long it tracks them after their last busy end
+	claimFor  = 10_000_000 // a claim that is not granted within this time is given up
+	urged     = 2_000_000  // a keeper that hands over is succeeded at once within this time
+	evalEvery = 250_000    // interval at which it is evaluated who keeps which number
 	witnesses = 2          // processes that must see a number in contention
 )
 
-// heavy is a number that this process sees in contention.
+// localDemand is the demand for a number that this process sees in contention.
 type heavy struct {
-	rate float64 // orders in a thousand seconds
+	rate float64 // set-ups in 1000 s
 	at   int64
 }
 
-// teller is what a member's entry says, and what it was read from.
+// memberEntry is the decoded keeper part of a member's entry, and the bytes it was decoded from.
 type teller struct {
 	body []byte
 	said said
 }
 
-// sight is what the entries of all say of one number.
+// numberState is what the entries of all members say of one number.
 type sight struct {
 	key  string
-	seen []tellerOf // by name
-	kept []tellerOf // by name
-	mine int64      // since when this process is the one to keep it; 0: it is not
+	seen []tellerOf // sorted by name
+	kept []tellerOf // sorted by name
+	mine int64      // since when this process is the one chosen to keep it; 0: it is not
 }
 
 type tellerOf struct {
 	name  string
-	n     int64 // rate of the seen, fence of the kept
+	n     int64 // rate for reporters, fence for keepers
 	share int64
 }
 
@@ -60,7 +60,7 @@
 	return slices.DeleteFunc(list, func(t tellerOf) bool { return t.name == name })
 }
 
-// tells takes in what a member's entry says, if it is other than before.
+// readEntry takes a member's part of its entry if it has changed.
 func (p *Part) tells(name string, body []byte) {
 	t := p.tellers[name]
 	if t != nil && len(t.body) == len(body) && (len(body) == 0 || &t.body[0] == &body[0]) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// keeperOf is who is told to keep a number, by the highest fence; nil: nobody.
+// keeperOf returns the announced keeper of a number with the highest fence; nil: none.
 func (p *Part) keeperOf(key string) *tellerOf {
 	x := p.sights[key]
 	if x == nil {
@@ -127,8 +127,8 @@
 	return best
 }
 
-// keptElsewhere tells whether an other process keeps a number that is not suspected. What a suspected one keeps may be
-// claimed: its lease is what counts.
+// keptElsewhere tells whether another process that is not suspected keeps a number. A number kept by a suspected
+// process may be claimed: the lease decides.
 func (p *Part) keptElsewhere(key string) bool {
 	k := p.keeperOf(key)
 	if k == nil || k.name == p.cfg.Self {
@@ -145,8 +145,8 @@
 	return p.view.Members
 }
 
-// fit tells whether a process may be given a number to keep: it serves, is not suspected, is not next in a staged change,
-// and has room.
+// eligible tells whether a process may be given a number to keep: it is serving, not suspected, not next in a staged
+// change, and has room.
 func (p *Part) fit(name string) bool {
 	if name == p.cfg.Self {
 		if p.draining || len(p.books)+len(p.claims) >= p.cfg.Most || p.cfg.Barred(name) {
@@ -163,7 +163,8 @@
 	return t == nil || len(t.said.Kept) < p.cfg.Most
 }
 
-// better orders those who may keep a number: by demand, and of equals by hash, so that all come to the same.
+// preferred orders the candidates for a number by demand, and equal ones by hash, so that all processes choose the
+// same one.
 func better(key, a string, na int64, b string, nb int64) bool {
 	if c := cmp.Compare(na, nb); c != 0 {
 		return c > 0
@@ -171,7 +172,7 @@
 	return xxhash.Sum64String(key+"\x00"+a) > xxhash.Sum64String(key+"\x00"+b)
 }
 
-// choose is who is to keep a number that nobody keeps; empty: nobody is fit.
+// chooseKeeper returns who is to keep a number that nobody keeps; empty: nobody is eligible.
 func (p *Part) choose(x *sight) string {
 	best, most := "", int64(0)
 	for _, t := range x.seen {
@@ -182,8 +183,8 @@
 	return best
 }
 
-// contended tells whether enough processes see a number in contention. Guards against one process that alone has trouble
-// with a number, as with an office of its own that answers busy.
+// isContended tells whether enough processes see a number in contention. One process alone may just have a problem of
+// its own with the number, such as an office of its own that answers busy.
 func (p *Part) contended(x *sight) bool {
 	need := witnesses
 	if len(x.seen) < need && !p.cfg.doctor.oneWitness {
@@ -201,7 +202,7 @@
 	return n >= need
 }
 
-// weigh looks at every number that is told of: who keeps it, and whether this process is to.
+// evaluate checks for every announced number who keeps it, and whether this process is to.
 func (p *Part) weigh(now int64, out *fleet.Out) {
 	var keys []string
 	for key, x := range p.sights {
@@ -251,9 +252,9 @@
 	p.cfg.Lessor.Claim(now, thing(key), out)
 }
 
-// follower is who should keep a number instead of this process: with so much more of the demand, for so long, that a move is
-// worth what it costs, or anybody fit if this process may not go on. Empty: nobody.
-// Guards against a number that goes to and fro between two processes with the same demand.
+// successor returns the process that should keep a number instead of this one: one whose demand has been enough
+// higher for long enough to be worth the cost of a move, or any eligible process if this one must hand over. Empty:
+// none. The margin and the delay keep a number from moving back and forth between processes with the same demand.
 func (p *Part) follower(now int64, b *book) string {
 	best, most, own := "", int64(0), int64(0)
 	rate := func(q *peer) int64 {
@@ -281,10 +282,10 @@
 		}
 		return best
 	}
-	// A move costs the lines that stay unused while the permits of the old keeper run out.
+	// A move costs the lines that stay unused while the permits of the old keeper expire.
 	cost := b.turnover(now) * p.cfg.Permit / p.cfg.Stay
 	need, stay := own+int64(p.cfg.Margin*float64(own))+cost, p.cfg.Stay
-	if now-b.begun < moveOver/2 { // the demand of each is not known yet
+	if now-b.begun < moveOver/2 { // too early for the average demand of each process
 		need = math.MaxInt64
 	}
 	if p.cfg.doctor.noHysteresis {
@@ -303,13 +304,14 @@
 	return best
 }
 
-// leaves tells whether this process may not go on keeping anything.
+// mustHandOver tells whether this process may no longer keep any number.
 func (p *Part) leaves() bool {
 	m := p.view.Member(p.cfg.Self)
 	return p.draining || m != nil && (m.State == fleet.Draining || m.State == fleet.Leaving) || p.cfg.Barred(p.cfg.Self)
 }
 
-// saying is this process's part of its entry: what it keeps, and what it sees in contention that nobody keeps.
+// entryPart returns this process's part of its entry: the numbers it keeps, and those it sees in contention that
+// nobody keeps.
 func (p *Part) saying(now int64) said {
 	var s said
 	for _, key := range sortedKeys(p.books) {
@@ -341,7 +343,8 @@
 	return s
 }
 
-// rough rounds down to a power of two, or one and a half of one, so that an entry does not change with every call.
+// roundRate rounds down to a power of two, or one and a half times one, so that an entry does not change with every
+// call.
 func rough(n int64) int64 {
 	step := int64(1)
 	for n/step >= 4 {
--- a/internal/keeper/corpus_test.go
+++ b/internal/keeper/corpus_test.go
@@ -10,7 +10,8 @@
 	"pewterwheel/internal/lease"
 )
 
-// The letters, records and sayings of any version are read as they were meant; no number of an item has another meaning.
+// TestCorpus checks that messages, records and entry parts of every version decode to the same values, and that no
+// operation code has changed its meaning.
 func TestCorpus(t *testing.T) {
 	numbers := corpus.Constants(".", func(name, typ string) string {
 		if strings.HasPrefix(name, "op") && typ == "untyped int" {
@@ -49,7 +50,7 @@
 	for name, r := range map[string]record{"record": r, "record-largest": most, "record-all": all} {
 		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.bytes(), Max: lease.MaxRecord, Read: func(b []byte) (any, error) {
 			if len(b) > lease.MaxRecord {
-				return nil, &RecordError{"1", "a lease carries none so long"}
+				return nil, &RecordError{"1", "longer than the record of a lease may be"}
 			}
 			r, err := readRecord("1", b)
 			type whom struct {
--- a/internal/keeper/export_test.go
+++ b/internal/keeper/export_test.go
@@ -1,6 +1,6 @@
 package keeper
 
-// Without takes a safeguard out, for tests that show what it guards against.
+// Without switches a safeguard off, for tests that show what it guards against.
 func (c Config) Without(guard string) Config {
 	switch guard {
 	case "stop":
--- a/internal/keeper/failpoint_on.go
+++ b/internal/keeper/failpoint_on.go
@@ -2,7 +2,8 @@
 
 package keeper
 
-// Overgranting is a configuration whose keeper gives one line more than there is, for tests of what is seen of that.
+// Overgranting returns a configuration whose keeper grants one line more than exists, for tests of how that is
+// detected.
 func (c Config) Overgranting() Config {
 	c.doctor.overGrant = true
 	return c
--- a/internal/keeper/front.go
+++ b/internal/keeper/front.go
@@ -4,7 +4,7 @@
 	"pewterwheel/decide"
 )
 
-// Inner is what decides behind a front: the router, or the module alone.
+// Decider decides behind a Front: the router, or the decide module alone.
 type Inner interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
@@ -12,30 +12,30 @@
 
 const (
 	maxKey     = 32      // longer numbers are not followed
-	maxTracked = 1 << 16 // calls to hot numbers that a front follows
-	maxWaiting = 64      // orders held for one number
-	lookAgain  = 5_000   // held orders are looked at so often
-	busySeen   = 2       // busy ends of one number, lately, that make it worth telling
-	// frontToken marks the front's own timers. Tokens of the module count up from 0 and never reach it.
+	maxTracked = 1 << 16 // calls to numbers in contention that a Front follows
+	maxWaiting = 64      // set-ups that wait for one number
+	lookAgain  = 5_000   // interval at which waiting set-ups are checked
+	busySeen   = 2       // recent busy ends of one number before it is reported
+	// timerToken marks the timers of a Front. Tokens of the decide module count up from 0 and never reach it.
 	frontToken = 1 << 63
 )
 
-// call is one call to a hot number that the front follows.
+// call is one call to a number in contention that the Front follows.
 type call struct {
 	slot   *slot
-	order  decide.Event // while it is held
-	plain  bool         // it went without a permit
+	order  decide.Event // the set-up while it waits
+	plain  bool         // admitted without a permit
 	held   bool
-	since  int64 // when it came
-	until  int64 // it is held no longer than this
-	out    bool  // an attempt is out
+	since  int64 // when it arrived
+	until  int64 // latest end of the wait
+	out    bool  // an attempt is open
 	over   bool  // it has its final answer, or its caller has gone
 	stands bool
 }
 
-// Front decides on the loop of calls, in front of the router, whether a call to a hot number may be tried at all. It holds
-// back, lets through or refuses; it never sends. Calls to other numbers pass it at the price of a touch of its sketch. All of
-// it belongs to the loop's goroutine.
+// Front decides on the call loop, in front of the router, whether a call to a number in contention may be attempted.
+// It delays, admits or refuses set-ups; it sends none itself. Calls to other numbers cost one sketch update. It
+// belongs to the goroutine of the loop.
 type Front struct {
 	cfg     Config
 	set     decide.Settings
@@ -45,40 +45,41 @@
 	sketch  *sketch
 	calls   map[decide.CallID]*call
 	spare   []*call
-	waiting []*slot // numbers for which orders are held
+	waiting []*slot // numbers for which set-ups wait
 	looked  int64
 	armed   bool
 
-	// Counts of what was decided, for staff.
+	// Counts holds the counters of what was decided, for operators.
 	Counts FrontCounts
 }
 
-// FrontCounts are what a front has decided since its start.
+// FrontCounts counts what a Front has decided since its start.
 type FrontCounts struct {
-	Hot       uint64 // orders for numbers in contention
-	Permitted uint64 // let through under a permit
-	Held      uint64 // held while a permit was asked for
-	Refused   uint64 // turned away, as no line is free
-	Plain     uint64 // let through by share, as the keeper could not be reached
-	Unshared  uint64 // turned away, as that share was used up
+	Hot       uint64 // set-ups for numbers in contention
+	Permitted uint64 // admitted with a permit
+	Held      uint64 // delayed while a permit was requested
+	Refused   uint64 // refused, as no line is free
+	Plain     uint64 // admitted by the fallback share, as the keeper was unreachable
+	Unshared  uint64 // refused, as the fallback share was used up
 	Busy      uint64 // set-ups under a permit that ended busy
-	Untracked uint64 // let through for want of room
+	Untracked uint64 // admitted without being followed, for lack of room
 	BusyCold  uint64 // set-ups to numbers not in contention that ended busy
 }
 
-// NewFront returns a front before inner, which is made with the same settings. The table and the queue are those of the
-// process's Part. The session must hear it (session.EndHearer): a decider before it passes HearsEnds and events on.
+// NewFront returns a Front that passes events to inner, which is made with the same settings. It shares the table and
+// the queue with the Part of the process. The session must report the ends of calls to it (session.EndHearer): a
+// decider in front of it passes on HearsEnds and events.
 func NewFront(cfg Config, set decide.Settings, inner Inner, table *Table, queue *Queue) *Front {
 	return &Front{cfg: cfg.fill(), set: set, inner: inner, table: table, queue: queue, sketch: &sketch{}, calls: map[decide.CallID]*call{}}
 }
 
-// Avoids tells whether the module leaves a listed server alone now.
+// Avoids tells whether the decide module currently avoids a listed server.
 func (f *Front) Avoids(id decide.ServerID) bool { return f.inner.Avoids(id) }
 
-// HearsEnds tells that the ends of calls that stood are of use: they give lines back.
+// HearsEnds returns true: the ends of established calls free lines.
 func (f *Front) HearsEnds() bool { return true }
 
-// Reload passes a part of a new configuration on.
+// Reload passes on a part of a new configuration.
 func (f *Front) Reload(now int64, part any, out []decide.Action) []decide.Action {
 	if r, ok := f.inner.(interface {
 		Reload(int64, any, []decide.Action) []decide.Action
@@ -88,7 +89,7 @@
 	return out
 }
 
-// Figures gives the front's counts and those behind it.
+// Figures reports the counters of the Front and of the decider behind it.
 func (f *Front) Figures(put func(name string, n uint64, gauge bool)) {
 	c := &f.Counts
 	put("keeper_hot", c.Hot, false)
@@ -109,7 +110,7 @@
 	}
 }
 
-// Step takes one event at one time and appends what is to be done.
+// Step handles one event and appends the resulting actions.
 func (f *Front) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	if len(f.waiting) > 0 && now > f.looked {
 		out = f.look(now, out)
@@ -147,7 +148,7 @@
 		}
 	case decide.Gone:
 		if c := f.calls[e.Call]; c != nil {
-			if c.held { // nobody behind knows of it
+			if c.held { // the inner decider does not know the call
 				c.held = false
 				c.slot.held.Add(-1)
 				delete(f.calls, e.Call)
@@ -164,7 +165,7 @@
 	return f.forward(now, e, out)
 }
 
-// forward hands an event on, and takes note of what becomes of the calls that are followed.
+// forward passes an event on, and tracks what becomes of the calls that are followed.
 func (f *Front) forward(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	n := len(out)
 	out = f.inner.Step(now, e, out)
@@ -186,7 +187,7 @@
 	return out
 }
 
-// order takes a call to a number in contention.
+// handleSetUp takes a set-up to a number in contention.
 func (f *Front) order(now int64, s *slot, e decide.Event, out []decide.Action) []decide.Action {
 	f.Counts.Hot++
 	s.wanted.Add(1)
@@ -207,7 +208,7 @@
 	case now < s.noneUntil.Load():
 		return f.refuse(s, e.Call, out)
 	case s.lost.Load():
-		f.changed(s) // it is asked for again, and nothing waits for it
+		f.changed(s) // permits are requested again, but nothing waits for them
 		return f.share(now, e, s, out)
 	case hold < lookAgain, len(s.waiting) >= maxWaiting:
 		return f.refuse(s, e.Call, out)
@@ -229,7 +230,7 @@
 	return f.arm(out)
 }
 
-// follow keeps a call in mind until it is over.
+// track follows a call until it is over.
 func (f *Front) follow(id decide.CallID, s *slot, now int64) *call {
 	c := &call{}
 	if n := len(f.spare); n > 0 {
@@ -240,7 +241,7 @@
 	return c
 }
 
-// pass lets a call through; its line counts as open already.
+// admit lets a call through; its line counts as open already.
 func (f *Front) pass(now int64, e decide.Event, c *call, out []decide.Action) []decide.Action {
 	if !c.plain {
 		f.Counts.Permitted++
@@ -249,14 +250,14 @@
 	return f.forward(now, e, out)
 }
 
-// refuse turns a call away for a while.
+// refuse refuses a call for some time.
 func (f *Front) refuse(s *slot, id decide.CallID, out []decide.Action) []decide.Action {
 	f.Counts.Refused++
 	s.refused.Add(1)
 	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.stay(s)})
 }
 
-// stay is the time to stay away that callers are told.
+// retryAfter returns the time for which callers are told to stay away.
 func (f *Front) stay(s *slot) int64 {
 	if !f.set.RetryAdvice {
 		return 0
@@ -264,8 +265,9 @@
 	return min(s.stay.Load(), f.set.MaxRetryAfter)
 }
 
-// share lets a call through the ordinary way, as the keeper can't be reached, while that keeps to this process's part of
-// what the record last allowed. Guards against everybody's calls at once on the offices when a keeper dies.
+// admitFallback admits a call without a permit while the keeper is unreachable, within this process's fraction of the
+// turnover share it was last told. It keeps the calls of all processes from reaching the offices at once when a
+// keeper dies.
 func (f *Front) share(now int64, e decide.Event, s *slot, out []decide.Action) []decide.Action {
 	if s.filled == 0 {
 		s.tokens, s.filled = 1, now
@@ -285,7 +287,7 @@
 	return f.pass(now, e, c, out)
 }
 
-// look goes through the orders that are held: those first in line get what permits there are.
+// processWaiting checks the set-ups that wait: permits go to the first in the queue.
 func (f *Front) look(now int64, out []decide.Action) []decide.Action {
 	f.looked = now
 	left := f.waiting[:0]
@@ -327,7 +329,7 @@
 	c.slot.held.Add(-1)
 }
 
-// arm asks for the next look, while anything is held.
+// armTimer requests the next check while set-ups wait.
 func (f *Front) arm(out []decide.Action) []decide.Action {
 	if f.armed || len(f.waiting) == 0 {
 		return out
@@ -336,8 +338,8 @@
 	return append(out, decide.Action{Kind: decide.Timer, Wait: lookAgain, Token: frontToken})
 }
 
-// ended takes the end of an attempt. A hot number that is busy is not tried again: this is the call's final answer, as the
-// router gives it when the budget for repeats is used up.
+// handleEnd takes the end of an attempt. A number in contention that is busy is not attempted again: this is the
+// call's final answer, as the router gives it when the budget for repeats is used up.
 func (f *Front) ended(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	c := f.calls[e.Call]
 	if c == nil || c.held || c.stands {
@@ -371,7 +373,7 @@
 	return out
 }
 
-// ranOut notes a busy end of a number that is not in the table.
+// countBusy counts a busy end of a number that is not in the table.
 func (f *Front) ranOut(now int64, key string) {
 	hash := hashOf(key)
 	if busy, orders := f.sketch.ranOut(hash, now); busy >= busySeen && f.table.find(hash, key) == nil {
@@ -379,7 +381,8 @@
 	}
 }
 
-// finished notes that a call has its final answer, or its caller has gone. With no attempt out its line is free.
+// finish marks that a call has its final answer, or that its caller has gone. If no attempt is open, its line is
+// free.
 func (f *Front) finished(id decide.CallID, c *call) {
 	c.over = true
 	if !c.out && !c.stands {
@@ -387,7 +390,7 @@
 	}
 }
 
-// release gives a call's line back.
+// release frees a call's line.
 func (f *Front) release(id decide.CallID, c *call) {
 	if f.calls[id] != c {
 		return
@@ -406,7 +409,8 @@
 	f.spare = append(f.spare, c)
 }
 
-// changed tells the part that a number's figures are others, once until it has looked at them; false: there was no room.
+// reportChange tells the Part that the values of a number have changed, once until the Part has read them; false: the
+// queue is full.
 func (f *Front) changed(s *slot) bool {
 	if s.dirty.Swap(true) {
 		return true
--- a/internal/keeper/front_test.go
+++ b/internal/keeper/front_test.go
@@ -18,12 +18,13 @@
 	"pewterwheel/internal/lease"
 )
 
-// inner is what a front drives in tests: it sends or refuses as it is told, and checks what it hears.
+// fakeDecider is the decider behind a Front in tests: it sends or refuses as configured, and checks the events it
+// receives.
 type inner struct {
 	t       interface{ Fatalf(string, ...any) }
 	seen    map[decide.CallID]bool
 	refuses bool
-	again   bool // a failed attempt is made once more
+	again   bool // repeats a failed attempt
 }
 
 func (n *inner) Avoids(decide.ServerID) bool { return false }
@@ -37,16 +38,16 @@
 		}
 		return append(out, decide.Action{Kind: decide.Send, Call: e.Call})
 	case decide.Over, decide.Fired:
-		n.t.Fatalf("the inner decider is told of %v, token %x", e.Kind, e.Token)
+		n.t.Fatalf("the inner decider receives event %v, token %x", e.Kind, e.Token)
 	case decide.Ended:
 		if !e.Final && n.again {
 			return append(out, decide.Action{Kind: decide.Send, Call: e.Call})
 		} else if !e.Final {
 			out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call})
 		}
-	case decide.Begun: // of one that is gone and was answered in the same round it may be told
+	case decide.Begun: // may come for a call whose caller has gone and which was answered in the same round
 		if !n.seen[e.Call] {
-			n.t.Fatalf("the inner decider is told of call %d that it does not know", e.Call)
+			n.t.Fatalf("the inner decider receives an event for unknown call %d", e.Call)
 		}
 	}
 	return out
@@ -58,8 +59,8 @@
 	return decide.Settings{Classes: []decide.Class{{Aim: 500_000, Deadline: 2_000_000}}, RetryAdvice: true, MaxRetryAfter: 5_000_000}
 }
 
-// Whatever comes: each call has at most one final answer, each that passes has a permit or goes by share, no permit is used
-// twice, and when all are over no line is held.
+// For any sequence of events: each call gets at most one final answer, each admitted call has a permit or uses the
+// fallback share, no permit is used twice, and no line is held once all calls are over.
 func TestFrontLines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table, queue := NewTable(), NewQueue(64)
@@ -81,13 +82,13 @@
 					case "waiting":
 						passed++
 						state[a.Call] = "out"
-					case "going": // it passed at the moment when its caller left
+					case "going": // admitted at the moment when its caller left
 						passed++
 						state[a.Call] = "gone"
 					}
 				case decide.Refuse, decide.Fail:
 					if st := state[a.Call]; st != "waiting" && st != "out" && st != "going" {
-						rt.Fatalf("call %d has a final answer while %q", a.Call, st)
+						rt.Fatalf("call %d gets a final answer in state %q", a.Call, st)
 					}
 					delete(state, a.Call)
 				case decide.Timer:
@@ -171,7 +172,7 @@
 				}
 			}
 			if used := passed - int(f.Counts.Plain); used > permits {
-				rt.Fatalf("%d calls passed with %d permits", used, permits)
+				rt.Fatalf("%d calls admitted with %d permits", used, permits)
 			}
 		}
 		now += 100_000
@@ -179,7 +180,7 @@
 		for id, st := range state {
 			switch st {
 			case "waiting":
-				rt.Fatalf("call %d waits past its time", id)
+				rt.Fatalf("call %d still waits after its deadline", id)
 			case "stands":
 				delete(state, id)
 				do(decide.Event{Kind: decide.Over, Call: id})
@@ -189,13 +190,14 @@
 			}
 		}
 		if s.open.Load() != 0 || s.calls.Load() != 0 || s.held.Load() != 0 || s.plain.Load() != 0 || len(f.calls) != 0 {
-			rt.Fatalf("all calls are over: open %d, calls %d, held %d, plain %d, followed %d", s.open.Load(), s.calls.Load(), s.held.Load(),
+			rt.Fatalf("after all calls are over: open %d, calls %d, waiting %d, without permit %d, followed %d", s.open.Load(), s.calls.Load(), s.held.Load(),
 				s.plain.Load(), len(f.calls))
 		}
 	})
 }
 
-// A permit past its expiry, and one of a fence lower than was seen, let nothing through; neither does a grant of either.
+// A permit that has expired, or has a lower fence than was seen, admits no call, and a grant of such permits is not
+// accepted.
 func TestExpiryAndFence(t *testing.T) {
 	for _, c := range []struct {
 		guard string
@@ -214,9 +216,9 @@
 			b.left.Store(1)
 			s.add(b)
 			if s.take(1000, &cfg.doctor) == guarded {
-				t.Errorf("%s in place %v: the permit is taken %v", c.guard, guarded, guarded)
+				t.Errorf("safeguard %s on: %v; permit taken: %v", c.guard, guarded, guarded)
 			}
-			// The same for what a keeper sends.
+			// The same for an answer of a keeper.
 			p := part(t, cfg)
 			var out fleet.Out
 			p.answered(1000, "k", item{Op: opAnswer, Key: hot, Fence: 3}, &out)
@@ -224,13 +226,13 @@
 			p.report(1000, h, &out)
 			p.answered(1000+c.later, "k", item{Op: opAnswer, Key: hot, Fence: c.fence, N: h.n, Permits: 1, Lasts: 900}, &out)
 			if took := h.slot.inHand() == 1; took == guarded {
-				t.Errorf("%s in place %v: the grant is taken %v", c.guard, guarded, took)
+				t.Errorf("safeguard %s on: %v; grant accepted: %v", c.guard, guarded, took)
 			}
 		}
 	}
 }
 
-// The loop and the part at the same time, for the race detector: permits are used once each, and no line is lost.
+// Runs the loop and the Part concurrently, for the race detector: each permit is used once, and no line is lost.
 func TestTwoThreads(t *testing.T) {
 	table, queue := NewTable(), NewQueue(16)
 	p, err := New(Config{Self: "a", Lessor: &alone{}}, table, queue)
@@ -244,7 +246,7 @@
 	f := NewFront(Config{Self: "a"}, settings(), &inner{t: t, seen: map[decide.CallID]bool{}}, table, queue)
 	stop, done := make(chan bool), make(chan int64)
 	var clock atomic.Int64
-	go func() { // the part, and a keeper that gives one permit for each report
+	go func() { // the Part, and a keeper that grants one permit for each report
 		given, fence := int64(0), uint64(1)
 		for {
 			select {
@@ -256,7 +258,7 @@
 				runtime.Gosched()
 			}
 			var out fleet.Out
-			now := clock.Load() // both go by one clock
+			now := clock.Load() // both use one clock
 			p.Tick(now, &out)
 			h := p.hands[hot]
 			if h.waits {
@@ -284,16 +286,16 @@
 	given := <-done
 	for _, c := range f.calls {
 		if !c.held {
-			t.Error("a call is followed that is over")
+			t.Error("a call that is over is still followed")
 		}
 	}
 	if open := s.open.Load() - s.plain.Load(); int64(f.Counts.Permitted) > given || open > int64(len(f.calls)) {
-		t.Errorf("%d permits given, %d used, %d lines open", given, f.Counts.Permitted, open)
+		t.Errorf("%d permits granted, %d used, %d lines open", given, f.Counts.Permitted, open)
 	}
-	t.Log("given", given, "used", f.Counts.Permitted, "by share", f.Counts.Plain)
+	t.Log("granted", given, "used", f.Counts.Permitted, "by fallback share", f.Counts.Plain)
 }
 
-// alone is a lessor that grants everything.
+// fakeLessor is a lessor that grants everything.
 type alone struct{ writes uint64 }
 
 func (a *alone) Claim(int64, string, *fleet.Out)   {}
@@ -316,7 +318,7 @@
 	return p
 }
 
-// A report said twice gives no permit more; one that is older than the newest gives none.
+// A duplicate of a report is granted no more permits, and a report older than the newest is granted none.
 func TestReportOnce(t *testing.T) {
 	cfg := Config{Self: "a", Lines: func(string) int { return 5 }}.fill()
 	b, _ := newBook(&cfg, hot, "x", 0, lease.Grant{Fence: 1})
@@ -344,7 +346,7 @@
 	}
 }
 
-// No message is over its bound, and what cannot be read or is out of bounds is counted and passed over.
+// No message exceeds its size bound; items that cannot be decoded or are out of bounds are counted and ignored.
 func TestMessages(t *testing.T) {
 	var items []item
 	for i := range 100 {
@@ -362,7 +364,7 @@
 		back = append(back, got...)
 	}
 	if !slices.Equal(back, items) {
-		t.Error("what was packed is not what was read")
+		t.Error("decoded items differ from the encoded ones")
 	}
 	p := part(t, Config{})
 	for i, bad := range []item{{Op: opAnswer, Key: ""}, {Op: opAnswer, Key: hot, Permits: -1}, {Op: opAnswer, Key: hot, Lasts: 1 << 50},
@@ -371,7 +373,7 @@
 		letters("b", "a", []item{bad, {Op: 200, Key: hot}}, &out)
 		p.Message(1, out.Send[0], &out)
 		if p.counts.unread != uint64(i+1) || len(p.hands) != 0 {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 	s := said{}
@@ -379,7 +381,7 @@
 		s.Seen = append(s.Seen, seenBy{fmt.Sprintf("%032d", i), 1 << 39})
 	}
 	if n := len(s.bytes()); n > fleet.MaxBody || n < fleet.MaxBody/2 {
-		t.Errorf("a part of an entry of %d bytes", n)
+		t.Errorf("entry part of %d bytes", n)
 	}
 	r := record{Lines: maxFigure, Known: maxFigure, Turn: maxRate, Out: maxFigure}
 	var hs []holder
@@ -389,7 +391,7 @@
 	r.hold(hs)
 	got, err := readRecord(hot, r.bytes())
 	if err != nil || len(got.holders()) != maxHolders || len(r.bytes()) > lease.MaxRecord {
-		t.Errorf("a record of %d bytes is read as %v, %v", len(r.bytes()), got, err)
+		t.Errorf("record of %d bytes is decoded as %v, %v", len(r.bytes()), got, err)
 	}
 }
 
@@ -406,7 +408,8 @@
 	})
 }
 
-// The sketch against a plain map, on numbers drawn by Zipf and on 100,000 that take turns.
+// Compares the sketch with a plain map, on numbers drawn from a Zipf distribution and on 100,000 numbers of which
+// changing ones are requested most.
 func TestSketch(t *testing.T) {
 	if raceEnabled {
 		t.Skip("sizes and times without the race detector")
@@ -414,7 +417,8 @@
 	const top = 20
 	zipf := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 4, 99_999)
 	turns := rand.New(rand.NewPCG(3, 4))
-	// In turns a hundred numbers are hot for 20 s, then the next hundred; half of the calls go to any of the rest.
+	// In the stream "turns" a hundred numbers are requested most for 20 s, then the next hundred; half of the calls
+	// go to any number.
 	streams := map[string]func(i int) int{
 		"zipf": func(int) int { return int(zipf.Uint64()) },
 		"turns": func(i int) int {
@@ -444,14 +448,15 @@
 			}
 		}
 		part := float64(hits) / float64(top*calls/50_000)
-		t.Logf("%s: of the %d asked for most the sketch has %.3f; plain map %d entries, sketch %d", name, top, part, len(plain), sketchSets*ways)
+		t.Logf("%s: of the %d most requested the sketch has %.3f; plain map %d entries, sketch %d", name, top, part, len(plain), sketchSets*ways)
 		if part < 0.9 {
 			t.Errorf("%s: recall of %.3f", name, part)
 		}
 	}
 }
 
-// overlap is how many of the most asked for by the sketch are the most asked for by the map, of equals any.
+// overlap returns how many of the most requested numbers of the sketch are also the most requested of the map; equal
+// counts all qualify.
 func overlap(s *sketch, plain map[string]float64, top int) (n int) {
 	keys := sortedKeys(plain)
 	slices.SortStableFunc(keys, func(a, b string) int { return cmp.Compare(plain[b], plain[a]) })
@@ -480,7 +485,7 @@
 	return n
 }
 
-// Numbers not in contention cost no allocation.
+// A set-up to a number not in contention allocates nothing.
 func TestColdAllocatesNothing(t *testing.T) {
 	f, keys := coldFront(t)
 	out := make([]decide.Action, 0, 4)
@@ -514,7 +519,8 @@
 	return f, keys
 }
 
-// spent reports the processor time of a benchmark beside its time by the clock, which on a shared machine is longer.
+// reportCPUTime reports the processor time of a benchmark besides its wall-clock time, which is longer on a shared
+// machine.
 func spent(b *testing.B) func() {
 	used := func() time.Duration {
 		var u syscall.Rusage
--- a/internal/keeper/hand.go
+++ b/internal/keeper/hand.go
@@ -7,45 +7,44 @@
 )
 
 const (
-	reportGap  = 20_000    // between two reports of one number in which no order waits
-	lostGap    = 200_000   // and while its keeper does not answer
-	forgetHand = 6_000_000 // a number of which no keeper is known or heard any more is forgotten after this
-	leastAhead = 0.5       // calls within the life of a permit for which one is given ahead
-	rateOver   = 5_000_000 // over which the demand is reckoned
+	reportGap  = 20_000    // least time between two reports of one number while no set-up waits
+	lostGap    = 200_000   // the same while its keeper does not answer
+	forgetHand = 6_000_000 // a number whose keeper is not known or heard any more is forgotten after this
+	leastAhead = 0.5       // calls in the lifetime of a permit from which permits are granted in advance
+	rateOver   = 5_000_000 // averaging window of the demand
 )
 
-// hand is one number that an other process, or this one, keeps: this process's own side of it.
+// keeperClient is this process's own state for one number that another process, or this one, keeps.
 type hand struct {
 	slot   *slot
 	keeper string
-	n      uint64 // its newest report, and when it was sent
+	n      uint64 // number of its newest report; reportedAt: when that was sent
 	asked  int64
-	waits  bool  // that report has orders behind it, and is not answered
-	took   int64 // permits taken for it
-	heard  int64 // when its keeper was last known of
-	due    int64 // when it is looked at next
+	waits  bool  // set-ups wait for the answer to that report
+	took   int64 // permits accepted in answer to it
+	heard  int64 // when its keeper was last heard of
+	due    int64 // when it is to be checked next
 	soon   bool  // something has changed since the report
-	noted  int64 // lines that it told last, and one more; 0: none under this fence
+	noted  int64 // lines in the last note, plus one; 0: none under this fence
 
-	wanted, refused uint64 // as they were when rate was reckoned
+	wanted, refused uint64 // as of the last update of rate
 	rate            float64
 	reckoned        int64
-	unmet           int64 // when a call was last turned away here; 0: never
-	last            int64 // when there was last an order; 0: never
+	unmet           int64 // when a call was last refused here; 0: never
+	last            int64 // when there was last a set-up; 0: never
 }
 
-// holds is the lines that this process holds of the number, and how many of these are permits in hand. Guards against a
-// permit that is counted neither here nor there: the loop counts a call as open before it takes its permit, so what is in
-// hand is read first.
+// heldLines returns the lines of the number that this process holds, and how many of these are unused permits. The
+// loop counts a call as open before it takes its permit, so the unused permits are read first: no permit is missed.
 func (h *hand) holds() (all, idle int64) {
 	idle = h.slot.inHand()
 	return idle + h.slot.open.Load(), idle
 }
 
-// lately tells whether there were orders for it of late.
+// recentlyRequested tells whether there were set-ups for the number recently.
 func (h *hand) lately(now int64) bool { return h.last != 0 && now-h.last < wantLately }
 
-// reckon brings the demand up to date.
+// updateRate brings the demand up to date.
 func (h *hand) reckon(now int64) {
 	wanted, refused := h.slot.wanted.Load(), h.slot.refused.Load()
 	if wanted != h.wanted {
@@ -62,7 +61,8 @@
 	}
 }
 
-// hand returns this process's side of a number; it begins one, if there is room, when a keeper is heard of.
+// client returns this process's state for a number. If there is none it is created when a keeper is heard of, if the
+// table has room.
 func (p *Part) hand(now int64, key string) *hand {
 	if h := p.hands[key]; h != nil {
 		return h
@@ -85,7 +85,8 @@
 	return h
 }
 
-// drop forgets a number. Calls to it are followed to their end: if it comes back while some stand, they count.
+// dropClient forgets a number. Its open calls are followed to their end: they count if the number returns before
+// that.
 func (p *Part) drop(h *hand) {
 	h.slot.retire(func(*batch) bool { return true })
 	p.reshelve = true
@@ -95,8 +96,8 @@
 	}
 }
 
-// raise takes a fence that is higher than the one known: permits of the old one are given back, and the new keeper is told
-// what is held here.
+// raiseFence adopts a fence higher than the known one: permits of the old one are taken back, and the new keeper is
+// told what is held here.
 func (p *Part) raise(now int64, h *hand, keeper string, fence uint64, out *fleet.Out) {
 	if fence <= h.slot.fence.Load() {
 		return
@@ -111,14 +112,14 @@
 	}
 }
 
-// report tells the keeper what is held here, and asks for what orders wait for. Permits for an earlier report are not taken
-// from now on, so the keeper knows exactly what is out.
+// sendReport tells the keeper what is held here, and requests permits for the waiting set-ups. Permits for an earlier
+// report are no longer accepted, so the keeper knows exactly which ones are out.
 func (p *Part) report(now int64, h *hand, out *fleet.Out) {
 	s := h.slot
 	s.dirty.Store(false)
 	h.reckon(now)
 	want := s.held.Load()
-	if s.lost.Load() { // nothing waits for a keeper that can't be reached, but it is asked until it answers
+	if s.lost.Load() { // no set-up waits for an unreachable keeper, but it is asked until it answers
 		want = max(want, 1)
 	}
 	h.n++
@@ -135,7 +136,7 @@
 	p.planHand(now, h)
 }
 
-// answered takes what a keeper says.
+// handleAnswer takes an answer of a keeper.
 func (p *Part) answered(now int64, from string, it item, out *fleet.Out) {
 	keeper := from
 	if it.Keeper != "" {
@@ -151,7 +152,7 @@
 		}
 	}
 	fence := h.slot.fence.Load()
-	// Guards against a keeper whose lease is over and who does not know it.
+	// Ignore a keeper that does not know that its lease has ended.
 	if it.Fence < fence && !p.cfg.doctor.noFence {
 		p.counts.lowFence++
 		return
@@ -188,17 +189,18 @@
 	p.planHand(now, h)
 }
 
-// changed takes the loop's word that something is other than it was reported.
+// handleChange handles the loop's notice that something differs from the last report.
 func (p *Part) changed(now int64, h *hand, out *fleet.Out) {
 	h.slot.dirty.Store(false)
 	h.soon = true
 	p.handDue(now, h, out)
 }
 
-// handDue does what is due for a number.
+// tickClient does what is due for a number.
 func (p *Part) handDue(now int64, h *hand, out *fleet.Out) {
 	if h.waits && now >= h.asked+p.cfg.Answer {
-		// It can't be reached, or the message was lost: what waits goes by share, and it is asked again with the next.
+		// The keeper is unreachable, or the message was lost: waiting set-ups use the fallback share, and the keeper
+		// is asked again.
 		h.waits, h.soon = false, true
 		h.slot.lost.Store(true)
 		p.counts.unanswered++
@@ -212,7 +214,7 @@
 	all, _ := h.holds()
 	live := all > 0 || h.lately(now) || h.slot.wanted.Load() != h.wanted
 	switch {
-	case want > 0 && !h.waits && !lost, // an order waits
+	case want > 0 && !h.waits && !lost, // a set-up waits
 		h.soon && !h.waits && now-h.asked >= p.gap(lost),
 		live && !h.waits && now-h.asked >= p.beat(now, h):
 		p.report(now, h, out)
@@ -220,8 +222,9 @@
 	p.planHand(now, h)
 }
 
-// beat is how often a keeper hears of a number by which nothing changes: so often that a permit may be given ahead, if there
-// is a call for one within its life; else so often that what is held counts.
+// reportInterval returns how often the keeper hears of a number without changes: if a call is likely within the
+// lifetime of a permit, often enough for a permit to be granted in advance; else often enough for what is held here
+// to count.
 func (p *Part) beat(now int64, h *hand) int64 {
 	if h.lately(now) && h.rate*1e-9*float64(p.cfg.Permit) >= leastAhead {
 		return p.cfg.Permit / 2
@@ -236,10 +239,10 @@
 	return reportGap
 }
 
-// planHand sets when a number is looked at next.
+// scheduleClient sets when a number is checked next.
 func (p *Part) planHand(now int64, h *hand) {
 	due := int64(math.MaxInt64)
-	if all, _ := h.holds(); all > 0 || h.lately(now) { // else it costs nothing until the loop reports something
+	if all, _ := h.holds(); all > 0 || h.lately(now) { // else nothing is due until the loop reports something
 		due = max(now, h.asked+p.beat(now, h))
 	}
 	for _, b := range *h.slot.batches.Load() {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -11,19 +11,20 @@
 	"pewterwheel/internal/lease"
 )
 
-// maxKept bounds the numbers that one process keeps, so that its part of its entry holds them all.
+// maxKept bounds the numbers that one process keeps, so that its part of the entry holds them all.
 const maxKept = 16
 
 const (
-	bookEvery  = 100_000 // a record is looked at so often
-	tellEvery  = 500_000 // the entry is told anew no oftener
-	idleEvery  = 250_000 // the queue is looked at so often when nothing is hot
+	bookEvery  = 100_000 // interval at which ledgers are checked
+	tellEvery  = 500_000 // least time between two updates of the entry
+	idleEvery  = 250_000 // interval at which the queue is read while no number is in contention
 	sweepEvery = 2_000_000
-	leaveTime  = 300_000 // a handing over waits for its record no longer
+	leaveTime  = 300_000 // longest wait of a hand-over for the record to be stored
 )
 
-// Part is the keepers' state machine of one process: it sees which numbers are hot, claims and gives up the keeping of them,
-// grants permits for those it keeps, and asks for those of others. It is not safe for concurrent use.
+// Part is the state machine of one process: it detects which numbers are in contention, takes and gives up the
+// keeping of numbers, grants permits for those it keeps, and requests permits for those that others keep. It is not
+// safe for concurrent use.
 type Part struct {
 	cfg   Config
 	table *Table
@@ -33,30 +34,30 @@
 
 	tellers map[string]*teller // by process
 	sights  map[string]*sight  // by number
-	news    []string           // numbers of which a keeper was told anew
-	seen    map[string]*heavy  // that this process sees in contention
+	news    []string           // numbers for which an entry announced a keeper
+	seen    map[string]*heavy  // numbers that this process sees in contention
 	hands   map[string]*hand
-	past    map[string]*slot // numbers not followed any more to which calls stand
-	books   map[string]*book // that this process keeps
-	claims  map[string]claim // that it claims
+	past    map[string]*slot // numbers that are no longer followed but still have calls
+	books   map[string]*book // numbers that this process keeps
+	claims  map[string]claim // numbers that it claims
 
-	reshelve bool // the table lacks a number, or has one too many
+	reshelve bool // the table differs from clients
 	draining bool
-	told     []byte // what stands in the entry
+	told     []byte // the current part of the entry
 	toldAt   int64
 	weighed  int64
 	swept    int64
-	fullAt   int64 // when it was last said that nobody has room for a number
+	fullAt   int64 // when it was last noted that no process has room for a number
 	booked   int64
 
 	agenda  agenda
-	local   []item // to this process itself
+	local   []item // addressed to this process itself
 	letters map[string][]item
 
 	counts counts
 }
 
-// counts are what a part has done since its start.
+// counts holds what a Part has done since its start.
 type counts struct {
 	claims, kept, lost, moved, calm                uint64
 	reports, granted, none                         uint64
@@ -64,19 +65,19 @@
 	unread, full, noRoom, messages, sent, badStore uint64
 }
 
-// claim is a number that this process asks the lease of.
+// claim is a number whose lease this process has requested.
 type claim struct {
 	at    int64
-	fence uint64 // of the last keeper then known: who is told to keep it under a higher one has it
+	fence uint64 // of the keeper known at the time: a process announced under a higher one keeps the number
 }
 
-// due is a time at which a number's hand is to be looked at.
+// dueTime is a time at which the client of a number is to be checked.
 type due struct {
 	at  int64
 	key string
 }
 
-// agenda is a heap of such times.
+// dueHeap is a heap of due times.
 type agenda []due
 
 func (a agenda) Len() int { return len(a) }
@@ -87,8 +88,8 @@
 func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
 func (a *agenda) Pop() any     { o := *a; x := o[len(o)-1]; *a = o[:len(o)-1]; return x }
 
-// New returns the part of a process, or a *ConfigError. The table and the queue are those of its Front. Whoever drives the
-// part calls Tick when Queue.Wake says so, or at Next at the latest.
+// New returns the Part of a process, or a *ConfigError. It shares the table and the queue with the process's Front.
+// Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
 func New(cfg Config, table *Table, queue *Queue) (*Part, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -98,16 +99,16 @@
 		claims: map[string]claim{}, letters: map[string][]item{}}, nil
 }
 
-// Kind is fleet.Keeper.
+// Kind returns fleet.Keeper.
 func (p *Part) Kind() fleet.Kind { return fleet.Keeper }
 
-// Start takes the first time.
+// Start takes the start time.
 func (p *Part) Start(now int64, out *fleet.Out) { p.now, p.weighed, p.booked = now, now, now }
 
-// Done does nothing: the part has no acts.
+// Done does nothing: the Part has no acts.
 func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {}
 
-// Message takes what an other process tells. What cannot be read is counted and passed over.
+// Message takes a message of another process. What cannot be decoded is counted and ignored.
 func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
 	p.now = now
 	p.counts.messages++
@@ -121,13 +122,13 @@
 	p.flush(now, out)
 }
 
-// View takes what is known of the processes.
+// View takes a new view of the processes.
 func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
 	was := p.view
 	p.now, p.view = now, v
 	for i := range v.Members {
 		m := &v.Members[i]
-		// Most entries are the same as in the last view, at the same place.
+		// Most entries are unchanged since the last view, and at the same index.
 		if was != nil && i < len(was.Members) {
 			if o := &was.Members[i]; o.Name == m.Name && o.Version == m.Version && o.Incarnation == m.Incarnation {
 				continue
@@ -136,7 +137,7 @@
 		p.tells(m.Name, m.Parts[fleet.Keeper])
 	}
 	if was != nil && len(p.tellers) > 0 {
-		for name := range p.tellers { // each is let go of by itself, in any order
+		for name := range p.tellers { // the order does not matter: each entry is removed on its own
 			if v.Member(name) == nil {
 				p.tells(name, nil)
 				delete(p.tellers, name)
@@ -147,13 +148,13 @@
 	p.flush(now, out)
 }
 
-// heard takes up the keepers that entries tell of.
+// adoptKeepers takes up the keepers that entries have announced.
 func (p *Part) heard(now int64, out *fleet.Out) {
 	slices.Sort(p.news)
 	for _, key := range slices.Compact(p.news) {
 		if k := p.keeperOf(key); k != nil {
 			if h := p.hand(now, key); h != nil {
-				if h.slot.rate.Load() == 0 { // until it is told its own part
+				if h.slot.rate.Load() == 0 { // until the keeper has sent this process its share
 					h.slot.rate.Store(k.share / int64(max(1, len(p.view.Members))))
 				}
 				p.raise(now, h, k.name, uint64(k.n), out)
@@ -188,13 +189,13 @@
 	p.flush(now, out)
 }
 
-// sweep forgets numbers of which no keeper is told or heard any more.
+// sweep forgets numbers whose keeper is not announced or heard any more.
 func (p *Part) sweep(now int64) {
 	if now-p.swept < sweepEvery {
 		return
 	}
 	p.swept = now
-	for _, h := range p.hands { // each by itself, in any order
+	for _, h := range p.hands { // the order does not matter: each is checked on its own
 		if now-h.heard > forgetHand && p.keeperOf(h.slot.key) == nil && p.books[h.slot.key] == nil {
 			p.drop(h)
 		}
@@ -221,7 +222,7 @@
 	}
 }
 
-// sees bears in mind that a number ends busy here; the least asked for gives way.
+// recordContention records that a number ends busy here; the least requested one is replaced if there is no room.
 func (p *Part) sees(now int64, r report) {
 	v := p.seen[r.key]
 	if v == nil {
@@ -237,11 +238,11 @@
 		v = &heavy{}
 		p.seen[r.key] = v
 	}
-	// A count that is halved every epoch holds about one and a half of them.
+	// A count that is halved every epoch covers about one and a half epochs.
 	v.rate, v.at = float64(r.n)*1e9/(1.5*epoch), now
 }
 
-// Next tells when Tick is due.
+// Next returns when Tick is due.
 func (p *Part) Next() int64 {
 	next := p.now + idleEvery
 	if len(p.hands) > 0 {
@@ -263,7 +264,7 @@
 	}
 }
 
-// tell puts what this process keeps and sees into its entry.
+// publish puts what this process keeps and sees in contention into its entry.
 func (p *Part) tell(now int64, out *fleet.Out) {
 	if now-p.toldAt < tellEvery && p.toldAt != 0 {
 		return
@@ -276,7 +277,7 @@
 	}
 }
 
-// Drain begins a planned end: what is kept here is handed over, and nothing more is claimed.
+// Drain begins a planned shutdown: numbers kept here are handed over, and no more are claimed.
 func (p *Part) Drain(now int64, out *fleet.Out) {
 	p.now, p.draining = now, true
 	for _, key := range sortedKeys(p.claims) {
@@ -287,10 +288,10 @@
 	p.flush(now, out)
 }
 
-// Drained tells whether all that was kept here has been handed over.
+// Drained tells whether all numbers kept here have been handed over.
 func (p *Part) Drained() bool { return p.draining && len(p.books) == 0 }
 
-// emit has an item sent to a process, or taken at once if it is this one.
+// emit queues an item for a process, this one included.
 func (p *Part) emit(to string, it item) {
 	if to == p.cfg.Self {
 		p.local = append(p.local, it)
@@ -299,7 +300,7 @@
 	}
 }
 
-// flush takes what this process tells itself, and sends the rest.
+// flush handles the items addressed to this process, and sends the others.
 func (p *Part) flush(now int64, out *fleet.Out) {
 	for len(p.local) > 0 {
 		it := p.local[0]
@@ -326,7 +327,7 @@
 	p.counts.sent += uint64(len(out.Send) - n)
 }
 
-// item takes one thing that a process tells.
+// handleItem handles one item of a message.
 func (p *Part) item(now int64, from string, it item, out *fleet.Out) {
 	switch it.Op {
 	case opReport:
@@ -344,7 +345,7 @@
 	}
 }
 
-// reported takes a report for a number that this process keeps, or says who does.
+// handleReport takes a report for a number that this process keeps, or answers who keeps it.
 func (p *Part) reported(now int64, from string, it item, out *fleet.Out) {
 	b := p.books[it.Key]
 	if b == nil {
@@ -356,7 +357,7 @@
 	g, held := p.cfg.Lessor.Held(now, b.thing)
 	switch {
 	case !held || g.Fence != b.fence || it.Fence > b.fence:
-		return // it is over, which the next look at the books takes up
+		return // the lease has ended, which the next check of the ledgers handles
 	case it.Fence < b.fence:
 		p.emit(from, item{Op: opAnswer, Key: it.Key, Fence: b.fence})
 		return
@@ -376,7 +377,7 @@
 	p.early(now, b, out)
 }
 
-// owed gives the answers that waited for the record.
+// replyPending sends the answers that waited for the record.
 func (p *Part) owed(now int64, b *book, g lease.Grant, out *fleet.Out) {
 	for _, q := range b.peers {
 		if q.due {
@@ -386,7 +387,7 @@
 	}
 }
 
-// reply tells a process what it has been given for its newest report.
+// reply tells a process what it was granted for its newest report.
 func (p *Part) reply(now int64, b *book, q *peer, out *fleet.Out) {
 	again, stay, share := b.times(now, q)
 	if q.granted >= q.it.Want {
@@ -401,13 +402,13 @@
 	}
 }
 
-// notes hands out what is to be noted of a record.
+// passNotes passes on the notes of a ledger.
 func (p *Part) notes(b *book, out *fleet.Out) {
 	out.Notes = append(out.Notes, b.notes...)
 	b.notes = b.notes[:0]
 }
 
-// early gives what may be given ahead, and hands out the notes.
+// grantAhead grants what may be granted in advance, and passes on the notes.
 func (p *Part) early(now int64, b *book, out *fleet.Out) {
 	defer p.notes(b, out)
 	g, held := p.cfg.Lessor.Held(now, b.thing)
@@ -419,8 +420,8 @@
 	}
 }
 
-// tickBooks looks at what is claimed and kept: leases that came or ended, records to be written, numbers to be handed over
-// or given up.
+// tickLedgers checks claimed and kept numbers: leases that were granted or have ended, records to be written, numbers
+// to be handed over or given up.
 func (p *Part) tickBooks(now int64, out *fleet.Out) {
 	for _, key := range sortedKeys(p.claims) {
 		if g, ok := p.cfg.Lessor.Held(now, thing(key)); ok {
@@ -428,7 +429,7 @@
 			p.open(now, key, g, out)
 			continue
 		}
-		// An other process that keeps it by now, or nobody to grant it.
+		// Another process keeps it by now, or nobody grants the lease.
 		if c := p.claims[key]; now-c.at > claimFor || p.keptElsewhere(key) && uint64(p.keeperOf(key).n) > c.fence {
 			delete(p.claims, key)
 			p.cfg.Lessor.Release(now, thing(key), out)
@@ -439,7 +440,8 @@
 	}
 }
 
-// open begins a record with what the last keeper stored, and asks those who may hold lines what they hold.
+// startKeeping creates the ledger from the previous keeper's record, and asks the processes that may hold lines what
+// they hold.
 func (p *Part) open(now int64, key string, g lease.Grant, out *fleet.Out) {
 	b, err := newBook(&p.cfg, key, thing(key), now, g)
 	if err != nil {
@@ -516,7 +518,7 @@
 	p.early(now, b, out)
 }
 
-// store has the record written with the lease.
+// storeRecord writes the record with the lease.
 func (p *Part) store(now int64, b *book, out *fleet.Out) {
 	r := b.stores(now)
 	n, err := p.cfg.Lessor.Write(now, b.thing, r.bytes(), out)
@@ -527,7 +529,7 @@
 	b.write, b.wrote, b.dirty = n, now, false
 }
 
-// give gives a number up: to its next keeper, or to nobody.
+// handOver gives a number up to the next keeper, or to nobody.
 func (p *Part) give(now int64, b *book, out *fleet.Out) {
 	delete(p.books, b.key)
 	p.cfg.Lessor.Release(now, b.thing, out)
@@ -547,7 +549,7 @@
 	p.tell(now, out)
 }
 
-// Figures gives the part's counts and gauges.
+// Figures reports the counters and gauges of the Part.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
 	c := &p.counts
 	put("keeper_numbers", uint64(len(p.hands)), true)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -20,25 +20,25 @@
 	}
 }
 
-// small is a few processes around one number whose lines are known.
+// smallWorld is a few processes around one number whose lines are known.
 func small(seed uint64, lines int) keepers.Config {
 	return keepers.Config{Processes: 6, Numbers: 1, Lines: lines, Demand: 8, Stands: 5 * second, Exchange: 20_000, Delay: 2_000,
 		Gossip: 300_000, Seed: seed, Keeper: with(keeper.Config{}, lines)}
 }
 
-// lawful has a world fail as soon as more lines are held, or may be taken, than there are.
+// checkLines makes a world fail as soon as more lines are held, or may be taken, than exist.
 func lawful(w *keepers.World, lines int, fail func(string)) {
 	seen := false
 	w.After = func() {
 		if n := w.Holds(0); n > int64(lines) && !seen {
 			seen = true
-			fail(fmt.Sprintf("at %d: %d of %d lines", w.Now, n, lines))
+			fail(fmt.Sprintf("at %d: %d lines held of %d", w.Now, n, lines))
 		}
 	}
 }
 
-// Over schedules of messages lost, doubled, late and out of order, of processes killed, stopped, cut off and drained, and of
-// keepers that change: never more permits and calls under permits than the lines known.
+// Plays schedules of messages that are lost, duplicated, late or out of order, of processes that are killed, stopped,
+// cut off or drained, and of keepers that change: permits and calls under permits never exceed the known lines.
 func TestLaw(t *testing.T) {
 	moves, kept, granted := 0, 0, 0
 	check := func(rt *rapid.T) {
@@ -66,7 +66,7 @@
 	must(t, granted > 1000, "too few grants")
 }
 
-// harm does one of the faults to a process; 6 is whoever keeps the number.
+// injectFault applies one of the faults to a process; 6 is whichever process keeps the number.
 func harm(w *keepers.World, who, what int, d int64) {
 	p := w.Keeper(0)
 	if who < 6 {
@@ -105,13 +105,14 @@
 		cut(false, true)
 	case 5:
 		p.Drive(func(out *fleet.Out) { p.Part.Drain(w.Now, out) })
-	case 6: // the electors alone are out of reach
+	case 6: // only the electors are unreachable
 		p.Lessor.Cut = true
 		w.Later(d, func() { p.Lessor.Cut = false })
 	}
 }
 
-// A move while calls run: none is lost or granted twice, and the next keeper goes on with what the last one knew.
+// Moves a number while calls run: no call is lost or granted twice, and the next keeper continues with what the last
+// one knew.
 func TestMove(t *testing.T) {
 	for _, how := range []string{"drained", "killed", "cut off"} {
 		t.Run(how, func(t *testing.T) {
@@ -121,7 +122,7 @@
 			lawful(w, 10, func(s string) { t.Error(s) })
 			w.Run(30 * second)
 			old := w.Keeper(0)
-			must(t, old != nil, "nobody keeps it")
+			must(t, old != nil, "nobody keeps the number")
 			served := w.Counts.Served
 			holds, busy := w.Holds(0), w.Counts.Busy
 			must(t, holds >= 8, "lines held", holds)
@@ -135,11 +136,11 @@
 			}
 			w.Run(55 * second)
 			next := w.Keeper(0)
-			must(t, next != nil, "nobody follows")
-			must(t, old.Name != next.Name, "it stays")
+			must(t, next != nil, "no next keeper")
+			must(t, old.Name != next.Name, "the keeper has not changed")
 			must(t, w.Counts.Served > served+5, "served", w.Counts.Served-served)
 			if how == "drained" {
-				must(t, old.Part.Drained(), "not drained")
+				must(t, old.Part.Drained(), "old keeper not drained")
 				must(t, len(w.Noted("moved")) == 1, w.Noted("moved"))
 				kept := w.Noted("kept")
 				must(t, kept[len(kept)-1].At-w.Noted("moved")[0].At < 300_000, "the next keeper is late")
@@ -149,7 +150,7 @@
 	}
 }
 
-// Each safeguard taken out is caught, for its own reason; with it in place the same run is clean.
+// Each safeguard that is switched off leads to the failure it guards against; with it in place the same run passes.
 func TestGuards(t *testing.T) {
 	guards := map[string]func(cfg keeper.Config) string{
 		"stop":       permitOutlivesLease,
@@ -161,22 +162,22 @@
 	}
 	for guard, try := range guards {
 		t.Run(guard, func(t *testing.T) {
-			must(t, try(keeper.Config{}) == "", "with all guards: ", try(keeper.Config{}))
+			must(t, try(keeper.Config{}) == "", "with all safeguards: ", try(keeper.Config{}))
 			got := try(keeper.Config{}.Without(guard))
-			must(t, got != "", "nothing was caught")
+			must(t, got != "", "no failure with the safeguard off")
 			t.Log(got)
 		})
 	}
 }
 
-// with puts a number's known lines into a configuration that may lack a safeguard.
+// withLines puts a number's known lines into a configuration that may lack a safeguard.
 func with(cfg keeper.Config, lines int) keeper.Config {
 	cfg.Lines = func(string) int { return lines }
-	cfg.Poll = 50_000 // parts are woken
+	cfg.Poll = 50_000 // the world wakes the Parts
 	return cfg
 }
 
-// A keeper that loses its electors goes on to the end of its lease; no permit of its may be valid after that.
+// A keeper that loses its electors continues to the end of its lease; none of its permits may be valid after that.
 func permitOutlivesLease(cfg keeper.Config) (found string) {
 	c := small(5, 10)
 	c.Keeper = with(cfg, 10)
@@ -187,7 +188,7 @@
 		for ; n < len(w.Counts.Notes); n++ {
 			until, fence := w.Lease(0)
 			if e := w.Counts.Notes[n]; e.What == "permit" && e.Fence == fence && e.Until > until {
-				found = fmt.Sprintf("a permit until %d, the lease until %d", e.Until, until)
+				found = fmt.Sprintf("permit valid until %d, lease until %d", e.Until, until)
 			}
 		}
 	}
@@ -195,7 +196,7 @@
 	return found
 }
 
-// One that holds calls is cut off while the number moves: the next keeper must not grant its lines to others.
+// A process that holds calls is cut off while the number moves: the next keeper must not grant its lines to others.
 func holderForgotten(cfg keeper.Config) (found string) {
 	c := small(9, 10)
 	c.Keeper, c.Stands = with(cfg, 10), 30*second
@@ -213,12 +214,12 @@
 	k.Drive(func(out *fleet.Out) { k.Part.Drain(w.Now, out) })
 	w.Run(75 * second)
 	if len(w.Noted("moved")) != 1 {
-		found = "it did not move"
+		found = "the number did not move"
 	}
 	return found
 }
 
-// With even demand a number stays where it is.
+// With even demand a number does not move.
 func flaps(cfg keeper.Config) string {
 	c := small(4, 10)
 	c.Keeper = with(cfg, 10)
@@ -230,19 +231,20 @@
 	return ""
 }
 
-// One process alone sees a number busy: that is no contention.
+// A number that only one process sees busy is not in contention.
 func oneAlone(cfg keeper.Config) string {
 	c := small(4, 10)
 	c.Keeper, c.Processes = with(cfg, 10), 1
 	w := keepers.New(c)
 	w.Run(20 * second)
 	if n := len(w.Noted("kept")); n > 0 {
-		return "it keeps the number"
+		return "the only process keeps the number"
 	}
 	return ""
 }
 
-// While the keeper can't be reached, all together try no more than their share of what the lines bear.
+// While the keeper is unreachable, all processes together attempt no more calls than their share of what the lines
+// can carry.
 func overShare(cfg keeper.Config) string {
 	c := small(4, 10)
 	c.Keeper = with(cfg, 10)
@@ -260,16 +262,17 @@
 		p.Reaches = func(to string) bool { return to != k.Name }
 	}
 	w.Run(24 * second)
-	// 10 lines for 5 s each bear 2 calls a second; half of that for 4 s, and one call that each process has in hand.
+	// 10 lines of 5 s calls carry 2 calls a second; half of that for 4 s, and one call that each process may admit at
+	// once.
 	if n := plain() - was; n > 4+6+6 {
 		return fmt.Sprintf("%d calls without a permit in 4 s", n)
 	} else if n == 0 {
-		return "no call at all went without a permit"
+		return "no call was admitted without a permit"
 	}
 	return ""
 }
 
-// Whoever is suspected is not given a number to keep, however much of the demand is its.
+// A suspected process is not given a number to keep, however much of the demand it has.
 func suspectKeeps(cfg keeper.Config) string {
 	c := small(4, 10)
 	c.Keeper, c.Skew = with(cfg, 10), 1
@@ -282,34 +285,34 @@
 			most = p
 		}
 	}
-	most.Suspect = true // and it is: nothing of it arrives, while all see its entry
+	most.Suspect = true // nothing from it arrives, while all processes see its entry
 	most.Reaches = func(string) bool { return false }
 	most.Lessor.Cut = true
 	w.Run(25 * second)
 	if w.Keeper(0) == nil {
-		return "nobody keeps it, for " + most.Name + " is to"
+		return "nobody keeps the number: suspected " + most.Name + " is chosen"
 	}
 	return ""
 }
 
-// A number not in contention any more is kept by nobody, and its table entry goes.
+// A number that is no longer in contention has no keeper, and its table entry is removed.
 func TestOver(t *testing.T) {
 	c := small(2, 10)
 	w := keepers.New(c)
 	w.Run(15 * second)
-	must(t, w.Keeper(0) != nil, "nobody keeps it")
+	must(t, w.Keeper(0) != nil, "nobody keeps the number")
 	w.Cfg.Demand = 0.3
 	w.Run(60 * second)
-	must(t, w.Keeper(0) == nil, "it is kept on")
+	must(t, w.Keeper(0) == nil, "the number still has a keeper")
 	for _, p := range w.Procs {
-		must(t, p.Table.Len() == 0, p.Name, "has it in its table")
+		must(t, p.Table.Len() == 0, p.Name, "still has the number in its table")
 	}
 	was := w.Counts.Messages
 	w.Run(90 * second)
 	must(t, was == w.Counts.Messages, "messages", w.Counts.Messages-was)
 }
 
-// No process is starved, and each is served by its part of the demand.
+// No process is starved, and each is served in proportion to its demand.
 func TestFair(t *testing.T) {
 	c := small(8, 10)
 	c.Skew = 0.7
--- a/internal/keeper/sketch.go
+++ b/internal/keeper/sketch.go
@@ -2,31 +2,32 @@
 
 import "math"
 
-// The sketch's size: cells in sets of ways. A number shares a set with those of the same low bits of its hash.
+// The size of the sketch: a set-associative table. Numbers whose hashes have the same low bits share a set.
 const (
 	sketchSets = 256
 	ways       = 4
-	epoch      = 5_000_000 // counts are halved so often, in microseconds
+	epoch      = 5_000_000 // counts are halved at this interval, in microseconds
 )
 
-// set counts up to four numbers, by their hashes. It is one line of the processor's cache.
+// counterSet counts up to four numbers by their hashes. It fills one cache line of the processor.
 type set struct {
 	hash  [ways]uint64
-	count [ways]uint32 // orders, halved every epoch; over the true count by at most err
+	count [ways]uint32 // set-ups, halved every epoch; exceeds the true count by at most overcount
 	err   [ways]uint16
-	busy  [ways]uint8 // busy ends, halved every epoch
+	busy  [ways]uint8 // set-ups that ended busy, halved every epoch
 	epoch uint32
 }
 
-// sketch finds the numbers asked for most in bounded memory: space-saving with decay, in sets so that a touch looks at few
-// cells and allocates nothing. A number that is not held takes the place of the least of its set, and inherits its count.
+// sketch finds the most requested numbers in bounded memory. It is space-saving with decay, in sets, so that a count
+// looks at few cells and allocates nothing. A number that has no cell replaces the one with the lowest count of its
+// set, and inherits that count.
 type sketch struct {
 	sets  [sketchSets]set
 	epoch uint32
-	until int64 // of this epoch
+	until int64 // end of this epoch
 }
 
-// touch counts an order, and returns where.
+// add counts a set-up, and returns its cell.
 func (s *sketch) touch(hash uint64, now int64) (*set, int) {
 	if now >= s.until {
 		s.epoch = uint32(now / epoch)
@@ -36,7 +37,8 @@
 	if c.epoch != s.epoch {
 		c.decay(s.epoch)
 	}
-	// Written out, for most touches find nothing, and what is least can't be foretold: no branch depends on it.
+	// Written out without branches that depend on the counts: most lookups find nothing, and which count is lowest is
+	// unpredictable.
 	i := 0
 	switch hash {
 	case c.hash[0]:
@@ -54,7 +56,7 @@
 	return c, i
 }
 
-// least is where the fewest orders are counted.
+// minIndex returns the index of the lowest count.
 func (c *set) least() int {
 	i, n := 0, c.count[0]
 	if c.count[1] < n {
@@ -79,7 +81,7 @@
 	c.epoch = e
 }
 
-// ranOut counts a busy end, and returns how many there were lately, and how many orders at the least.
+// countBusy counts a set-up that ended busy, and returns the recent number of these and the least number of set-ups.
 func (s *sketch) ranOut(hash uint64, now int64) (busy, orders uint32) {
 	c, i := s.touch(hash, now)
 	c.count[i]--
@@ -87,5 +89,5 @@
 	return uint32(c.busy[i]), c.sure(i)
 }
 
-// sure is how many orders there were at the least.
+// minCount returns the least number of set-ups that there can have been.
 func (c *set) sure(i int) uint32 { return c.count[i] - uint32(c.err[i]) }
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table is what the loop of calls reads of the numbers in contention: an immutable map behind an atomic pointer. The part
-// puts a new map in place when a number comes or goes; the figures in an entry are atomics.
+// Table holds the numbers in contention for the call loop to read: an immutable map behind an atomic pointer. The
+// Part stores a new map when a number is added or removed; the values of an entry are atomics.
 type Table struct{ shelf atomic.Pointer[shelf] }
 
-// shelf is the entries by hash, and a bit for each that says most of the others are not there at the price of one look.
+// tableSnapshot holds the entries by hash, and a bit filter that rules out most other numbers with a single read.
 type shelf struct {
 	bits  [64]uint64
 	slots map[uint64]*slot
 }
 
-// NewTable returns a table in which no number is.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
 	t.shelf.Store(&shelf{})
 	return t
 }
 
-// Len is how many numbers are in it.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.shelf.Load().slots) }
 
-// find returns a number's entry; nil: it is not in contention.
+// find returns the entry of a number; nil: it is not in contention.
 func (t *Table) find(hash uint64, key string) *slot {
 	b := t.shelf.Load()
 	if b.bits[hash>>58]&(1<<(hash>>52&63)) == 0 {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// replace puts other entries in place; only the part does.
+// replace stores other entries; only the Part calls it.
 func (t *Table) replace(slots map[uint64]*slot) {
 	b := &shelf{slots: slots}
 	for hash := range slots {
@@ -47,8 +47,8 @@
 	t.shelf.Store(b)
 }
 
-// Holds is what this process holds of a number's lines: calls and set-ups that came under a permit, those that went without
-// one, and permits in hand that are valid yet. It is for staff and tests.
+// Holds returns the lines of a number that this process holds: calls and set-ups admitted with a permit, those
+// admitted without one, and unused permits that are still valid. It serves operators and tests.
 func (t *Table) Holds(now int64, key string) (open, plain, permits int64) {
 	s := t.find(hashOf(key), key)
 	if s == nil {
@@ -63,39 +63,39 @@
 	return s.open.Load() - plain, plain, permits
 }
 
-// batch is permits of one grant. The loop takes from it, the part takes back what is left.
+// batch holds the permits of one grant. The loop takes permits from it; the Part takes the remaining ones back.
 type batch struct {
 	fence uint64
 	until int64 // by this process's clock
 	left  atomic.Int64
 }
 
-// slot is one number in contention as the loop sees it.
+// tableEntry is one number in contention as the loop sees it.
 type slot struct {
 	hash uint64
 	key  string
 
-	// The loop writes these, the part reads them. Counts grow, open and calls go up and down.
-	wanted  atomic.Uint64 // orders for it
-	refused atomic.Uint64 // orders turned away here
+	// Written by the loop, read by the Part. Counts only grow; open, calls, fallback and waitingCount also decrease.
+	wanted  atomic.Uint64 // set-ups for it
+	refused atomic.Uint64 // set-ups refused here
 	busy    atomic.Uint64 // set-ups under a permit that ended busy
 	began   atomic.Uint64 // set-ups under a permit that became calls
 	ended   atomic.Uint64 // calls and set-ups that are over
 	open    atomic.Int64  // set-ups and calls: each holds a line
-	calls   atomic.Int64  // of them, calls that stand
-	plain   atomic.Int64  // of them, those without a permit
-	held    atomic.Int64  // orders that wait here for a permit
-	dirty   atomic.Bool   // a report of a change is on its way already
+	calls   atomic.Int64  // of these, established calls
+	plain   atomic.Int64  // of these, those without a permit
+	held    atomic.Int64  // set-ups that wait here for a permit
+	dirty   atomic.Bool   // a report of a change is queued already
 
-	// The part writes these, the loop reads them.
+	// Written by the Part, read by the loop.
 	batches   atomic.Pointer[[]*batch]
-	fence     atomic.Uint64 // the highest seen
-	noneUntil atomic.Int64  // no permit is to be had before
+	fence     atomic.Uint64 // highest seen
+	noneUntil atomic.Int64  // no permit is available before
 	stay      atomic.Int64  // microseconds that a caller is to stay away
-	rate      atomic.Int64  // calls in a thousand seconds that are this process's share of the lines' turnover
+	rate      atomic.Int64  // calls in 1000 s: this process's share of the lines' turnover
 	lost      atomic.Bool   // the keeper does not answer
 
-	// The loop's own: calls that may go the ordinary way while the keeper can't be reached.
+	// Used by the loop alone: token bucket for calls admitted without a permit while the keeper is unreachable.
 	tokens  float64
 	filled  int64
 	waiting []*call
@@ -109,8 +109,8 @@
 	return s
 }
 
-// take uses one permit that is in hand, valid and of the newest fence.
-// Guards against a permit that is counted nowhere for a moment: it is open before it leaves the hand.
+// takePermit uses one unused permit that is valid and has the newest fence. The line counts as open before the permit
+// is taken, so that a permit is never missing from both counts.
 func (s *slot) take(now int64, d *doctor) bool {
 	bs := *s.batches.Load()
 	if len(bs) == 0 {
@@ -132,7 +132,7 @@
 	return false
 }
 
-// inHand is the permits that the loop could still take.
+// unusedPermits returns the permits that the loop can still take.
 func (s *slot) inHand() int64 {
 	n := int64(0)
 	for _, b := range *s.batches.Load() {
@@ -141,8 +141,8 @@
 	return n
 }
 
-// add puts a batch in hand, and retire takes back batches for which over says so; what the loop had taken by then counts as
-// open. Both only by the part.
+// addBatch adds a batch, and removeBatches takes back the batches that match; permits that the loop took until then
+// count as open. Only the Part calls them.
 func (s *slot) add(b *batch) {
 	bs := append([]*batch{}, *s.batches.Load()...)
 	bs = append(bs, b)
@@ -163,39 +163,40 @@
 	return back
 }
 
-// What the loop tells the part.
+// Kinds of reports from the loop to the Part.
 const (
-	reportChanged = iota + 1 // what is open has changed, or an order waits
-	reportSeen               // a number not in the table ended busy again and again
+	reportChanged = iota + 1 // what is open has changed, or a set-up waits
+	reportSeen               // a number that is not in the table repeatedly ended busy
 )
 
-// report is one thing that the loop tells the part.
+// report is one report from the loop to the Part.
 type report struct {
 	kind int
 	slot *slot
 	key  string
-	n    uint32 // orders lately, for reportSeen
+	n    uint32 // recent set-ups, for reportContended
 }
 
-// Queue carries reports from the loop to the part. It is bounded, and counts what it drops.
+// Queue carries reports from the loop to the Part. It is bounded, and counts the reports that it drops.
 type Queue struct {
 	c       chan report
 	wake    chan struct{}
 	dropped atomic.Uint64
 }
 
-// NewQueue returns a queue with room for so many reports; 4096 is plenty.
+// NewQueue returns a queue with the given capacity; 4096 is plenty.
 func NewQueue(room int) *Queue {
 	return &Queue{c: make(chan report, room), wake: make(chan struct{}, 1)}
 }
 
-// Wake gets a value when something is in the queue: whoever drives the part may then call its Tick before Next says so.
+// Wake receives a value when the queue is not empty: the driver of the Part may then call its Tick before Next is
+// due.
 func (q *Queue) Wake() <-chan struct{} { return q.wake }
 
-// Dropped is how many reports had no room.
+// Dropped returns how many reports found the queue full.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// push never waits; false: there was no room.
+// push never blocks; false: the queue is full.
 func (q *Queue) push(r report) bool {
 	select {
 	case q.c <- r:
--- a/internal/keeper/wire.go
+++ b/internal/keeper/wire.go
@@ -12,45 +12,45 @@
 	"pewterwheel/internal/lease"
 )
 
-// What one process tells another about a number. Numbers are never given anew; an unknown one is passed over.
+// Operations that one process sends another about a number. A value is never reused; unknown ones are ignored.
 const (
-	opReport = 1 // to the keeper: what is held here, and what is wanted
-	opAnswer = 2 // from the keeper: permits, or the time to come again; with N 0 it says just who keeps the number
+	opReport = 1 // to the keeper: the lines held here, and the permits wanted
+	opAnswer = 2 // from the keeper: permits, or when to retry; with a zero report number it only names the keeper
 	opOver   = 3 // from the keeper: the contention is over
-	opTake   = 4 // from the keeper: be the next
+	opTake   = 4 // from the keeper: become the next keeper
 )
 
-// item is one such thing. Times are microseconds that begin when the message that is answered was sent.
+// item is one operation of a message. Times are microseconds from when the message that is answered was sent.
 type item struct {
 	Op    uint8  `cbor:"1,keyasint"`
 	Key   string `cbor:"2,keyasint"`
-	Fence uint64 `cbor:"3,keyasint,omitempty"` // the highest that the sender knows; of the keeper: its own
-	N     uint64 `cbor:"4,keyasint,omitempty"` // number of the report; permits for an earlier one are not taken any more
+	Fence uint64 `cbor:"3,keyasint,omitempty"` // highest that the sender knows; from the keeper: its own
+	N     uint64 `cbor:"4,keyasint,omitempty"` // number of the report; permits for an earlier one are no longer accepted
 	Life  uint64 `cbor:"5,keyasint,omitempty"` // incarnation of the reporter
 
-	Hold    int64  `cbor:"6,keyasint,omitempty"` // lines held: permits in hand, set-ups and calls
-	Idle    int64  `cbor:"7,keyasint,omitempty"` // of them, permits in hand
-	Calls   int64  `cbor:"8,keyasint,omitempty"` // of them, calls
-	Want    int64  `cbor:"9,keyasint,omitempty"` // orders that wait
+	Hold    int64  `cbor:"6,keyasint,omitempty"` // lines held: unused permits, set-ups and calls
+	Idle    int64  `cbor:"7,keyasint,omitempty"` // of these, unused permits
+	Calls   int64  `cbor:"8,keyasint,omitempty"` // of these, calls
+	Want    int64  `cbor:"9,keyasint,omitempty"` // set-ups that wait
 	Rate    int64  `cbor:"10,keyasint,omitempty"`
 	Busy    uint64 `cbor:"11,keyasint,omitempty"`
 	Began   uint64 `cbor:"12,keyasint,omitempty"`
 	Ended   uint64 `cbor:"13,keyasint,omitempty"`
 	Refused uint64 `cbor:"14,keyasint,omitempty"`
 
-	Permits int64  `cbor:"20,keyasint,omitempty"` // all that were given for report N so far
+	Permits int64  `cbor:"20,keyasint,omitempty"` // all that were granted for this report so far
 	Lasts   int64  `cbor:"21,keyasint,omitempty"`
-	Again   int64  `cbor:"22,keyasint,omitempty"` // none is to be had for so long
-	Stay    int64  `cbor:"23,keyasint,omitempty"` // callers are to stay away for so long
-	Share   int64  `cbor:"24,keyasint,omitempty"` // the reporter's part of the turnover, calls in a thousand seconds
-	Keeper  string `cbor:"25,keyasint,omitempty"` // who keeps it; empty: the sender
+	Again   int64  `cbor:"22,keyasint,omitempty"` // no permit is available for this long
+	Stay    int64  `cbor:"23,keyasint,omitempty"` // callers are to stay away for this long
+	Share   int64  `cbor:"24,keyasint,omitempty"` // the reporter's share of the turnover, calls in 1000 s
+	Keeper  string `cbor:"25,keyasint,omitempty"` // who keeps the number; empty: the sender
 }
 
 type letter struct {
 	Items []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-// said is the keepers' part of a process's entry.
+// entryPart is the keeper part of a process's entry.
 type said struct {
 	Kept []keptBy `cbor:"1,keyasint,omitempty"`
 	Seen []seenBy `cbor:"2,keyasint,omitempty"`
@@ -59,12 +59,12 @@
 type keptBy struct {
 	Key   string `cbor:"1,keyasint"`
 	Fence uint64 `cbor:"2,keyasint"`
-	Share int64  `cbor:"3,keyasint,omitempty"` // turnover of the lines, calls in a thousand seconds
+	Share int64  `cbor:"3,keyasint,omitempty"` // turnover of the lines, calls in 1000 s
 }
 
 type seenBy struct {
 	Key  string `cbor:"1,keyasint"`
-	Rate int64  `cbor:"2,keyasint"` // orders in a thousand seconds
+	Rate int64  `cbor:"2,keyasint"` // set-ups in 1000 s
 }
 
 var encoding = func() cbor.EncMode {
@@ -89,7 +89,7 @@
 	maxRate   = 1 << 40
 )
 
-// sound tells whether an item's figures are within bounds.
+// withinBounds tells whether the values of an item are within bounds.
 func (it *item) sound() bool {
 	for _, n := range []int64{it.Hold, it.Idle, it.Calls, it.Want, it.Permits} {
 		if n < 0 || n > maxFigure {
@@ -101,16 +101,17 @@
 			return false
 		}
 	}
-	return goodKey(it.Key) && it.Rate >= 0 && it.Rate <= maxRate && it.Share >= 0 && it.Share <= maxRate && len(it.Keeper) <= 64
+	return goodKey(it.Key) && it.Rate >= 0 && it.Rate <= maxRate && it.Share >= 0 && it.Share <= maxRate &&
+		len(it.Keeper) <= 64
 }
 
 func goodKey(k string) bool { return k != "" && len(k) <= maxKey }
 
-// readLetter returns the sound items of a message, and an error if there was anything else in it.
+// decodeItems returns the items of a message that are within bounds, and an error if it contains anything else.
 func readLetter(m fleet.Message) (items []item, err error) {
 	var l letter
 	if len(m.Body) > fleet.MaxBody {
-		return nil, &MessageError{m.From, fmt.Sprintf("%d bytes", len(m.Body))}
+		return nil, &MessageError{m.From, fmt.Sprintf("message of %d bytes exceeds the limit", len(m.Body))}
 	}
 	if e := decoding.Unmarshal(m.Body, &l); e != nil {
 		return nil, &MessageError{m.From, e.Error()}
@@ -120,7 +121,7 @@
 		if e := decoding.Unmarshal(raw, &it); e != nil {
 			err = &MessageError{m.From, e.Error()}
 		} else if !it.sound() {
-			err = &MessageError{m.From, "a figure out of bounds"}
+			err = &MessageError{m.From, "value out of bounds"}
 		} else {
 			items = append(items, it)
 		}
@@ -128,7 +129,7 @@
 	return items, err
 }
 
-// letters packs items into as few messages as they fit.
+// appendMessages packs items into as few messages as possible.
 func letters(from, to string, items []item, out *fleet.Out) {
 	const frame = 8
 	var l letter
@@ -142,7 +143,7 @@
 	for i := range items {
 		raw, err := encoding.Marshal(&items[i])
 		if err != nil {
-			continue // there is nothing in it that could not be encoded
+			continue // every item can be encoded
 		}
 		if size+len(raw) > fleet.MaxBody || len(l.Items) == 64 {
 			send()
@@ -152,7 +153,7 @@
 	send()
 }
 
-// readSaid reads the keepers' part of an entry; what is out of bounds is left out.
+// decodeEntryPart decodes the keeper part of an entry and leaves out what is out of bounds.
 func readSaid(name string, body []byte) (said, error) {
 	var s said
 	if len(body) == 0 {
@@ -168,7 +169,7 @@
 	return s, nil
 }
 
-// bytes writes it, with as many of the seen as there is room for.
+// encode encodes the part, with as many of the contended numbers as fit.
 func (s said) bytes() []byte {
 	if len(s.Kept)+len(s.Seen) == 0 {
 		return nil
@@ -189,14 +190,14 @@
 	}
 }
 
-// record is what stands with a number's lease: what the next keeper must know.
+// record is stored with the lease of a number for the next keeper.
 type record struct {
 	Lines   int64  `cbor:"1,keyasint"`
 	Known   int64  `cbor:"2,keyasint"`
-	Turn    int64  `cbor:"3,keyasint"`           // turnover, calls in a thousand seconds
-	All     bool   `cbor:"4,keyasint,omitempty"` // any process may hold lines, for those that may are too many
+	Turn    int64  `cbor:"3,keyasint"`           // calls in 1000 s
+	All     bool   `cbor:"4,keyasint,omitempty"` // any process may hold lines: there are too many holders to list
 	Out     int64  `cbor:"6,keyasint,omitempty"` // lines that may have been held when it was written
-	Holders []byte `cbor:"5,keyasint,omitempty"` // 6 bytes each: hash of the name, most that it may hold
+	Holders []byte `cbor:"5,keyasint,omitempty"` // 6 bytes each: hash of the name, most lines that it may hold
 }
 
 const (
@@ -205,7 +206,7 @@
 	maxCeil    = 1<<16 - 1
 )
 
-// holder is a process that may hold lines, by the record.
+// holder is a process that may hold lines according to the record.
 type holder struct {
 	name uint32
 	ceil int64
@@ -238,7 +239,7 @@
 	return b
 }
 
-// readRecord reads the record of a number; none is an empty one.
+// decodeRecord decodes the record of a number; no bytes give an empty record.
 func readRecord(key string, b []byte) (r record, err error) {
 	if len(b) == 0 {
 		return r, nil
@@ -246,8 +247,9 @@
 	if e := decoding.Unmarshal(b, &r); e != nil {
 		return record{}, &RecordError{key, e.Error()}
 	}
-	if r.Lines < 0 || r.Lines > maxFigure || r.Known < 0 || r.Known > maxFigure || r.Turn < 0 || r.Turn > maxRate || r.Out < 0 || r.Out > maxFigure {
-		return record{}, &RecordError{key, "a figure out of bounds"}
+	if r.Lines < 0 || r.Lines > maxFigure || r.Known < 0 || r.Known > maxFigure || r.Turn < 0 || r.Turn > maxRate ||
+		r.Out < 0 || r.Out > maxFigure {
+		return record{}, &RecordError{key, "value out of bounds"}
 	}
 	return r, nil
 }
