--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -24,47 +24,47 @@
 	Barred func(name string) bool // reports processes that are next in a staged change; nil: none
 	Lines  func(key string) int   // lines of a number that the site configures; 0 or nil: they are learned
 
-	Most    int     // numbers kept here at once; default and maximum 16: they must fit into the process's entry
-	Numbers int     // numbers in the table; 4096
-	Share   float64 // fraction of its turnover share that a process uses while the keeper is unreachable; 0.5
-	Ahead   float64 // fraction of the permits granted before they are requested; 0.75
-	Margin  float64 // relative excess of another process's demand that moves a number to it; 0.5
-	Drift   float64 // bound on how much faster one clock runs than another; 0.01
-
-	Permit int64 // lifetime of a permit, from when it was requested; 2 s
-	Hold   int64 // longest wait of a set-up for a permit, at most half the aim of its class; 40 ms
-	Answer int64 // a keeper that has not answered within this time is unreachable; 35 ms
-	Poll   int64 // interval at which the Part reads its queue while a number is in contention, if not woken; 5 ms
-	Settle int64 // contention lasts this long before a number is claimed; 500 ms
-	Stay   int64 // another process has the higher demand for this long before a number moves; 5 s
-	Calm   int64 // contention is over when no call was refused for this long; 10 s
-	Silent int64 // lines of a process that sends no reports count as held for this long; 30 s
-
-	doctor doctor
+	Most         int     // numbers kept here at once; default and maximum 16: they must fit into the process's entry
+	TableSize    int     // numbers in the table; 4096
+	Share        float64 // fraction of its turnover share that a process uses while the keeper is unreachable; 0.5
+	AdvanceShare float64 // fraction of the permits granted before they are requested; 0.75
+	MoveMargin   float64 // relative excess of another process's demand that moves a number to it; 0.5
+	Drift        float64 // bound on how much faster one clock runs than another; 0.01
+
+	PermitLifetime int64 // lifetime of a permit, from when it was requested; 2 s
+	MaxWait        int64 // longest wait of a set-up for a permit, at most half the aim of its class; 40 ms
+	AnswerTimeout  int64 // a keeper that has not answered within this time is unreachable; 35 ms
+	Poll           int64 // interval at which the Part reads its queue while a number is in contention, if not woken; 5 ms
+	ClaimDelay     int64 // contention lasts this long before a number is claimed; 500 ms
+	MoveDelay      int64 // another process has the higher demand for this long before a number moves; 5 s
+	CalmTime       int64 // contention is over when no call was refused for this long; 10 s
+	SilenceTimeout int64 // lines of a process that sends no reports count as held for this long; 30 s
+
+	disabled disabledSafeguards
 }
 
 // disabledSafeguards switches safeguards off, so that tests can show that each is needed.
-type doctor struct {
-	noStop, noFence, forgetOld, noHysteresis, oneWitness, noShare, noExpiry, pickSuspect, overGrant bool
+type disabledSafeguards struct {
+	noLeaseLimit, noFencing, forgetPreviousHolders, noHysteresis, singleReporter, noFallbackLimit, noPermitExpiry, allowSuspects, overGrant bool
 }
 
 // withDefaults returns the configuration with its zero fields set to their defaults.
-func (c Config) fill() Config {
-	def(&c.Most, 16)
+func (c Config) withDefaults() Config {
+	setDefault(&c.Most, 16)
 	c.Most = min(c.Most, maxKept)
-	def(&c.Numbers, 4096)
-	def(&c.Share, 0.5)
-	def(&c.Ahead, 0.75)
-	def(&c.Margin, 0.5)
-	def(&c.Drift, 0.01)
-	def(&c.Permit, 2_000_000)
-	def(&c.Hold, 40_000)
-	def(&c.Answer, 35_000)
-	def(&c.Poll, 5_000)
-	def(&c.Settle, 500_000)
-	def(&c.Stay, 5_000_000)
-	def(&c.Calm, 10_000_000)
-	def(&c.Silent, 30_000_000)
+	setDefault(&c.TableSize, 4096)
+	setDefault(&c.Share, 0.5)
+	setDefault(&c.AdvanceShare, 0.75)
+	setDefault(&c.MoveMargin, 0.5)
+	setDefault(&c.Drift, 0.01)
+	setDefault(&c.PermitLifetime, 2_000_000)
+	setDefault(&c.MaxWait, 40_000)
+	setDefault(&c.AnswerTimeout, 35_000)
+	setDefault(&c.Poll, 5_000)
+	setDefault(&c.ClaimDelay, 500_000)
+	setDefault(&c.MoveDelay, 5_000_000)
+	setDefault(&c.CalmTime, 10_000_000)
+	setDefault(&c.SilenceTimeout, 30_000_000)
 	if c.Barred == nil {
 		c.Barred = func(string) bool { return false }
 	}
@@ -74,7 +74,7 @@
 	return c
 }
 
-func def[T int | int64 | float64](v *T, d T) {
+func setDefault[T int | int64 | float64](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
@@ -82,7 +82,7 @@
 
 // Check returns a *ConfigError if the configuration is invalid.
 func (c *Config) Check() error {
-	f := c.fill()
+	f := c.withDefaults()
 	switch {
 	case f.Self == "":
 		return &ConfigError{"no name configured for this process"}
@@ -90,13 +90,13 @@
 		return &ConfigError{fmt.Sprintf("limit of %d numbers for one keeper is below 1", c.Most)}
 	case f.Share < 0 || f.Share > 1:
 		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", f.Share)}
-	case f.Ahead < 0 || f.Ahead > 0.9:
-		return &ConfigError{fmt.Sprintf("fraction %g of permits granted in advance is not within 0 to 0.9", f.Ahead)}
+	case f.AdvanceShare < 0 || f.AdvanceShare > 0.9:
+		return &ConfigError{fmt.Sprintf("fraction %g of permits granted in advance is not within 0 to 0.9", f.AdvanceShare)}
 	case f.Drift < 0 || f.Drift > 0.1:
 		return &ConfigError{fmt.Sprintf("clock drift of %g is not within 0 to 0.1", f.Drift)}
-	case f.Permit < 10*f.Hold || f.Silent < 2*f.Permit:
+	case f.PermitLifetime < 10*f.MaxWait || f.SilenceTimeout < 2*f.PermitLifetime:
 		return &ConfigError{fmt.Sprintf("permit lifetime of %d us is below 10 waits of %d us or above half the silence timeout of %d us",
-			f.Permit, f.Hold, f.Silent)}
+			f.PermitLifetime, f.MaxWait, f.SilenceTimeout)}
 	}
 	return nil
 }
--- a/internal/keeper/corpus_test.go
+++ b/internal/keeper/corpus_test.go
@@ -26,40 +26,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		it := item{Op: uint8(n), Key: "+351210000000", Fence: 7, N: 9, Life: 11, Hold: 12, Idle: 2, Calls: 8, Want: 40, Rate: 5000, Busy: 3, Began: 70,
-			Ended: 60, Refused: 5, Permits: 14, Lasts: 2_000_000, Again: 300_000, Stay: 30_000_000, Share: 2500, Keeper: "sidecar-3"}
+		it := operation{Op: uint8(n), Key: "+351210000000", Fence: 7, ReportNumber: 9, Incarnation: 11, Held: 12, Unused: 2, Calls: 8, Wanted: 40, Rate: 5000, Busy: 3, Began: 70,
+			Ended: 60, Refused: 5, Permits: 14, Lifetime: 2_000_000, RetryAfter: 300_000, CallerRetryAfter: 30_000_000, TurnoverShare: 2500, Keeper: "sidecar-3"}
 		var out fleet.Out
-		letters("sidecar-1", "sidecar-2", []item{it, {Op: uint8(n), Key: "1"}}, &out)
-		var l letter
+		appendMessages("sidecar-1", "sidecar-2", []operation{it, {Op: uint8(n), Key: "1"}}, &out)
+		var l messageBody
 		if err := decoding.Unmarshal(out.Send[0].Body, &l); err != nil {
 			t.Fatal(err)
 		}
 		cases = append(cases, corpus.Case{Name: "letter-" + strings.ToLower(op[2:]), Value: struct {
-			Letter letter
-			Item   item
-		}{l, it}, Bytes: out.Send[0].Body, Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKey, "Keeper": 64}, Read: func(b []byte) (any, error) {
-			return readLetter(fleet.Message{Kind: fleet.Keeper, From: "sidecar-1", To: "sidecar-2", Body: b})
+			Letter messageBody
+			Item   operation
+		}{l, it}, Bytes: out.Send[0].Body, Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64}, Read: func(b []byte) (any, error) {
+			return decodeOperations(fleet.Message{Kind: fleet.Keeper, From: "sidecar-1", To: "sidecar-2", Body: b})
 		}})
 	}
-	r := record{Lines: 40, Known: 38, Turn: 2500, Out: 30}
-	r.hold([]holder{{nameHash("sidecar-1"), 10}, {nameHash("sidecar-2"), maxCeil}})
-	most := record{Lines: 40, Known: 38, Turn: maxRate, Out: 30}
-	most.hold(make([]holder, maxHolders))
-	all := record{Lines: 1, Known: 1, Turn: 1}
-	all.hold(make([]holder, maxHolders+1))
+	r := record{Lines: 40, Known: 38, Turnover: 2500, Outstanding: 30}
+	r.setHolders([]holder{{nameHash("sidecar-1"), 10}, {nameHash("sidecar-2"), maxHolderLines}})
+	most := record{Lines: 40, Known: 38, Turnover: maxRate, Outstanding: 30}
+	most.setHolders(make([]holder, maxHolders))
+	all := record{Lines: 1, Known: 1, Turnover: 1}
+	all.setHolders(make([]holder, maxHolders+1))
 	for name, r := range map[string]record{"record": r, "record-largest": most, "record-all": all} {
-		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.bytes(), Max: lease.MaxRecord, Read: func(b []byte) (any, error) {
+		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord, Read: func(b []byte) (any, error) {
 			if len(b) > lease.MaxRecord {
 				return nil, &RecordError{"1", "longer than the record of a lease may be"}
 			}
-			r, err := readRecord("1", b)
+			r, err := decodeRecord("1", b)
 			type whom struct {
 				Name uint32
 				Most int64
 			}
 			var whose []whom
 			for _, h := range r.holders() {
-				whose = append(whose, whom{h.name, h.ceil})
+				whose = append(whose, whom{h.name, h.maxLines})
 			}
 			return struct {
 				Record  record
@@ -67,7 +67,7 @@
 			}{r, whose}, err
 		}})
 	}
-	s := said{Kept: []keptBy{{"+351210000000", 7, 2500}, {"1", 8, 0}}, Seen: []seenBy{{"2", 90_000}}}
-	cases = append(cases, corpus.Case{Name: "said", Value: s, Bytes: s.bytes(), Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKey, "Keeper": 64}, Read: func(b []byte) (any, error) { return readSaid("sidecar-1", b) }})
+	s := entryPart{Kept: []keptNumber{{"+351210000000", 7, 2500}, {"1", 8, 0}}, Contended: []contendedNumber{{"2", 90_000}}}
+	cases = append(cases, corpus.Case{Name: "said", Value: s, Bytes: s.encode(), Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64}, Read: func(b []byte) (any, error) { return decodeEntryPart("sidecar-1", b) }})
 	corpus.Check(t, cases, numbers)
 }
--- a/internal/keeper/export_test.go
+++ b/internal/keeper/export_test.go
@@ -1,27 +1,27 @@
 package keeper
 
 // Without switches a safeguard off, for tests that show what it guards against.
-func (c Config) Without(guard string) Config {
-	switch guard {
-	case "stop":
-		c.doctor.noStop = true
+func (c Config) Without(safeguard string) Config {
+	switch safeguard {
+	case "lease-limit":
+		c.disabled.noLeaseLimit = true
 	case "fence":
-		c.doctor.noFence = true
-	case "old":
-		c.doctor.forgetOld = true
+		c.disabled.noFencing = true
+	case "previous-holders":
+		c.disabled.forgetPreviousHolders = true
 	case "hysteresis":
-		c.doctor.noHysteresis = true
-	case "witness":
-		c.doctor.oneWitness = true
+		c.disabled.noHysteresis = true
+	case "reporters":
+		c.disabled.singleReporter = true
 	case "share":
-		c.doctor.noShare = true
+		c.disabled.noFallbackLimit = true
 	case "expiry":
-		c.doctor.noExpiry = true
+		c.disabled.noPermitExpiry = true
 	case "suspect":
-		c.doctor.pickSuspect = true
+		c.disabled.allowSuspects = true
 	case "":
 	default:
-		panic(guard)
+		panic(safeguard)
 	}
 	return c
 }
--- a/internal/keeper/failpoint_on.go
+++ b/internal/keeper/failpoint_on.go
@@ -5,6 +5,6 @@
 // Overgranting returns a configuration whose keeper grants one line more than exists, for tests of how that is
 // detected.
 func (c Config) Overgranting() Config {
-	c.doctor.overGrant = true
+	c.disabled.overGrant = true
 	return c
 }
--- a/internal/keeper/front.go
+++ b/internal/keeper/front.go
@@ -5,72 +5,72 @@
 )
 
 // Decider decides behind a Front: the router, or the decide module alone.
-type Inner interface {
+type Decider interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
 }
 
 const (
-	maxKey     = 32      // longer numbers are not followed
-	maxTracked = 1 << 16 // calls to numbers in contention that a Front follows
-	maxWaiting = 64      // set-ups that wait for one number
-	lookAgain  = 5_000   // interval at which waiting set-ups are checked
-	busySeen   = 2       // recent busy ends of one number before it is reported
+	maxKeyLength     = 32      // longer numbers are not followed
+	maxTrackedCalls  = 1 << 16 // calls to numbers in contention that a Front follows
+	maxWaitingSetUps = 64      // set-ups that wait for one number
+	waitingInterval  = 5_000   // interval at which waiting set-ups are checked
+	minBusyEnds      = 2       // recent busy ends of one number before it is reported
 	// timerToken marks the timers of a Front. Tokens of the decide module count up from 0 and never reach it.
-	frontToken = 1 << 63
+	timerToken = 1 << 63
 )
 
-// call is one call to a number in contention that the Front follows.
-type call struct {
-	slot   *slot
-	order  decide.Event // the set-up while it waits
-	plain  bool         // admitted without a permit
-	held   bool
-	since  int64 // when it arrived
-	until  int64 // latest end of the wait
-	out    bool  // an attempt is open
-	over   bool  // it has its final answer, or its caller has gone
-	stands bool
+// trackedCall is one trackedCall to a number in contention that the Front follows.
+type trackedCall struct {
+	entry       *tableEntry
+	setUp       decide.Event // the set-up while it waits
+	fallback    bool         // admitted without a permit
+	waiting     bool
+	arrivedAt   int64 // when it arrived
+	waitUntil   int64 // latest end of the wait
+	attemptOpen bool  // an attempt is open
+	finished    bool  // it has its final answer, or its caller has gone
+	established bool
 }
 
 // Front decides on the call loop, in front of the router, whether a call to a number in contention may be attempted.
 // It delays, admits or refuses set-ups; it sends none itself. Calls to other numbers cost one sketch update. It
 // belongs to the goroutine of the loop.
 type Front struct {
-	cfg     Config
-	set     decide.Settings
-	inner   Inner
-	table   *Table
-	queue   *Queue
-	sketch  *sketch
-	calls   map[decide.CallID]*call
-	spare   []*call
-	waiting []*slot // numbers for which set-ups wait
-	looked  int64
-	armed   bool
+	cfg            Config
+	settings       decide.Settings
+	inner          Decider
+	table          *Table
+	queue          *Queue
+	sketch         *sketch
+	calls          map[decide.CallID]*trackedCall
+	freeCalls      []*trackedCall
+	waitingEntries []*tableEntry // numbers for which set-ups wait
+	checkedAt      int64
+	timerArmed     bool
 
 	// Counts holds the counters of what was decided, for operators.
-	Counts FrontCounts
+	Counts FilterCounts
 }
 
-// FrontCounts counts what a Front has decided since its start.
-type FrontCounts struct {
-	Hot       uint64 // set-ups for numbers in contention
-	Permitted uint64 // admitted with a permit
-	Held      uint64 // delayed while a permit was requested
-	Refused   uint64 // refused, as no line is free
-	Plain     uint64 // admitted by the fallback share, as the keeper was unreachable
-	Unshared  uint64 // refused, as the fallback share was used up
-	Busy      uint64 // set-ups under a permit that ended busy
-	Untracked uint64 // admitted without being followed, for lack of room
-	BusyCold  uint64 // set-ups to numbers not in contention that ended busy
+// FilterCounts counts what a Front has decided since its start.
+type FilterCounts struct {
+	Contended       uint64 // set-ups for numbers in contention
+	Permitted       uint64 // admitted with a permit
+	Held            uint64 // delayed while a permit was requested
+	Refused         uint64 // refused, as no line is free
+	Fallback        uint64 // admitted by the fallback share, as the keeper was unreachable
+	FallbackRefused uint64 // refused, as the fallback share was used up
+	Busy            uint64 // set-ups under a permit that ended busy
+	Untracked       uint64 // admitted without being followed, for lack of room
+	BusyUncontended uint64 // set-ups to numbers not in contention that ended busy
 }
 
 // NewFront returns a Front that passes events to inner, which is made with the same settings. It shares the table and
 // the queue with the Part of the process. The session must report the ends of calls to it (session.EndHearer): a
 // decider in front of it passes on HearsEnds and events.
-func NewFront(cfg Config, set decide.Settings, inner Inner, table *Table, queue *Queue) *Front {
-	return &Front{cfg: cfg.fill(), set: set, inner: inner, table: table, queue: queue, sketch: &sketch{}, calls: map[decide.CallID]*call{}}
+func NewFront(cfg Config, set decide.Settings, inner Decider, table *Table, queue *Queue) *Front {
+	return &Front{cfg: cfg.withDefaults(), settings: set, inner: inner, table: table, queue: queue, sketch: &sketch{}, calls: map[decide.CallID]*trackedCall{}}
 }
 
 // Avoids tells whether the decide module currently avoids a listed server.
@@ -92,14 +92,14 @@
 // Figures reports the counters of the Front and of the decider behind it.
 func (f *Front) Figures(put func(name string, n uint64, gauge bool)) {
 	c := &f.Counts
-	put("keeper_hot", c.Hot, false)
+	put("keeper_hot", c.Contended, false)
 	put("keeper_permitted", c.Permitted, false)
 	put("keeper_held", c.Held, false)
 	put("keeper_refused", c.Refused, false)
-	put("keeper_plain", c.Plain, false)
-	put("keeper_unshared", c.Unshared, false)
+	put("keeper_plain", c.Fallback, false)
+	put("keeper_unshared", c.FallbackRefused, false)
 	put("keeper_busy", c.Busy, false)
-	put("keeper_busy_cold", c.BusyCold, false)
+	put("keeper_busy_cold", c.BusyUncontended, false)
 	put("keeper_untracked", c.Untracked, false)
 	put("keeper_queue_dropped", f.queue.Dropped(), false)
 	put("keeper_followed", uint64(len(f.calls)), true)
@@ -112,23 +112,23 @@
 
 // Step handles one event and appends the resulting actions.
 func (f *Front) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
-	if len(f.waiting) > 0 && now > f.looked {
-		out = f.look(now, out)
+	if len(f.waitingEntries) > 0 && now > f.checkedAt {
+		out = f.processWaiting(now, out)
 	}
 	switch e.Kind {
 	case decide.Order:
-		if e.Key == "" || len(e.Key) > maxKey {
+		if e.Key == "" || len(e.Key) > maxKeyLength {
 			break
 		}
 		hash := hashOf(e.Key)
-		f.sketch.touch(hash, now)
+		f.sketch.add(hash, now)
 		if s := f.table.find(hash, e.Key); s != nil && f.calls[e.Call] == nil {
-			return f.order(now, s, e, out)
+			return f.handleSetUp(now, s, e, out)
 		}
 	case decide.Fired:
-		if e.Token&frontToken != 0 {
-			f.armed = false
-			return f.arm(out)
+		if e.Token&timerToken != 0 {
+			f.timerArmed = false
+			return f.armTimer(out)
 		}
 	case decide.Over:
 		if c := f.calls[e.Call]; c != nil {
@@ -136,26 +136,26 @@
 		}
 		return out
 	case decide.Ended:
-		return f.ended(now, e, out)
+		return f.handleEnd(now, e, out)
 	case decide.Begun:
-		if c := f.calls[e.Call]; c != nil && !c.stands {
-			c.out, c.stands = false, true
-			c.slot.calls.Add(1)
-			if !c.plain {
-				c.slot.began.Add(1)
+		if c := f.calls[e.Call]; c != nil && !c.established {
+			c.attemptOpen, c.established = false, true
+			c.entry.calls.Add(1)
+			if !c.fallback {
+				c.entry.began.Add(1)
 			}
-			f.changed(c.slot)
+			f.reportChange(c.entry)
 		}
 	case decide.Gone:
 		if c := f.calls[e.Call]; c != nil {
-			if c.held { // the inner decider does not know the call
-				c.held = false
-				c.slot.held.Add(-1)
+			if c.waiting { // the inner decider does not know the call
+				c.waiting = false
+				c.entry.waitingCount.Add(-1)
 				delete(f.calls, e.Call)
 				return out
 			}
 			out = f.forward(now, e, out)
-			f.finished(e.Call, c)
+			f.finish(e.Call, c)
 			return out
 		}
 	}
@@ -176,11 +176,11 @@
 		switch a.Kind {
 		case decide.Send:
 			if c := f.calls[a.Call]; c != nil {
-				c.out = true
+				c.attemptOpen = true
 			}
 		case decide.Refuse, decide.Fail:
 			if c := f.calls[a.Call]; c != nil {
-				f.finished(a.Call, c)
+				f.finish(a.Call, c)
 			}
 		}
 	}
@@ -188,128 +188,128 @@
 }
 
 // handleSetUp takes a set-up to a number in contention.
-func (f *Front) order(now int64, s *slot, e decide.Event, out []decide.Action) []decide.Action {
-	f.Counts.Hot++
-	s.wanted.Add(1)
-	if len(f.calls) >= maxTracked {
+func (f *Front) handleSetUp(now int64, s *tableEntry, e decide.Event, out []decide.Action) []decide.Action {
+	f.Counts.Contended++
+	s.requested.Add(1)
+	if len(f.calls) >= maxTrackedCalls {
 		f.Counts.Untracked++
 		return f.forward(now, e, out)
 	}
-	hold := f.cfg.Hold
-	if e.Class >= 0 && e.Class < len(f.set.Classes) {
-		hold = min(hold, f.set.Classes[e.Class].Aim/2)
+	hold := f.cfg.MaxWait
+	if e.Class >= 0 && e.Class < len(f.settings.Classes) {
+		hold = min(hold, f.settings.Classes[e.Class].Aim/2)
 	}
 	if e.Deadline > 0 {
 		hold = min(hold, (e.Deadline-now)/2)
 	}
 	switch {
-	case len(s.waiting) == 0 && s.take(now, &f.cfg.doctor):
-		return f.pass(now, e, f.follow(e.Call, s, now), out)
-	case now < s.noneUntil.Load():
+	case len(s.waiting) == 0 && s.takePermit(now, &f.cfg.disabled):
+		return f.admit(now, e, f.track(e.Call, s, now), out)
+	case now < s.noPermitUntil.Load():
 		return f.refuse(s, e.Call, out)
-	case s.lost.Load():
-		f.changed(s) // permits are requested again, but nothing waits for them
-		return f.share(now, e, s, out)
-	case hold < lookAgain, len(s.waiting) >= maxWaiting:
+	case s.keeperUnreachable.Load():
+		f.reportChange(s) // permits are requested again, but nothing waits for them
+		return f.admitFallback(now, e, s, out)
+	case hold < waitingInterval, len(s.waiting) >= maxWaitingSetUps:
 		return f.refuse(s, e.Call, out)
 	}
-	c := f.follow(e.Call, s, now)
-	c.order, c.held, c.until = e, true, now+hold
-	s.held.Add(1)
-	if !f.changed(s) {
-		c.held = false
-		s.held.Add(-1)
+	c := f.track(e.Call, s, now)
+	c.setUp, c.waiting, c.waitUntil = e, true, now+hold
+	s.waitingCount.Add(1)
+	if !f.reportChange(s) {
+		c.waiting = false
+		s.waitingCount.Add(-1)
 		delete(f.calls, e.Call)
-		return f.share(now, e, s, out)
+		return f.admitFallback(now, e, s, out)
 	}
 	f.Counts.Held++
 	if len(s.waiting) == 0 {
-		f.waiting = append(f.waiting, s)
+		f.waitingEntries = append(f.waitingEntries, s)
 	}
 	s.waiting = append(s.waiting, c)
-	return f.arm(out)
+	return f.armTimer(out)
 }
 
 // track follows a call until it is over.
-func (f *Front) follow(id decide.CallID, s *slot, now int64) *call {
-	c := &call{}
-	if n := len(f.spare); n > 0 {
-		c, f.spare = f.spare[n-1], f.spare[:n-1]
+func (f *Front) track(id decide.CallID, s *tableEntry, now int64) *trackedCall {
+	c := &trackedCall{}
+	if n := len(f.freeCalls); n > 0 {
+		c, f.freeCalls = f.freeCalls[n-1], f.freeCalls[:n-1]
 	}
-	*c = call{slot: s, since: now}
+	*c = trackedCall{entry: s, arrivedAt: now}
 	f.calls[id] = c
 	return c
 }
 
 // admit lets a call through; its line counts as open already.
-func (f *Front) pass(now int64, e decide.Event, c *call, out []decide.Action) []decide.Action {
-	if !c.plain {
+func (f *Front) admit(now int64, e decide.Event, c *trackedCall, out []decide.Action) []decide.Action {
+	if !c.fallback {
 		f.Counts.Permitted++
 	}
-	f.changed(c.slot)
+	f.reportChange(c.entry)
 	return f.forward(now, e, out)
 }
 
 // refuse refuses a call for some time.
-func (f *Front) refuse(s *slot, id decide.CallID, out []decide.Action) []decide.Action {
+func (f *Front) refuse(s *tableEntry, id decide.CallID, out []decide.Action) []decide.Action {
 	f.Counts.Refused++
 	s.refused.Add(1)
-	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.stay(s)})
+	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.retryAfter(s)})
 }
 
-// retryAfter returns the time for which callers are told to stay away.
-func (f *Front) stay(s *slot) int64 {
-	if !f.set.RetryAdvice {
+// retryAfter returns the time for which callers are told to retryAfter away.
+func (f *Front) retryAfter(s *tableEntry) int64 {
+	if !f.settings.RetryAdvice {
 		return 0
 	}
-	return min(s.stay.Load(), f.set.MaxRetryAfter)
+	return min(s.callerRetryAfter.Load(), f.settings.MaxRetryAfter)
 }
 
 // admitFallback admits a call without a permit while the keeper is unreachable, within this process's fraction of the
-// turnover share it was last told. It keeps the calls of all processes from reaching the offices at once when a
+// turnover admitFallback it was last told. It keeps the calls of all processes from reaching the offices at once when a
 // keeper dies.
-func (f *Front) share(now int64, e decide.Event, s *slot, out []decide.Action) []decide.Action {
-	if s.filled == 0 {
-		s.tokens, s.filled = 1, now
+func (f *Front) admitFallback(now int64, e decide.Event, s *tableEntry, out []decide.Action) []decide.Action {
+	if s.refilledAt == 0 {
+		s.tokens, s.refilledAt = 1, now
 	}
-	s.tokens = min(1, s.tokens+f.cfg.Share*float64(s.rate.Load())*1e-9*float64(now-s.filled))
-	s.filled = now
-	if s.tokens < 1 && !f.cfg.doctor.noShare {
-		f.Counts.Unshared++
+	s.tokens = min(1, s.tokens+f.cfg.Share*float64(s.turnoverShare.Load())*1e-9*float64(now-s.refilledAt))
+	s.refilledAt = now
+	if s.tokens < 1 && !f.cfg.disabled.noFallbackLimit {
+		f.Counts.FallbackRefused++
 		return f.refuse(s, e.Call, out)
 	}
 	s.tokens--
-	f.Counts.Plain++
-	c := f.follow(e.Call, s, now)
-	c.plain = true
-	s.plain.Add(1)
+	f.Counts.Fallback++
+	c := f.track(e.Call, s, now)
+	c.fallback = true
+	s.fallback.Add(1)
 	s.open.Add(1)
-	return f.pass(now, e, c, out)
+	return f.admit(now, e, c, out)
 }
 
 // processWaiting checks the set-ups that wait: permits go to the first in the queue.
-func (f *Front) look(now int64, out []decide.Action) []decide.Action {
-	f.looked = now
-	left := f.waiting[:0]
-	for _, s := range f.waiting {
+func (f *Front) processWaiting(now int64, out []decide.Action) []decide.Action {
+	f.checkedAt = now
+	left := f.waitingEntries[:0]
+	for _, s := range f.waitingEntries {
 		rest := s.waiting[:0]
 		for i, c := range s.waiting {
-			if !c.held { // its caller has gone
+			if !c.waiting { // its caller has gone
 				continue
 			}
-			id := c.order.Call
+			id := c.setUp.Call
 			switch {
-			case s.take(now, &f.cfg.doctor):
-				f.let(c)
-				out = f.pass(now, c.order, c, out)
-			case now < s.noneUntil.Load():
-				f.let(c)
+			case s.takePermit(now, &f.cfg.disabled):
+				f.stopWaiting(c)
+				out = f.admit(now, c.setUp, c, out)
+			case now < s.noPermitUntil.Load():
+				f.stopWaiting(c)
 				delete(f.calls, id)
 				out = f.refuse(s, id, out)
-			case now >= c.until || s.lost.Load():
-				f.let(c)
+			case now >= c.waitUntil || s.keeperUnreachable.Load():
+				f.stopWaiting(c)
 				delete(f.calls, id)
-				out = f.share(now, c.order, s, out)
+				out = f.admitFallback(now, c.setUp, s, out)
 			default:
 				rest = append(rest, s.waiting[i])
 			}
@@ -320,45 +320,45 @@
 			left = append(left, s)
 		}
 	}
-	f.waiting = left
+	f.waitingEntries = left
 	return out
 }
 
-func (f *Front) let(c *call) {
-	c.held = false
-	c.slot.held.Add(-1)
+func (f *Front) stopWaiting(c *trackedCall) {
+	c.waiting = false
+	c.entry.waitingCount.Add(-1)
 }
 
 // armTimer requests the next check while set-ups wait.
-func (f *Front) arm(out []decide.Action) []decide.Action {
-	if f.armed || len(f.waiting) == 0 {
+func (f *Front) armTimer(out []decide.Action) []decide.Action {
+	if f.timerArmed || len(f.waitingEntries) == 0 {
 		return out
 	}
-	f.armed = true
-	return append(out, decide.Action{Kind: decide.Timer, Wait: lookAgain, Token: frontToken})
+	f.timerArmed = true
+	return append(out, decide.Action{Kind: decide.Timer, Wait: waitingInterval, Token: timerToken})
 }
 
 // handleEnd takes the end of an attempt. A number in contention that is busy is not attempted again: this is the
 // call's final answer, as the router gives it when the budget for repeats is used up.
-func (f *Front) ended(now int64, e decide.Event, out []decide.Action) []decide.Action {
+func (f *Front) handleEnd(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	c := f.calls[e.Call]
-	if c == nil || c.held || c.stands {
-		if e.Busy && c == nil && e.Key != "" && len(e.Key) <= maxKey {
-			f.Counts.BusyCold++
-			f.ranOut(now, e.Key)
+	if c == nil || c.waiting || c.established {
+		if e.Busy && c == nil && e.Key != "" && len(e.Key) <= maxKeyLength {
+			f.Counts.BusyUncontended++
+			f.countBusy(now, e.Key)
 		}
 		return f.forward(now, e, out)
 	}
-	c.out = false
+	c.attemptOpen = false
 	if e.Busy {
-		if !c.plain {
+		if !c.fallback {
 			f.Counts.Busy++
-			c.slot.busy.Add(1)
+			c.entry.busy.Add(1)
 		}
-		if !e.Final && !c.over {
+		if !e.Final && !c.finished {
 			e.Final = true
 			out = f.forward(now, e, out)
-			out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call, Wait: f.stay(c.slot)})
+			out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call, Wait: f.retryAfter(c.entry)})
 			f.release(e.Call, c)
 			return out
 		}
@@ -366,58 +366,58 @@
 	final := e.Final
 	out = f.forward(now, e, out)
 	if final {
-		f.finished(e.Call, c)
-	} else if c.over && !c.out {
+		f.finish(e.Call, c)
+	} else if c.finished && !c.attemptOpen {
 		f.release(e.Call, c)
 	}
 	return out
 }
 
 // countBusy counts a busy end of a number that is not in the table.
-func (f *Front) ranOut(now int64, key string) {
+func (f *Front) countBusy(now int64, key string) {
 	hash := hashOf(key)
-	if busy, orders := f.sketch.ranOut(hash, now); busy >= busySeen && f.table.find(hash, key) == nil {
-		f.queue.push(report{kind: reportSeen, key: key, n: max(orders, busy)})
+	if busy, orders := f.sketch.countBusy(hash, now); busy >= minBusyEnds && f.table.find(hash, key) == nil {
+		f.queue.push(report{kind: reportContended, key: key, recentSetUps: max(orders, busy)})
 	}
 }
 
 // finish marks that a call has its final answer, or that its caller has gone. If no attempt is open, its line is
 // free.
-func (f *Front) finished(id decide.CallID, c *call) {
-	c.over = true
-	if !c.out && !c.stands {
+func (f *Front) finish(id decide.CallID, c *trackedCall) {
+	c.finished = true
+	if !c.attemptOpen && !c.established {
 		f.release(id, c)
 	}
 }
 
 // release frees a call's line.
-func (f *Front) release(id decide.CallID, c *call) {
+func (f *Front) release(id decide.CallID, c *trackedCall) {
 	if f.calls[id] != c {
 		return
 	}
 	delete(f.calls, id)
-	s := c.slot
-	if c.stands {
+	s := c.entry
+	if c.established {
 		s.calls.Add(-1)
 	}
-	if c.plain {
-		s.plain.Add(-1)
+	if c.fallback {
+		s.fallback.Add(-1)
 	}
 	s.ended.Add(1)
 	s.open.Add(-1)
-	f.changed(s)
-	f.spare = append(f.spare, c)
+	f.reportChange(s)
+	f.freeCalls = append(f.freeCalls, c)
 }
 
-// reportChange tells the Part that the values of a number have changed, once until the Part has read them; false: the
+// reportChange tells the Part that the values of a number have reportChange, once until the Part has read them; false: the
 // queue is full.
-func (f *Front) changed(s *slot) bool {
-	if s.dirty.Swap(true) {
+func (f *Front) reportChange(s *tableEntry) bool {
+	if s.reportQueued.Swap(true) {
 		return true
 	}
-	if f.queue.push(report{kind: reportChanged, slot: s}) {
+	if f.queue.push(report{kind: reportChanged, entry: s}) {
 		return true
 	}
-	s.dirty.Store(false)
+	s.reportQueued.Store(false)
 	return false
 }
--- a/internal/keeper/front_test.go
+++ b/internal/keeper/front_test.go
@@ -20,16 +20,16 @@
 
 // fakeDecider is the decider behind a Front in tests: it sends or refuses as configured, and checks the events it
 // receives.
-type inner struct {
+type fakeDecider struct {
 	t       interface{ Fatalf(string, ...any) }
 	seen    map[decide.CallID]bool
 	refuses bool
-	again   bool // repeats a failed attempt
+	repeats bool // repeats a failed attempt
 }
 
-func (n *inner) Avoids(decide.ServerID) bool { return false }
+func (n *fakeDecider) Avoids(decide.ServerID) bool { return false }
 
-func (n *inner) Step(_ int64, e decide.Event, out []decide.Action) []decide.Action {
+func (n *fakeDecider) Step(_ int64, e decide.Event, out []decide.Action) []decide.Action {
 	switch e.Kind {
 	case decide.Order:
 		n.seen[e.Call] = true
@@ -40,7 +40,7 @@
 	case decide.Over, decide.Fired:
 		n.t.Fatalf("the inner decider receives event %v, token %x", e.Kind, e.Token)
 	case decide.Ended:
-		if !e.Final && n.again {
+		if !e.Final && n.repeats {
 			return append(out, decide.Action{Kind: decide.Send, Call: e.Call})
 		} else if !e.Final {
 			out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call})
@@ -53,7 +53,7 @@
 	return out
 }
 
-const hot, cold = "0800111", "0300222"
+const contendedKey, uncontendedKey = "0800111", "0300222"
 
 func settings() decide.Settings {
 	return decide.Settings{Classes: []decide.Class{{Aim: 500_000, Deadline: 2_000_000}}, RetryAdvice: true, MaxRetryAfter: 5_000_000}
@@ -64,12 +64,12 @@
 func TestFrontLines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table, queue := NewTable(), NewQueue(64)
-		in := &inner{t: rt, seen: map[decide.CallID]bool{}}
+		in := &fakeDecider{t: rt, seen: map[decide.CallID]bool{}}
 		f := NewFront(Config{Self: "a"}, settings(), in, table, queue)
-		s := newSlot(hot)
+		s := newTableEntry(contendedKey)
 		s.fence.Store(3)
-		s.lost.Store(false)
-		table.replace(map[uint64]*slot{s.hash: s})
+		s.keeperUnreachable.Store(false)
+		table.replace(map[uint64]*tableEntry{s.hash: s})
 		now, id := int64(10_000_000), decide.CallID(0)
 		state := map[decide.CallID]string{} // waiting, out, stands, gone (its attempt still out)
 		permits, passed := 0, 0
@@ -111,7 +111,7 @@
 		}
 		end := func(id decide.CallID, busy bool) {
 			gone := state[id] == "gone"
-			e := decide.Event{Kind: decide.Ended, Call: id, Outcome: decide.Failed, Busy: busy, Key: hot, Final: gone}
+			e := decide.Event{Kind: decide.Ended, Call: id, Outcome: decide.Failed, Busy: busy, Key: contendedKey, Final: gone}
 			if gone {
 				delete(state, id)
 			}
@@ -121,26 +121,26 @@
 			now += int64(rapid.IntRange(0, 9_000).Draw(rt, "later"))
 			if armed && rapid.Bool().Draw(rt, "fires") {
 				armed = false
-				do(decide.Event{Kind: decide.Fired, Token: frontToken})
+				do(decide.Event{Kind: decide.Fired, Token: timerToken})
 			}
 			switch rapid.IntRange(0, 9).Draw(rt, "what") {
 			case 0, 1, 2:
 				id++
 				state[id] = "waiting"
-				in.refuses, in.again = rapid.Bool().Draw(rt, "refuses"), rapid.Bool().Draw(rt, "again")
-				do(decide.Event{Kind: decide.Order, Call: id, Key: hot, Deadline: now + 2_000_000})
+				in.refuses, in.repeats = rapid.Bool().Draw(rt, "refuses"), rapid.Bool().Draw(rt, "again")
+				do(decide.Event{Kind: decide.Order, Call: id, Key: contendedKey, Deadline: now + 2_000_000})
 			case 3:
 				n := rapid.IntRange(1, 3).Draw(rt, "permits")
 				permits += n
-				b := &batch{fence: 3, until: now + 20_000}
-				b.left.Store(int64(n))
-				s.add(b)
+				b := &batch{fence: 3, expiresAt: now + 20_000}
+				b.remaining.Store(int64(n))
+				s.addBatch(b)
 			case 4:
 				if rapid.Bool().Draw(rt, "none") {
-					s.noneUntil.Store(now + 10_000)
+					s.noPermitUntil.Store(now + 10_000)
 				} else {
-					s.lost.Store(rapid.Bool().Draw(rt, "lost"))
-					s.rate.Store(500_000)
+					s.keeperUnreachable.Store(rapid.Bool().Draw(rt, "lost"))
+					s.turnoverShare.Store(500_000)
 				}
 			case 5:
 				if id, ok := pick("out"); ok {
@@ -167,16 +167,16 @@
 					}
 				}
 			case 9:
-				for len(queue.c) > 0 {
-					(<-queue.c).slot.dirty.Store(false)
+				for len(queue.reports) > 0 {
+					(<-queue.reports).entry.reportQueued.Store(false)
 				}
 			}
-			if used := passed - int(f.Counts.Plain); used > permits {
+			if used := passed - int(f.Counts.Fallback); used > permits {
 				rt.Fatalf("%d calls admitted with %d permits", used, permits)
 			}
 		}
 		now += 100_000
-		do(decide.Event{Kind: decide.Fired, Token: frontToken})
+		do(decide.Event{Kind: decide.Fired, Token: timerToken})
 		for id, st := range state {
 			switch st {
 			case "waiting":
@@ -185,13 +185,13 @@
 				delete(state, id)
 				do(decide.Event{Kind: decide.Over, Call: id})
 			default:
-				in.again = false
+				in.repeats = false
 				end(id, true)
 			}
 		}
-		if s.open.Load() != 0 || s.calls.Load() != 0 || s.held.Load() != 0 || s.plain.Load() != 0 || len(f.calls) != 0 {
-			rt.Fatalf("after all calls are over: open %d, calls %d, waiting %d, without permit %d, followed %d", s.open.Load(), s.calls.Load(), s.held.Load(),
-				s.plain.Load(), len(f.calls))
+		if s.open.Load() != 0 || s.calls.Load() != 0 || s.waitingCount.Load() != 0 || s.fallback.Load() != 0 || len(f.calls) != 0 {
+			rt.Fatalf("after all calls are over: open %d, calls %d, waiting %d, without permit %d, followed %d", s.open.Load(), s.calls.Load(), s.waitingCount.Load(),
+				s.fallback.Load(), len(f.calls))
 		}
 	})
 }
@@ -210,22 +210,22 @@
 			if !guarded {
 				cfg = cfg.Without(c.guard)
 			}
-			s := newSlot(hot)
+			s := newTableEntry(contendedKey)
 			s.fence.Store(3)
-			b := &batch{fence: c.fence, until: c.until}
-			b.left.Store(1)
-			s.add(b)
-			if s.take(1000, &cfg.doctor) == guarded {
+			b := &batch{fence: c.fence, expiresAt: c.until}
+			b.remaining.Store(1)
+			s.addBatch(b)
+			if s.takePermit(1000, &cfg.disabled) == guarded {
 				t.Errorf("safeguard %s on: %v; permit taken: %v", c.guard, guarded, guarded)
 			}
 			// The same for an answer of a keeper.
-			p := part(t, cfg)
+			p := newTestPart(t, cfg)
 			var out fleet.Out
-			p.answered(1000, "k", item{Op: opAnswer, Key: hot, Fence: 3}, &out)
-			h := p.hands[hot]
-			p.report(1000, h, &out)
-			p.answered(1000+c.later, "k", item{Op: opAnswer, Key: hot, Fence: c.fence, N: h.n, Permits: 1, Lasts: 900}, &out)
-			if took := h.slot.inHand() == 1; took == guarded {
+			p.handleAnswer(1000, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 3}, &out)
+			h := p.clients[contendedKey]
+			p.sendReport(1000, h, &out)
+			p.handleAnswer(1000+c.later, "k", operation{Op: opAnswer, Key: contendedKey, Fence: c.fence, ReportNumber: h.reportNumber, Permits: 1, Lifetime: 900}, &out)
+			if took := h.entry.unusedPermits() == 1; took == guarded {
 				t.Errorf("safeguard %s on: %v; grant accepted: %v", c.guard, guarded, took)
 			}
 		}
@@ -233,17 +233,17 @@
 }
 
 // Runs the loop and the Part concurrently, for the race detector: each permit is used once, and no line is lost.
-func TestTwoThreads(t *testing.T) {
+func TestLoopAndPartConcurrently(t *testing.T) {
 	table, queue := NewTable(), NewQueue(16)
-	p, err := New(Config{Self: "a", Lessor: &alone{}}, table, queue)
+	p, err := New(Config{Self: "a", Lessor: &fakeLessor{}}, table, queue)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out fleet.Out
-	p.answered(1, "k", item{Op: opAnswer, Key: hot, Fence: 1}, &out)
+	p.handleAnswer(1, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 1}, &out)
 	p.flush(1, &out)
-	s := p.hands[hot].slot
-	f := NewFront(Config{Self: "a"}, settings(), &inner{t: t, seen: map[decide.CallID]bool{}}, table, queue)
+	s := p.clients[contendedKey].entry
+	f := NewFront(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
 	stop, done := make(chan bool), make(chan int64)
 	var clock atomic.Int64
 	go func() { // the Part, and a keeper that grants one permit for each report
@@ -260,12 +260,12 @@
 			var out fleet.Out
 			now := clock.Load() // both use one clock
 			p.Tick(now, &out)
-			h := p.hands[hot]
-			if h.waits {
+			h := p.clients[contendedKey]
+			if h.awaitingAnswer {
 				if given++; given%50 == 0 {
 					fence++
 				}
-				p.answered(now, "k", item{Op: opAnswer, Key: hot, Fence: fence, N: h.n, Life: 0, Permits: 1, Lasts: 100_000}, &out)
+				p.handleAnswer(now, "k", operation{Op: opAnswer, Key: contendedKey, Fence: fence, ReportNumber: h.reportNumber, Incarnation: 0, Permits: 1, Lifetime: 100_000}, &out)
 			}
 		}
 	}()
@@ -275,7 +275,7 @@
 		if i%16 == 0 {
 			runtime.Gosched()
 		}
-		for _, a := range f.Step(now, decide.Event{Kind: decide.Order, Call: id, Key: hot}, nil) {
+		for _, a := range f.Step(now, decide.Event{Kind: decide.Order, Call: id, Key: contendedKey}, nil) {
 			if a.Kind == decide.Send {
 				f.Step(now, decide.Event{Kind: decide.Begun, Call: a.Call}, nil)
 				f.Step(now, decide.Event{Kind: decide.Over, Call: a.Call}, nil)
@@ -285,32 +285,32 @@
 	close(stop)
 	given := <-done
 	for _, c := range f.calls {
-		if !c.held {
+		if !c.waiting {
 			t.Error("a call that is over is still followed")
 		}
 	}
-	if open := s.open.Load() - s.plain.Load(); int64(f.Counts.Permitted) > given || open > int64(len(f.calls)) {
+	if open := s.open.Load() - s.fallback.Load(); int64(f.Counts.Permitted) > given || open > int64(len(f.calls)) {
 		t.Errorf("%d permits granted, %d used, %d lines open", given, f.Counts.Permitted, open)
 	}
-	t.Log("granted", given, "used", f.Counts.Permitted, "by fallback share", f.Counts.Plain)
+	t.Log("granted", given, "used", f.Counts.Permitted, "by fallback share", f.Counts.Fallback)
 }
 
 // fakeLessor is a lessor that grants everything.
-type alone struct{ writes uint64 }
+type fakeLessor struct{ writes uint64 }
 
-func (a *alone) Claim(int64, string, *fleet.Out)   {}
-func (a *alone) Release(int64, string, *fleet.Out) {}
-func (a *alone) Held(now int64, thing string) (lease.Grant, bool) {
+func (a *fakeLessor) Claim(int64, string, *fleet.Out)   {}
+func (a *fakeLessor) Release(int64, string, *fleet.Out) {}
+func (a *fakeLessor) Held(now int64, thing string) (lease.Grant, bool) {
 	return lease.Grant{Fence: 1, Until: now + 4_000_000, Write: a.writes}, true
 }
-func (a *alone) Write(int64, string, []byte, *fleet.Out) (uint64, error) {
+func (a *fakeLessor) Write(int64, string, []byte, *fleet.Out) (uint64, error) {
 	a.writes++
 	return a.writes, nil
 }
-func (a *alone) Holder(string) (string, uint64) { return "", 0 }
+func (a *fakeLessor) Holder(string) (string, uint64) { return "", 0 }
 
-func part(t testing.TB, cfg Config) *Part {
-	cfg.Self, cfg.Lessor = "a", &alone{}
+func newTestPart(t testing.TB, cfg Config) *Part {
+	cfg.Self, cfg.Lessor = "a", &fakeLessor{}
 	p, err := New(cfg, NewTable(), NewQueue(64))
 	if err != nil {
 		t.Fatal(err)
@@ -320,22 +320,22 @@
 
 // A duplicate of a report is granted no more permits, and a report older than the newest is granted none.
 func TestReportOnce(t *testing.T) {
-	cfg := Config{Self: "a", Lines: func(string) int { return 5 }}.fill()
-	b, _ := newBook(&cfg, hot, "x", 0, lease.Grant{Fence: 1})
-	b.stores(1)
-	b.stored()
+	cfg := Config{Self: "a", Lines: func(string) int { return 5 }}.withDefaults()
+	b, _ := newLedger(&cfg, contendedKey, "x", 0, lease.Grant{Fence: 1})
+	b.prepareRecord(1)
+	b.recordStored()
 	g := lease.Grant{Fence: 1, Until: 4_000_000}
 	ask := func(n uint64, hold, want int64) int64 {
-		q := b.report(1, "p", item{N: n, Life: 1, Hold: hold, Want: want, Rate: 1000})
+		q := b.applyReport(1, "p", operation{ReportNumber: n, Incarnation: 1, Held: hold, Wanted: want, Rate: 1000})
 		if q == nil {
 			return -1
 		}
-		b.answer(1, q, g)
+		b.answerReport(1, q, g)
 		return q.granted
 	}
 	ask(1, 0, 1)
-	b.stores(1)
-	b.stored()
+	b.prepareRecord(1)
+	b.recordStored()
 	for _, step := range []struct {
 		n                uint64
 		hold, want, gets int64
@@ -348,16 +348,16 @@
 
 // No message exceeds its size bound; items that cannot be decoded or are out of bounds are counted and ignored.
 func TestMessages(t *testing.T) {
-	var items []item
+	var items []operation
 	for i := range 100 {
-		items = append(items, item{Op: opReport, Key: fmt.Sprintf("%032d", i), Fence: 1 << 60, N: 1 << 60, Life: 1 << 60, Hold: 1 << 19,
-			Idle: 1 << 19, Calls: 1 << 19, Want: 1 << 19, Rate: 1 << 39, Busy: 1 << 60, Began: 1 << 60, Ended: 1 << 60, Refused: 1 << 60})
+		items = append(items, operation{Op: opReport, Key: fmt.Sprintf("%032d", i), Fence: 1 << 60, ReportNumber: 1 << 60, Incarnation: 1 << 60, Held: 1 << 19,
+			Unused: 1 << 19, Calls: 1 << 19, Wanted: 1 << 19, Rate: 1 << 39, Busy: 1 << 60, Began: 1 << 60, Ended: 1 << 60, Refused: 1 << 60})
 	}
 	var out fleet.Out
-	letters("a", "b", items, &out)
-	var back []item
+	appendMessages("a", "b", items, &out)
+	var back []operation
 	for _, m := range out.Send {
-		got, err := readLetter(m)
+		got, err := decodeOperations(m)
 		if len(m.Body) > fleet.MaxBody || err != nil {
 			t.Fatal(len(m.Body), err)
 		}
@@ -366,45 +366,45 @@
 	if !slices.Equal(back, items) {
 		t.Error("decoded items differ from the encoded ones")
 	}
-	p := part(t, Config{})
-	for i, bad := range []item{{Op: opAnswer, Key: ""}, {Op: opAnswer, Key: hot, Permits: -1}, {Op: opAnswer, Key: hot, Lasts: 1 << 50},
-		{Op: opAnswer, Key: hot, Hold: 1 << 30}} {
+	p := newTestPart(t, Config{})
+	for i, bad := range []operation{{Op: opAnswer, Key: ""}, {Op: opAnswer, Key: contendedKey, Permits: -1}, {Op: opAnswer, Key: contendedKey, Lifetime: 1 << 50},
+		{Op: opAnswer, Key: contendedKey, Held: 1 << 30}} {
 		var out fleet.Out
-		letters("b", "a", []item{bad, {Op: 200, Key: hot}}, &out)
+		appendMessages("b", "a", []operation{bad, {Op: 200, Key: contendedKey}}, &out)
 		p.Message(1, out.Send[0], &out)
-		if p.counts.unread != uint64(i+1) || len(p.hands) != 0 {
+		if p.counts.unread != uint64(i+1) || len(p.clients) != 0 {
 			t.Errorf("%+v is accepted", bad)
 		}
 	}
-	s := said{}
+	s := entryPart{}
 	for i := range 64 {
-		s.Seen = append(s.Seen, seenBy{fmt.Sprintf("%032d", i), 1 << 39})
+		s.Contended = append(s.Contended, contendedNumber{fmt.Sprintf("%032d", i), 1 << 39})
 	}
-	if n := len(s.bytes()); n > fleet.MaxBody || n < fleet.MaxBody/2 {
+	if n := len(s.encode()); n > fleet.MaxBody || n < fleet.MaxBody/2 {
 		t.Errorf("entry part of %d bytes", n)
 	}
-	r := record{Lines: maxFigure, Known: maxFigure, Turn: maxRate, Out: maxFigure}
+	r := record{Lines: maxCount, Known: maxCount, Turnover: maxRate, Outstanding: maxCount}
 	var hs []holder
 	for i := range maxHolders {
-		hs = append(hs, holder{uint32(i), maxCeil})
+		hs = append(hs, holder{uint32(i), maxHolderLines})
 	}
-	r.hold(hs)
-	got, err := readRecord(hot, r.bytes())
-	if err != nil || len(got.holders()) != maxHolders || len(r.bytes()) > lease.MaxRecord {
-		t.Errorf("record of %d bytes is decoded as %v, %v", len(r.bytes()), got, err)
+	r.setHolders(hs)
+	got, err := decodeRecord(contendedKey, r.encode())
+	if err != nil || len(got.holders()) != maxHolders || len(r.encode()) > lease.MaxRecord {
+		t.Errorf("record of %d bytes is decoded as %v, %v", len(r.encode()), got, err)
 	}
 }
 
 func FuzzMessage(f *testing.F) {
 	var out fleet.Out
-	letters("b", "a", []item{{Op: opReport, Key: hot, Fence: 1, N: 1, Want: 1}, {Op: opAnswer, Key: hot, Fence: 9, Permits: 2}}, &out)
+	appendMessages("b", "a", []operation{{Op: opReport, Key: contendedKey, Fence: 1, ReportNumber: 1, Wanted: 1}, {Op: opAnswer, Key: contendedKey, Fence: 9, Permits: 2}}, &out)
 	f.Add(out.Send[0].Body)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		p := part(t, Config{})
+		p := newTestPart(t, Config{})
 		var out fleet.Out
 		p.Message(1, fleet.Message{Kind: fleet.Keeper, From: "b", To: "a", Body: body}, &out)
-		_, _ = readSaid("b", body)
-		_, _ = readRecord(hot, body)
+		_, _ = decodeEntryPart("b", body)
+		_, _ = decodeRecord(contendedKey, body)
 	})
 }
 
@@ -436,8 +436,8 @@
 		for i := range calls {
 			now := int64(i) * (1_000_000 / rate)
 			key := fmt.Sprintf("0800%06d", draw(i))
-			s.touch(hashOf(key), now)
-			if now%epoch == 0 {
+			s.add(hashOf(key), now)
+			if now%epochLength == 0 {
 				for k := range plain {
 					plain[k] /= 2
 				}
@@ -473,7 +473,7 @@
 	var cells []held
 	for i := range s.sets {
 		for j, h := range s.sets[i].hash {
-			cells = append(cells, held{h, s.sets[i].sure(j)})
+			cells = append(cells, held{h, s.sets[i].minCount(j)})
 		}
 	}
 	slices.SortStableFunc(cells, func(a, b held) int { return cmp.Compare(b.n, a.n) })
@@ -486,8 +486,8 @@
 }
 
 // A set-up to a number not in contention allocates nothing.
-func TestColdAllocatesNothing(t *testing.T) {
-	f, keys := coldFront(t)
+func TestUncontendedNumberAllocatesNothing(t *testing.T) {
+	f, keys := uncontendedFront(t)
 	out := make([]decide.Action, 0, 4)
 	i := 0
 	if n := testing.AllocsPerRun(10_000, func() {
@@ -498,20 +498,20 @@
 	}
 }
 
-type nothing struct{}
+type noopDecider struct{}
 
-func (nothing) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
-func (nothing) Avoids(decide.ServerID) bool                                       { return false }
+func (noopDecider) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
+func (noopDecider) Avoids(decide.ServerID) bool                                       { return false }
 
-func coldFront(testing.TB) (*Front, []string) {
+func uncontendedFront(testing.TB) (*Front, []string) {
 	table := NewTable()
-	slots := map[uint64]*slot{}
+	slots := map[uint64]*tableEntry{}
 	for i := range 100 {
-		s := newSlot(fmt.Sprintf("0900%06d", i))
+		s := newTableEntry(fmt.Sprintf("0900%06d", i))
 		slots[s.hash] = s
 	}
 	table.replace(slots)
-	f := NewFront(Config{Self: "a"}, settings(), nothing{}, table, NewQueue(64))
+	f := NewFront(Config{Self: "a"}, settings(), noopDecider{}, table, NewQueue(64))
 	var keys []string
 	for i := range 4096 {
 		keys = append(keys, fmt.Sprintf("0800%06d", i))
@@ -521,7 +521,7 @@
 
 // reportCPUTime reports the processor time of a benchmark besides its wall-clock time, which is longer on a shared
 // machine.
-func spent(b *testing.B) func() {
+func reportCPUTime(b *testing.B) func() {
 	used := func() time.Duration {
 		var u syscall.Rusage
 		if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -533,25 +533,25 @@
 	return func() { b.ReportMetric(float64(used()-was)/float64(b.N), "cpu-ns/op") }
 }
 
-func BenchmarkCold(b *testing.B) {
+func BenchmarkUncontendedNumber(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		n    int
 	}{{"few", 16}, {"many", 4096}} {
-		f, keys := coldFront(b)
-		var inner Inner = nothing{}
+		f, keys := uncontendedFront(b)
+		var inner Decider = noopDecider{}
 		out := make([]decide.Action, 0, 4)
 		e := decide.Event{Kind: decide.Order, Call: 1}
 		b.Run(c.name+"/front", func(b *testing.B) {
 			b.ReportAllocs()
-			defer spent(b)()
+			defer reportCPUTime(b)()
 			for i := range b.N {
 				e.Key = keys[i%c.n]
 				out = f.Step(int64(i), e, out[:0])
 			}
 		})
 		b.Run(c.name+"/without", func(b *testing.B) {
-			defer spent(b)()
+			defer reportCPUTime(b)()
 			for i := range b.N {
 				e.Key = keys[i%c.n]
 				out = inner.Step(int64(i), e, out[:0])
@@ -569,10 +569,10 @@
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		s := &sketch{}
-		defer spent(b)()
+		defer reportCPUTime(b)()
 		for i := range b.N {
 			k := keys[i*7919%len(keys)]
-			s.touch(hashOf(k), int64(i))
+			s.add(hashOf(k), int64(i))
 		}
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "KB")
@@ -581,7 +581,7 @@
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		m := map[string]uint32{}
-		defer spent(b)()
+		defer reportCPUTime(b)()
 		for i := range b.N {
 			m[keys[i*7919%len(keys)]]++
 		}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -21,13 +21,13 @@
 }
 
 // smallWorld is a few processes around one number whose lines are known.
-func small(seed uint64, lines int) keepers.Config {
+func smallWorld(seed uint64, lines int) keepers.Config {
 	return keepers.Config{Processes: 6, Numbers: 1, Lines: lines, Demand: 8, Stands: 5 * second, Exchange: 20_000, Delay: 2_000,
-		Gossip: 300_000, Seed: seed, Keeper: with(keeper.Config{}, lines)}
+		Gossip: 300_000, Seed: seed, Keeper: withLines(keeper.Config{}, lines)}
 }
 
 // checkLines makes a world fail as soon as more lines are held, or may be taken, than exist.
-func lawful(w *keepers.World, lines int, fail func(string)) {
+func checkLines(w *keepers.World, lines int, fail func(string)) {
 	seen := false
 	w.After = func() {
 		if n := w.Holds(0); n > int64(lines) && !seen {
@@ -39,21 +39,21 @@
 
 // Plays schedules of messages that are lost, duplicated, late or out of order, of processes that are killed, stopped,
 // cut off or drained, and of keepers that change: permits and calls under permits never exceed the known lines.
-func TestLaw(t *testing.T) {
+func TestLinesNeverExceeded(t *testing.T) {
 	moves, kept, granted := 0, 0, 0
 	check := func(rt *rapid.T) {
 		lines := rapid.IntRange(2, 12).Draw(rt, "lines")
-		cfg := small(rapid.Uint64().Draw(rt, "seed"), lines)
+		cfg := smallWorld(rapid.Uint64().Draw(rt, "seed"), lines)
 		cfg.Loss = float64(rapid.IntRange(0, 20).Draw(rt, "loss")) / 100
 		cfg.Delay = rapid.SampledFrom([]int64{500, 5_000, 50_000}).Draw(rt, "delay")
 		w := keepers.New(cfg)
-		lawful(w, lines, func(s string) { rt.Fatal(s) })
+		checkLines(w, lines, func(s string) { rt.Fatal(s) })
 		for range rapid.IntRange(1, 8).Draw(rt, "faults") {
 			at := int64(rapid.IntRange(3_000, 40_000).Draw(rt, "at")) * 1000
 			who := rapid.IntRange(0, 6).Draw(rt, "who")
 			d := int64(rapid.IntRange(100, 15_000).Draw(rt, "for")) * 1000
 			what := rapid.IntRange(0, 6).Draw(rt, "what")
-			w.Later(at, func() { harm(w, who, what, d) })
+			w.Later(at, func() { injectFault(w, who, what, d) })
 		}
 		w.Run(60 * second)
 		moves += len(w.Noted("moved")) + len(w.Noted("lost"))
@@ -67,7 +67,7 @@
 }
 
 // injectFault applies one of the faults to a process; 6 is whichever process keeps the number.
-func harm(w *keepers.World, who, what int, d int64) {
+func injectFault(w *keepers.World, who, what int, d int64) {
 	p := w.Keeper(0)
 	if who < 6 {
 		p = w.Procs[who]
@@ -116,10 +116,10 @@
 func TestMove(t *testing.T) {
 	for _, how := range []string{"drained", "killed", "cut off"} {
 		t.Run(how, func(t *testing.T) {
-			cfg := small(3, 10)
+			cfg := smallWorld(3, 10)
 			cfg.Stands = 20 * second
 			w := keepers.New(cfg)
-			lawful(w, 10, func(s string) { t.Error(s) })
+			checkLines(w, 10, func(s string) { t.Error(s) })
 			w.Run(30 * second)
 			old := w.Keeper(0)
 			must(t, old != nil, "nobody keeps the number")
@@ -130,9 +130,9 @@
 			case "drained":
 				old.Drive(func(out *fleet.Out) { old.Part.Drain(w.Now, out) })
 			case "killed":
-				harm(w, 6, 0, 100*second)
+				injectFault(w, 6, 0, 100*second)
 			case "cut off":
-				harm(w, 6, 2, 20*second)
+				injectFault(w, 6, 2, 20*second)
 			}
 			w.Run(55 * second)
 			next := w.Keeper(0)
@@ -153,12 +153,12 @@
 // Each safeguard that is switched off leads to the failure it guards against; with it in place the same run passes.
 func TestGuards(t *testing.T) {
 	guards := map[string]func(cfg keeper.Config) string{
-		"stop":       permitOutlivesLease,
-		"old":        holderForgotten,
-		"hysteresis": flaps,
-		"witness":    oneAlone,
-		"share":      overShare,
-		"suspect":    suspectKeeps,
+		"lease-limit":      permitOutlivesLease,
+		"previous-holders": holderForgotten,
+		"hysteresis":       movesBackAndForth,
+		"reporters":        singleReporter,
+		"share":            aboveFallbackShare,
+		"suspect":          suspectChosen,
 	}
 	for guard, try := range guards {
 		t.Run(guard, func(t *testing.T) {
@@ -171,7 +171,7 @@
 }
 
 // withLines puts a number's known lines into a configuration that may lack a safeguard.
-func with(cfg keeper.Config, lines int) keeper.Config {
+func withLines(cfg keeper.Config, lines int) keeper.Config {
 	cfg.Lines = func(string) int { return lines }
 	cfg.Poll = 50_000 // the world wakes the Parts
 	return cfg
@@ -179,8 +179,8 @@
 
 // A keeper that loses its electors continues to the end of its lease; none of its permits may be valid after that.
 func permitOutlivesLease(cfg keeper.Config) (found string) {
-	c := small(5, 10)
-	c.Keeper = with(cfg, 10)
+	c := smallWorld(5, 10)
+	c.Keeper = withLines(cfg, 10)
 	w := keepers.New(c)
 	w.Later(15*second, func() { w.Keeper(0).Lessor.Cut = true })
 	n := 0
@@ -198,10 +198,10 @@
 
 // A process that holds calls is cut off while the number moves: the next keeper must not grant its lines to others.
 func holderForgotten(cfg keeper.Config) (found string) {
-	c := small(9, 10)
-	c.Keeper, c.Stands = with(cfg, 10), 30*second
+	c := smallWorld(9, 10)
+	c.Keeper, c.Stands = withLines(cfg, 10), 30*second
 	w := keepers.New(c)
-	lawful(w, 10, func(s string) { found = s })
+	checkLines(w, 10, func(s string) { found = s })
 	w.Run(60 * second)
 	for _, p := range w.Procs {
 		if open, _, _ := p.Table.Holds(w.Now, "08000000000"); p != w.Keeper(0) && open >= 2 {
@@ -220,9 +220,9 @@
 }
 
 // With even demand a number does not move.
-func flaps(cfg keeper.Config) string {
-	c := small(4, 10)
-	c.Keeper = with(cfg, 10)
+func movesBackAndForth(cfg keeper.Config) string {
+	c := smallWorld(4, 10)
+	c.Keeper = withLines(cfg, 10)
 	w := keepers.New(c)
 	w.Run(120 * second)
 	if n := len(w.Noted("moved")); n > 2 {
@@ -232,9 +232,9 @@
 }
 
 // A number that only one process sees busy is not in contention.
-func oneAlone(cfg keeper.Config) string {
-	c := small(4, 10)
-	c.Keeper, c.Processes = with(cfg, 10), 1
+func singleReporter(cfg keeper.Config) string {
+	c := smallWorld(4, 10)
+	c.Keeper, c.Processes = withLines(cfg, 10), 1
 	w := keepers.New(c)
 	w.Run(20 * second)
 	if n := len(w.Noted("kept")); n > 0 {
@@ -245,15 +245,15 @@
 
 // While the keeper is unreachable, all processes together attempt no more calls than their share of what the lines
 // can carry.
-func overShare(cfg keeper.Config) string {
-	c := small(4, 10)
-	c.Keeper = with(cfg, 10)
+func aboveFallbackShare(cfg keeper.Config) string {
+	c := smallWorld(4, 10)
+	c.Keeper = withLines(cfg, 10)
 	w := keepers.New(c)
 	w.Run(20 * second)
 	k := w.Keeper(0)
 	plain := func() (n uint64) {
 		for _, p := range w.Procs {
-			n += p.Front.Counts.Plain
+			n += p.Front.Counts.Fallback
 		}
 		return n
 	}
@@ -273,15 +273,15 @@
 }
 
 // A suspected process is not given a number to keep, however much of the demand it has.
-func suspectKeeps(cfg keeper.Config) string {
-	c := small(4, 10)
-	c.Keeper, c.Skew = with(cfg, 10), 1
-	c.Keeper.Settle = 5 * second
+func suspectChosen(cfg keeper.Config) string {
+	c := smallWorld(4, 10)
+	c.Keeper, c.Skew = withLines(cfg, 10), 1
+	c.Keeper.ClaimDelay = 5 * second
 	w := keepers.New(c)
 	w.Run(5 * second)
 	most := w.Procs[0]
 	for _, p := range w.Procs {
-		if p.Front.Counts.BusyCold > most.Front.Counts.BusyCold {
+		if p.Front.Counts.BusyUncontended > most.Front.Counts.BusyUncontended {
 			most = p
 		}
 	}
@@ -296,8 +296,8 @@
 }
 
 // A number that is no longer in contention has no keeper, and its table entry is removed.
-func TestOver(t *testing.T) {
-	c := small(2, 10)
+func TestEndOfContention(t *testing.T) {
+	c := smallWorld(2, 10)
 	w := keepers.New(c)
 	w.Run(15 * second)
 	must(t, w.Keeper(0) != nil, "nobody keeps the number")
@@ -314,17 +314,17 @@
 
 // No process is starved, and each is served in proportion to its demand.
 func TestFair(t *testing.T) {
-	c := small(8, 10)
+	c := smallWorld(8, 10)
 	c.Skew = 0.7
 	w := keepers.New(c)
 	w.Run(20 * second)
 	hot, had := map[string]uint64{}, map[string]uint64{}
 	for _, p := range w.Procs {
-		hot[p.Name], had[p.Name] = p.Front.Counts.Hot, p.Front.Counts.Permitted
+		hot[p.Name], had[p.Name] = p.Front.Counts.Contended, p.Front.Counts.Permitted
 	}
 	w.Run(820 * second)
 	for _, p := range w.Procs {
-		asked, got := p.Front.Counts.Hot-hot[p.Name], p.Front.Counts.Permitted-had[p.Name]
+		asked, got := p.Front.Counts.Contended-hot[p.Name], p.Front.Counts.Permitted-had[p.Name]
 		part := float64(got) / float64(asked)
 		t.Log(p.Name, asked, got, part)
 		must(t, part > 1/8.0-0.04 && part < 1/8.0+0.04, p.Name, "is served", part)
