--- a/internal/keeper/book.go
+++ b/internal/keeper/book.go
@@ -17,7 +17,7 @@
 	demandWindow        = 60_000_000 // averaging window of the demand that decides who should keep a number
 	turnoverWindow      = 10_000_000 // averaging window of the turnover of lines
 	knownLinesAge       = 60_000_000 // the most lines seen in use are remembered for this long
-	unusedDivisor       = 12         // no advance grants while more than one in this many of the lines is an unused permit
+	unusedDivisor       = 12         // no advance grants while over one in this many lines has an unused permit
 	maxAdvanceCredit    = 4          // most advance permits that may be saved up
 	minWriteInterval    = 100_000    // least time between two writes of the record
 	pendingWriteDelay   = 5_000      // the same if an answer waits for the write
@@ -58,7 +58,7 @@
 	return p.report.Held + p.granted + p.previousLines(now)
 }
 
-// previousLines returns the lines of an previousLines incarnation that still count as held.
+// previousLines returns the lines of an earlier incarnation that still count as held.
 func (p *peerState) previousLines(now int64) int64 {
 	if now < p.previousUntil {
 		return p.previousHeld
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// ledger is the authoritative record of one number at its keeper.
+// numberLedger is the authoritative record of one number at its keeper.
 type numberLedger struct {
 	cfg       *Config
 	key       string
@@ -118,47 +118,51 @@
 	notedLines, notedUnknown int64        // as last noted; -1: never
 }
 
-func newLedger(cfg *Config, key, thing string, now int64, g lease.Grant) (*numberLedger, error) {
-	b := &numberLedger{cfg: cfg, key: key, leaseName: thing, fence: g.Fence, startedAt: now, lines: initialLines, growing: true, freedAt: now, refusedAt: now, probeStep: 1,
+func newLedger(cfg *Config, key, leaseName string, now int64, grant lease.Grant) (*numberLedger, error) {
+	ledger := &numberLedger{cfg: cfg, key: key, leaseName: leaseName, fence: grant.Fence, startedAt: now,
+		lines: initialLines, growing: true, freedAt: now, refusedAt: now, probeStep: 1,
 		probeDelay: foundProbeDelay, dirty: true, notedLines: -1, notedUnknown: -1}
-	r, err := decodeRecord(key, g.Value)
-	if r.Lines > 0 {
-		b.growing = false
-		b.lines, b.knownLines, b.knownAt = r.Lines, r.Known, now
-		b.freedLines = float64(r.Turnover) * turnoverWindow / 1e9
-		b.recordedLines, b.anyPreviousHolder, b.previousHolders = max(r.Lines, r.Outstanding), r.AnyHolder, r.holders()
+	stored, err := decodeRecord(key, grant.Value)
+	if stored.Lines > 0 {
+		ledger.growing = false
+		ledger.lines, ledger.knownLines, ledger.knownAt = stored.Lines, stored.Known, now
+		ledger.freedLines = float64(stored.Turnover) * turnoverWindow / 1e9
+		ledger.recordedLines, ledger.anyPreviousHolder, ledger.previousHolders =
+			max(stored.Lines, stored.Outstanding), stored.AnyHolder, stored.holders()
 		// The previous keeper may have granted a permit just before this lease began, and clocks may drift apart.
-		b.previousPermitsUntil = now + int64(float64(cfg.PermitLifetime)*(1+2*cfg.Drift))
-		b.previousHoldersUntil = now + cfg.SilenceTimeout
+		ledger.previousPermitsUntil = now + int64(float64(cfg.PermitLifetime)*(1+2*cfg.Drift))
+		ledger.previousHoldersUntil = now + cfg.SilenceTimeout
 	}
 	if n := cfg.Lines(key); n > 0 {
-		if b.siteLines, b.growing = int64(n), false; r.Lines == 0 {
-			b.lines = b.siteLines
+		if ledger.siteLines, ledger.growing = int64(n), false; stored.Lines == 0 {
+			ledger.lines = ledger.siteLines
 		}
-		b.lines = min(b.lines, b.siteLines)
+		ledger.lines = min(ledger.lines, ledger.siteLines)
 	}
-	return b, err
+	return ledger, err
 }
 
 // peer returns the state of a process; nil: the ledger is full.
-func (b *numberLedger) peer(name string) *peerState {
-	i, ok := slices.BinarySearchFunc(b.peers, name, func(p *peerState, name string) int { return strings.Compare(p.name, name) })
+func (l *numberLedger) peer(name string) *peerState {
+	i, ok := slices.BinarySearchFunc(l.peers, name, func(peer *peerState, name string) int {
+		return strings.Compare(peer.name, name)
+	})
 	if ok {
-		return b.peers[i]
+		return l.peers[i]
 	}
-	if len(b.peers) >= maxPeers {
+	if len(l.peers) >= maxPeers {
 		return nil
 	}
-	p := &peerState{name: name, virtualTime: b.virtualTime}
-	b.peers = slices.Insert(b.peers, i, p)
-	return p
+	peer := &peerState{name: name, virtualTime: l.virtualTime}
+	l.peers = slices.Insert(l.peers, i, peer)
+	return peer
 }
 
 // held returns the lines that the processes that have reported may hold, and how many of these carry a call.
-func (b *numberLedger) held(now int64) (held, calls int64) {
-	for _, p := range b.peers {
-		held += p.heldLines(now)
-		calls += p.report.Calls
+func (l *numberLedger) held(now int64) (held, calls int64) {
+	for _, peer := range l.peers {
+		held += peer.heldLines(now)
+		calls += peer.report.Calls
 	}
 	return held, calls
 }
@@ -166,351 +170,364 @@
 // unreported returns the lines that the previous keeper may have granted to processes that have not reported to this
 // one. While permits of that keeper may be valid, these are all the lines it could grant; later, those that its
 // record allowed, until the processes have been silent for so long that they count as gone.
-func (b *numberLedger) unreported(now int64) int64 {
-	if b.cfg.disabled.forgetPreviousHolders || now >= b.previousHoldersUntil || !b.anyPreviousHolder && len(b.previousHolders) == 0 {
+func (l *numberLedger) unreported(now int64) int64 {
+	if l.cfg.disabled.forgetPreviousHolders || now >= l.previousHoldersUntil ||
+		!l.anyPreviousHolder && len(l.previousHolders) == 0 {
 		return 0
 	}
-	rest := max(0, b.recordedLines-b.reportedLines)
-	if b.anyPreviousHolder || now < b.previousPermitsUntil {
-		return rest
+	remaining := max(0, l.recordedLines-l.reportedLines)
+	if l.anyPreviousHolder || now < l.previousPermitsUntil {
+		return remaining
 	}
 	sum := int64(0)
-	for _, h := range b.previousHolders {
+	for _, h := range l.previousHolders {
 		sum += h.maxLines
 	}
-	return min(rest, sum)
+	return min(remaining, sum)
 }
 
 // grantLimit returns the number of lines that may be granted in total. Lines that are not yet stored at a majority
 // are not granted, so that the next keeper never reads of fewer lines than are granted.
-func (b *numberLedger) grantLimit() int64 {
-	lines := min(b.lines, b.storedLines)
-	if b.pendingWrite != 0 {
-		lines = min(lines, b.writtenLines)
+func (l *numberLedger) grantLimit() int64 {
+	lines := min(l.lines, l.storedLines)
+	if l.pendingWrite != 0 {
+		lines = min(lines, l.writtenLines)
 	}
 	return lines
 }
 
 // freeLines returns the lines that may be granted now.
-func (b *numberLedger) freeLines(now int64) int64 {
-	held, _ := b.held(now)
-	free := b.grantLimit() - held - b.unreported(now)
-	if b.cfg.disabled.overGrant && b.storedLines > 0 {
+func (l *numberLedger) freeLines(now int64) int64 {
+	held, _ := l.held(now)
+	free := l.grantLimit() - held - l.unreported(now)
+	if l.cfg.disabled.overGrant && l.storedLines > 0 {
 		free++
 	}
 	return free
 }
 
-// addNote adds a addNote on the number.
-func (b *numberLedger) addNote(what string, n int64, who string, until int64) {
-	b.notes = append(b.notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: b.key, Fence: b.fence, Until: until, N: n, Text: who})
+// addNote adds a note on the number.
+func (l *numberLedger) addNote(what string, n int64, who string, until int64) {
+	l.notes = append(l.notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: l.key, Fence: l.fence, Until: until,
+		N: n, Text: who})
 }
 
-// noteHeld notes the lines noteHeld for a process if they have changed.
-func (b *numberLedger) noteHeld(now int64, what string, p *peerState, n int64) {
-	if n != p.notedLines || what == "met" {
-		b.addNote(what, n, p.name, 0)
-		p.notedLines = n
+// noteHeld notes the lines counted for a process if they have changed.
+func (l *numberLedger) noteHeld(now int64, what string, peer *peerState, n int64) {
+	if n != peer.notedLines || what == "met" {
+		l.addNote(what, n, peer.name, 0)
+		peer.notedLines = n
 	}
-	if n := p.previousLines(now); n != p.notedPrevious {
-		b.addNote("before", n, p.name, 0)
-		p.notedPrevious = n
+	if n := peer.previousLines(now); n != peer.notedPrevious {
+		l.addNote("before", n, peer.name, 0)
+		peer.notedPrevious = n
 	}
 }
 
 // noteGrant notes a grant, preceded by every value it was computed from that has not been noted yet.
-func (b *numberLedger) noteGrant(now int64, p *peerState, n, lasts int64) {
-	for _, q := range b.peers {
-		b.noteHeld(now, "holds", q, q.report.Held+q.granted)
+func (l *numberLedger) noteGrant(now int64, peer *peerState, n, lifetime int64) {
+	for _, other := range l.peers {
+		l.noteHeld(now, "holds", other, other.report.Held+other.granted)
 	}
-	if l := b.grantLimit(); l != b.notedLines {
-		b.addNote("lines", l, "", 0)
-		b.notedLines = l
+	if limit := l.grantLimit(); limit != l.notedLines {
+		l.addNote("lines", limit, "", 0)
+		l.notedLines = limit
 	}
-	if u := b.unreported(now); u != b.notedUnknown {
-		b.addNote("unknown", u, "", 0)
-		b.notedUnknown = u
+	if unreported := l.unreported(now); unreported != l.notedUnknown {
+		l.addNote("unknown", unreported, "", 0)
+		l.notedUnknown = unreported
 	}
-	b.addNote("granted", n, p.name, now+lasts)
-	p.notedLines += n
+	l.addNote("granted", n, peer.name, now+lifetime)
+	peer.notedLines += n
 }
 
-// totalRate returns the totalRate of all processes, in calls in 1000 s; at least 1.
-func (b *numberLedger) totalRate() int64 {
+// totalRate returns the demand of all processes, in calls in 1000 s; at least 1.
+func (l *numberLedger) totalRate() int64 {
 	n := int64(1)
-	for _, p := range b.peers {
-		n += p.report.Rate
+	for _, peer := range l.peers {
+		n += peer.report.Rate
 	}
 	return n
 }
 
 // turnover returns the lines that become free in 1000 s.
-func (b *numberLedger) turnover(now int64) int64 {
-	b.decayFreed(now)
-	return int64(b.freedLines * 1e9 / turnoverWindow)
+func (l *numberLedger) turnover(now int64) int64 {
+	l.decayFreed(now)
+	return int64(l.freedLines * 1e9 / turnoverWindow)
 }
 
-func (b *numberLedger) decayFreed(now int64) {
-	if now > b.freedAt {
-		b.freedLines *= math.Exp(-float64(now-b.freedAt) / turnoverWindow)
-		b.freedAt = now
+func (l *numberLedger) decayFreed(now int64) {
+	if now > l.freedAt {
+		l.freedLines *= math.Exp(-float64(now-l.freedAt) / turnoverWindow)
+		l.freedAt = now
 	}
 }
 
 // permitLifetime returns how long a permit granted now for a report may be valid, from when the report was sent.
 // Permits end before the lease does, also by a slow clock, so that none is valid while another process keeps the
 // number.
-func (b *numberLedger) permitLifetime(now int64, p *peerState, g lease.Grant) int64 {
-	lasts := b.cfg.PermitLifetime
-	if !b.cfg.disabled.noLeaseLimit {
-		lasts = min(lasts, int64(float64(g.Until-now)/(1+2*b.cfg.Drift))+now-p.reportedAt)
+func (l *numberLedger) permitLifetime(now int64, peer *peerState, grant lease.Grant) int64 {
+	lifetime := l.cfg.PermitLifetime
+	if !l.cfg.disabled.noLeaseLimit {
+		lifetime = min(lifetime, int64(float64(grant.Until-now)/(1+2*l.cfg.Drift))+now-peer.reportedAt)
 	}
-	if lasts-(now-p.reportedAt) < minPermitLifetime {
-		b.lifetimeRefusals++
+	if lifetime-(now-peer.reportedAt) < minPermitLifetime {
+		l.lifetimeRefusals++
 		return 0
 	}
-	return lasts
+	return lifetime
 }
 
-// applyReport applies the applyReport of a process and returns the process; nil: the applyReport is outdated, or the ledger is
+// applyReport applies the report of a process and returns the process; nil: the report is outdated, or the ledger is
 // full.
-func (b *numberLedger) applyReport(now int64, from string, it operation) *peerState {
-	p := b.peer(from)
-	if p == nil || it.Incarnation < p.incarnation || it.Incarnation == p.incarnation && it.ReportNumber < p.reportNumber {
+func (l *numberLedger) applyReport(now int64, from string, op operation) *peerState {
+	peer := l.peer(from)
+	if peer == nil || op.Incarnation < peer.incarnation ||
+		op.Incarnation == peer.incarnation && op.ReportNumber < peer.reportNumber {
 		return nil
 	}
-	if it.Incarnation > p.incarnation {
-		if p.incarnation != 0 { // its previous incarnation has ended, but lines held by that may still be in use
-			p.previousHeld, p.previousUntil = p.heldLines(now), now+b.cfg.SilenceTimeout
+	if op.Incarnation > peer.incarnation {
+		if peer.incarnation != 0 { // its previous incarnation has ended, but lines held by that may still be in use
+			peer.previousHeld, peer.previousUntil = peer.heldLines(now), now+l.cfg.SilenceTimeout
 		}
-		*p = peerState{name: p.name, incarnation: it.Incarnation, previousHeld: p.previousHeld, previousUntil: p.previousUntil, maxLines: p.maxLines, nextMaxLines: p.nextMaxLines, virtualTime: p.virtualTime, notedLines: p.notedLines, notedPrevious: p.notedPrevious}
+		*peer = peerState{name: peer.name, incarnation: op.Incarnation, previousHeld: peer.previousHeld,
+			previousUntil: peer.previousUntil, maxLines: peer.maxLines, nextMaxLines: peer.nextMaxLines,
+			virtualTime: peer.virtualTime, notedLines: peer.notedLines, notedPrevious: peer.notedPrevious}
 	}
-	if it.ReportNumber == p.reportNumber && p.reported {
-		return p // duplicate
+	if op.ReportNumber == peer.reportNumber && peer.reported {
+		return peer // duplicate
 	}
-	was, first := p.report, !p.reported
-	if keep := math.Exp(-float64(now-p.reportedAt) / demandWindow); first {
-		p.averageRate = float64(it.Rate)
+	previous, first := peer.report, !peer.reported
+	if keep := math.Exp(-float64(now-peer.reportedAt) / demandWindow); first {
+		peer.averageRate = float64(op.Rate)
 	} else {
-		p.averageRate = p.averageRate*keep + float64(it.Rate)*(1-keep)
+		peer.averageRate = peer.averageRate*keep + float64(op.Rate)*(1-keep)
 	}
-	p.reportNumber, p.reportedAt, p.reported, p.report, p.granted, p.lifetime, p.answerPending = it.ReportNumber, now, true, it, 0, 0, false
-	if it.Wanted > 0 {
-		p.wantedAt = now
+	peer.reportNumber, peer.reportedAt, peer.reported, peer.report, peer.granted, peer.lifetime, peer.answerPending =
+		op.ReportNumber, now, true, op, 0, 0, false
+	if op.Wanted > 0 {
+		peer.wantedAt = now
 	}
 	if first {
-		b.noteHeld(now, "met", p, it.Held)
-		b.reportedLines += it.Held
-		b.previousHolders = slices.DeleteFunc(b.previousHolders, func(h holder) bool {
+		l.noteHeld(now, "met", peer, op.Held)
+		l.reportedLines += op.Held
+		l.previousHolders = slices.DeleteFunc(l.previousHolders, func(h holder) bool {
 			if h.name == nameHash(from) {
-				p.maxLines, p.nextMaxLines = h.maxLines, h.maxLines
+				peer.maxLines, peer.nextMaxLines = h.maxLines, h.maxLines
 				return true
 			}
 			return false
 		})
-		return p
+		return peer
 	}
-	b.noteHeld(now, "holds", p, it.Held)
-	if it.Refused > was.Refused {
-		b.refusedAt = now
+	l.noteHeld(now, "holds", peer, op.Held)
+	if op.Refused > previous.Refused {
+		l.refusedAt = now
 	}
-	b.decayFreed(now)
-	b.freedLines += float64(it.Ended - min(was.Ended, it.Ended))
-	b.learnLines(now, int64(it.Busy-min(was.Busy, it.Busy)), int64(it.Began-min(was.Began, it.Began)))
-	return p
+	l.decayFreed(now)
+	l.freedLines += float64(op.Ended - min(previous.Ended, op.Ended))
+	l.learnLines(now, int64(op.Busy-min(previous.Busy, op.Busy)), int64(op.Began-min(previous.Began, op.Began)))
+	return peer
 }
 
 // learnLines takes busy ends, and set-ups under permits that became calls. A busy end shows that there is one line
 // less than assumed, but never fewer than carry calls.
-func (b *numberLedger) learnLines(now, busy, began int64) {
-	held, calls := b.held(now)
-	if calls >= b.knownLines || now-b.knownAt > knownLinesAge {
-		b.knownLines, b.knownAt = calls, now
+func (l *numberLedger) learnLines(now, busy, began int64) {
+	held, calls := l.held(now)
+	if calls >= l.knownLines || now-l.knownAt > knownLinesAge {
+		l.knownLines, l.knownAt = calls, now
 	}
-	b.callsToConfirm -= began
+	l.callsToConfirm -= began
 	switch {
 	case busy > 0:
-		b.growing, b.probing, b.probeStep = false, false, 1
-		b.lines = max(b.lines-busy, calls, 1)
-		b.probeDelay = min(2*b.probeDelay, maxProbeDelay)
-		if b.lines < max(b.knownLines, b.siteLines) {
-			b.probeDelay = knownProbeDelay
+		l.growing, l.probing, l.probeStep = false, false, 1
+		l.lines = max(l.lines-busy, calls, 1)
+		l.probeDelay = min(2*l.probeDelay, maxProbeDelay)
+		if l.lines < max(l.knownLines, l.siteLines) {
+			l.probeDelay = knownProbeDelay
 		}
-		b.nextProbe = now + b.probeDelay
-		b.dirty = true
-	case b.growing && began > 0 && 4*held > 3*b.lines:
-		b.lines += 2 * began // each line found allows two more to be tried
-		b.dirty = true
-	case b.probing && (calls >= b.lines || b.callsToConfirm <= 0): // the probed lines exist: there may be more
-		b.probing, b.probeDelay, b.nextProbe = false, foundProbeDelay, now+foundProbeDelay
-		b.probeStep = min(2*b.probeStep, 1+b.lines/8)
+		l.nextProbe = now + l.probeDelay
+		l.dirty = true
+	case l.growing && began > 0 && 4*held > 3*l.lines:
+		l.lines += 2 * began // each line found allows two more to be tried
+		l.dirty = true
+	case l.probing && (calls >= l.lines || l.callsToConfirm <= 0): // the probed lines exist: there may be more
+		l.probing, l.probeDelay, l.nextProbe = false, foundProbeDelay, now+foundProbeDelay
+		l.probeStep = min(2*l.probeStep, 1+l.lines/8)
 	}
 }
 
 // probeLines assumes one more line, or twice as many as the last probe found, while all known lines are in use and
 // calls are refused.
-func (b *numberLedger) probeLines(now int64) {
-	if b.siteLines > 0 && b.lines >= b.siteLines || b.growing || now < b.nextProbe || now-b.refusedAt > recentTime || b.unreported(now) > 0 {
+func (l *numberLedger) probeLines(now int64) {
+	if l.siteLines > 0 && l.lines >= l.siteLines || l.growing || now < l.nextProbe || now-l.refusedAt > recentTime ||
+		l.unreported(now) > 0 {
 		return
 	}
-	held, calls := b.held(now)
-	if held < b.lines {
+	held, calls := l.held(now)
+	if held < l.lines {
 		return
 	}
-	b.callsToConfirm = held - calls + 2*b.probeStep // once this many calls have begun, some use the probed lines
-	b.lines, b.probing = b.lines+b.probeStep, true
-	if b.siteLines > 0 {
-		b.lines = min(b.lines, b.siteLines)
+	l.callsToConfirm = held - calls + 2*l.probeStep // once this many calls have begun, some use the probed lines
+	l.lines, l.probing = l.lines+l.probeStep, true
+	if l.siteLines > 0 {
+		l.lines = min(l.lines, l.siteLines)
 	}
-	b.nextProbe = now + b.probeDelay
-	b.dirty = true
+	l.nextProbe = now + l.probeDelay
+	l.dirty = true
 }
 
 // headroom returns how many more lines a process may hold by the record that a later keeper would read.
-func (b *numberLedger) headroom(now int64, p *peerState) int64 {
-	if b.storedAnyHolder && (b.pendingWrite == 0 || b.writtenAnyHolder) {
+func (l *numberLedger) headroom(now int64, peer *peerState) int64 {
+	if l.storedAnyHolder && (l.pendingWrite == 0 || l.writtenAnyHolder) {
 		return maxHolderLines
 	}
-	ceil := p.maxLines
-	if b.pendingWrite != 0 {
-		ceil = min(ceil, p.nextMaxLines)
+	maxLines := peer.maxLines
+	if l.pendingWrite != 0 {
+		maxLines = min(maxLines, peer.nextMaxLines)
 	}
-	return ceil - p.heldLines(now)
+	return maxLines - peer.heldLines(now)
 }
 
 // awaitsRecord tells whether a process could have a line as soon as the record allows it.
-func (b *numberLedger) awaitsRecord(now int64, p *peerState) bool {
-	held, _ := b.held(now)
-	return held+b.unreported(now) < b.lines && (b.headroom(now, p) < 1 || b.freeLines(now) < 1)
+func (l *numberLedger) awaitsRecord(now int64, peer *peerState) bool {
+	held, _ := l.held(now)
+	return held+l.unreported(now) < l.lines && (l.headroom(now, peer) < 1 || l.freeLines(now) < 1)
 }
 
 // grant grants a process up to the wanted number of permits for its newest report, and returns how many.
-func (b *numberLedger) grant(now int64, p *peerState, want int64, g lease.Grant) int64 {
-	n := min(want, b.freeLines(now), b.headroom(now, p))
-	if n <= 0 || b.handOverBy != 0 {
+func (l *numberLedger) grant(now int64, peer *peerState, want int64, grant lease.Grant) int64 {
+	n := min(want, l.freeLines(now), l.headroom(now, peer))
+	if n <= 0 || l.handOverBy != 0 {
 		return 0
 	}
-	lasts := b.permitLifetime(now, p, g)
-	if lasts == 0 {
+	lifetime := l.permitLifetime(now, peer, grant)
+	if lifetime == 0 {
 		return 0
 	}
-	b.noteGrant(now, p, n, lasts)
-	p.granted += n
-	p.lifetime = lasts
-	b.virtualTime = max(b.virtualTime, p.virtualTime)
-	p.virtualTime = max(p.virtualTime, b.virtualTime-1) + float64(n)*float64(b.totalRate())/float64(max(1, p.report.Rate))/float64(max(1, len(b.peers)))
+	l.noteGrant(now, peer, n, lifetime)
+	peer.granted += n
+	peer.lifetime = lifetime
+	l.virtualTime = max(l.virtualTime, peer.virtualTime)
+	peer.virtualTime = max(peer.virtualTime, l.virtualTime-1) +
+		float64(n)*float64(l.totalRate())/float64(max(1, peer.report.Rate))/float64(max(1, len(l.peers)))
 	return n
 }
 
 // answerReport grants what a report requests. If lines are free but the record does not allow the process one yet,
-// its answerReport waits once until it does. While lines are plentiful, it grants extra permits by the process's share of
+// its answer waits once until it does. While lines are plentiful, it grants extra permits by the process's share of
 // the demand.
-func (b *numberLedger) answerReport(now int64, p *peerState, g lease.Grant) (gave int64) {
-	if p.report.Wanted <= p.granted {
+func (l *numberLedger) answerReport(now int64, peer *peerState, grant lease.Grant) (granted int64) {
+	if peer.report.Wanted <= peer.granted {
 		return 0
 	}
-	gave = b.grant(now, p, p.report.Wanted-p.granted, g)
-	if p.granted < p.report.Wanted {
-		if p.answerPending = !p.answerPending && b.handOverBy == 0 && b.awaitsRecord(now, p); p.answerPending {
-			b.dirty = true
+	granted = l.grant(now, peer, peer.report.Wanted-peer.granted, grant)
+	if peer.granted < peer.report.Wanted {
+		if peer.answerPending = !peer.answerPending && l.handOverBy == 0 &&
+			l.awaitsRecord(now, peer); peer.answerPending {
+			l.dirty = true
 		} else {
-			b.refusedAt = now
+			l.refusedAt = now
 		}
-		return gave
+		return granted
 	}
-	p.answerPending = false
-	b.advanceCredit = min(maxAdvanceCredit, b.advanceCredit+b.cfg.AdvanceShare/(1-b.cfg.AdvanceShare)*float64(gave))
-	share := float64(p.report.Rate) / float64(b.totalRate())
-	if extra := min(int64(share*float64(b.freeLines(now))/2), p.report.Rate/2000); extra > 0 {
-		gave += b.grant(now, p, extra, g)
+	peer.answerPending = false
+	l.advanceCredit = min(maxAdvanceCredit, l.advanceCredit+l.cfg.AdvanceShare/(1-l.cfg.AdvanceShare)*float64(granted))
+	share := float64(peer.report.Rate) / float64(l.totalRate())
+	if extra := min(int64(share*float64(l.freeLines(now))/2), peer.report.Rate/2000); extra > 0 {
+		granted += l.grant(now, peer, extra, grant)
 	}
-	return gave
+	return granted
 }
 
 // grantAhead grants one permit in advance to the process that was served least for its share of the demand, and
 // returns that process; nil: no permit is granted. It serves processes that hardly ever ask at the moment when a line
 // is free.
-func (b *numberLedger) grantAhead(now int64, g lease.Grant) *peerState {
-	if b.advanceCredit < 1 || b.freeLines(now) < 1 {
+func (l *numberLedger) grantAhead(now int64, grant lease.Grant) *peerState {
+	if l.advanceCredit < 1 || l.freeLines(now) < 1 {
 		return nil
 	}
 	var best *peerState
-	idle := int64(0)
-	for _, p := range b.peers {
-		idle += p.report.Unused + p.granted
+	unused := int64(0)
+	for _, peer := range l.peers {
+		unused += peer.report.Unused + peer.granted
 	}
-	if idle > b.lines/unusedDivisor { // lines behind unused permits serve no call and hide whether the probed lines exist
+	// Lines behind unused permits serve no call and hide whether the probed lines exist.
+	if unused > l.lines/unusedDivisor {
 		return nil
 	}
-	for _, p := range b.peers {
-		if p.report.Unused > 0 || p.granted > 0 || now-p.reportedAt > b.cfg.PermitLifetime/2 || now-p.wantedAt > recentTime || p.wantedAt == 0 ||
-			b.headroom(now, p) < 1 {
+	for _, peer := range l.peers {
+		if peer.report.Unused > 0 || peer.granted > 0 || now-peer.reportedAt > l.cfg.PermitLifetime/2 ||
+			now-peer.wantedAt > recentTime || peer.wantedAt == 0 ||
+			l.headroom(now, peer) < 1 {
 			continue
 		}
-		if best == nil || p.virtualTime < best.virtualTime {
-			best = p
+		if best == nil || peer.virtualTime < best.virtualTime {
+			best = peer
 		}
 	}
-	if best == nil || b.grant(now, best, 1, g) == 0 {
+	if best == nil || l.grant(now, best, 1, grant) == 0 {
 		return nil
 	}
-	b.advanceCredit--
+	l.advanceCredit--
 	return best
 }
 
 // retryTimes returns when a process may ask again, how long its callers are to stay away, and its share of the
 // turnover.
-func (b *numberLedger) retryTimes(now int64, p *peerState) (again, stay, share int64) {
-	turn := float64(b.turnover(now)) / 1e9 // lines in a microsecond
-	part := float64(p.report.Rate) / float64(b.totalRate())
-	again, stay = 100_000, 1_000_000
-	if turn > 0 {
-		again = int64(min(1/turn/4, maxRetryAfter))
-		stay = int64(min(1/(turn*max(part, 1e-3)), maxCallerRetryAfter))
-	}
-	return max(again, minRetryAfter), max(stay, minCallerRetryAfter), int64(turn * part * 1e9)
+func (l *numberLedger) retryTimes(now int64, peer *peerState) (retryAfter, callerRetryAfter, share int64) {
+	turnover := float64(l.turnover(now)) / 1e9 // lines in a microsecond
+	fraction := float64(peer.report.Rate) / float64(l.totalRate())
+	retryAfter, callerRetryAfter = 100_000, 1_000_000
+	if turnover > 0 {
+		retryAfter = int64(min(1/turnover/4, maxRetryAfter))
+		callerRetryAfter = int64(min(1/(turnover*max(fraction, 1e-3)), maxCallerRetryAfter))
+	}
+	return max(retryAfter, minRetryAfter), max(callerRetryAfter, minCallerRetryAfter), int64(turnover * fraction * 1e9)
 }
 
 // forgetSilent removes processes that have not reported for long and whose lines no longer count.
-func (b *numberLedger) forgetSilent(now int64) {
-	b.peers = slices.DeleteFunc(b.peers, func(p *peerState) bool {
-		over := now-p.reportedAt > b.cfg.SilenceTimeout && now >= p.previousUntil
-		if over {
-			b.noteHeld(now, "gone", p, 0)
+func (l *numberLedger) forgetSilent(now int64) {
+	l.peers = slices.DeleteFunc(l.peers, func(peer *peerState) bool {
+		silent := now-peer.reportedAt > l.cfg.SilenceTimeout && now >= peer.previousUntil
+		if silent {
+			l.noteHeld(now, "gone", peer, 0)
 		}
-		return over
+		return silent
 	})
 }
 
 // prepareRecord returns the record to write: each process may hold what it holds, and at least twice its share of the
 // lines plus 3.
-func (b *numberLedger) prepareRecord(now int64) record {
-	held, _ := b.held(now)
-	r := record{Lines: b.lines, Known: b.knownLines, Turnover: b.turnover(now), Outstanding: held + b.unreported(now)}
-	demand := float64(b.totalRate())
-	hs := slices.Clone(b.previousHolders)
-	if now >= b.previousHoldersUntil {
-		hs = nil
-	}
-	for _, p := range b.peers {
-		p.nextMaxLines = 0
-		if holds := p.heldLines(now); holds > 0 || now-p.wantedAt <= b.cfg.SilenceTimeout && p.wantedAt != 0 {
-			p.nextMaxLines = min(maxHolderLines, max(holds, 3+int64(math.Ceil(2*float64(p.report.Rate)/demand*float64(b.lines)))))
-			hs = append(hs, holder{nameHash(p.name), p.nextMaxLines})
+func (l *numberLedger) prepareRecord(now int64) record {
+	reported, _ := l.held(now)
+	rec := record{Lines: l.lines, Known: l.knownLines, Turnover: l.turnover(now),
+		Outstanding: reported + l.unreported(now)}
+	demand := float64(l.totalRate())
+	holders := slices.Clone(l.previousHolders)
+	if now >= l.previousHoldersUntil {
+		holders = nil
+	}
+	for _, peer := range l.peers {
+		peer.nextMaxLines = 0
+		if held := peer.heldLines(now); held > 0 || now-peer.wantedAt <= l.cfg.SilenceTimeout && peer.wantedAt != 0 {
+			peer.nextMaxLines = min(maxHolderLines,
+				max(held, 3+int64(math.Ceil(2*float64(peer.report.Rate)/demand*float64(l.lines)))))
+			holders = append(holders, holder{nameHash(peer.name), peer.nextMaxLines})
 		}
 	}
-	r.setHolders(hs)
-	if b.anyPreviousHolder && now < b.previousHoldersUntil {
-		r.AnyHolder, r.Holders = true, nil
+	rec.setHolders(holders)
+	if l.anyPreviousHolder && now < l.previousHoldersUntil {
+		rec.AnyHolder, rec.Holders = true, nil
 	}
-	b.writtenAnyHolder, b.writtenLines = r.AnyHolder, r.Lines
-	return r
+	l.writtenAnyHolder, l.writtenLines = rec.AnyHolder, rec.Lines
+	return rec
 }
 
-// recordStored notes that the record that was written is recordStored at a majority.
-func (b *numberLedger) recordStored() {
-	b.pendingWrite, b.storedAnyHolder, b.storedLines = 0, b.writtenAnyHolder, b.writtenLines
-	for _, p := range b.peers {
-		p.maxLines = p.nextMaxLines
+// recordStored notes that the record that was written is stored at a majority.
+func (l *numberLedger) recordStored() {
+	l.pendingWrite, l.storedAnyHolder, l.storedLines = 0, l.writtenAnyHolder, l.writtenLines
+	for _, peer := range l.peers {
+		peer.maxLines = peer.nextMaxLines
 	}
 }
--- a/internal/keeper/choice.go
+++ b/internal/keeper/choice.go
@@ -41,72 +41,80 @@
 	chosenSince int64          // since when this process is the one chosen to keep it; 0: it is not
 }
 
+// announcement is what the entry of one member says of a number.
 type announcement struct {
 	name     string
 	value    int64 // rate for reporters, fence for keepers
 	turnover int64
 }
 
-func setAnnouncement(list []announcement, t announcement) []announcement {
-	i, ok := slices.BinarySearchFunc(list, t.name, func(t announcement, name string) int { return strings.Compare(t.name, name) })
+func setAnnouncement(list []announcement, added announcement) []announcement {
+	i, ok := slices.BinarySearchFunc(list, added.name, func(a announcement, name string) int {
+		return strings.Compare(a.name, name)
+	})
 	if ok {
-		list[i] = t
+		list[i] = added
 		return list
 	}
-	return slices.Insert(list, i, t)
+	return slices.Insert(list, i, added)
 }
 
 func removeAnnouncement(list []announcement, name string) []announcement {
-	return slices.DeleteFunc(list, func(t announcement) bool { return t.name == name })
+	return slices.DeleteFunc(list, func(a announcement) bool { return a.name == name })
 }
 
 // readEntry takes a member's part of its entry if it has changed.
 func (p *Part) readEntry(name string, body []byte) {
-	t := p.entries[name]
-	if t != nil && len(t.body) == len(body) && (len(body) == 0 || &t.body[0] == &body[0]) {
+	entry := p.entries[name]
+	if entry != nil && len(entry.body) == len(body) && (len(body) == 0 || &entry.body[0] == &body[0]) {
 		return
 	}
-	if t == nil {
+	if entry == nil {
 		if len(body) == 0 {
 			return
 		}
-		t = &memberEntry{}
-		p.entries[name] = t
+		entry = &memberEntry{}
+		p.entries[name] = entry
 	}
-	for _, s := range t.part.Contended {
-		p.updateNumberState(s.Key, func(x *numberState) { x.reporters = removeAnnouncement(x.reporters, name) })
+	for _, contended := range entry.part.Contended {
+		p.updateNumberState(contended.Key, func(state *numberState) {
+			state.reporters = removeAnnouncement(state.reporters, name)
+		})
 	}
-	for _, k := range t.part.Kept {
-		p.updateNumberState(k.Key, func(x *numberState) { x.keepers = removeAnnouncement(x.keepers, name) })
+	for _, kept := range entry.part.Kept {
+		p.updateNumberState(kept.Key, func(state *numberState) {
+			state.keepers = removeAnnouncement(state.keepers, name)
+		})
 	}
-	said, err := decodeEntryPart(name, body)
+	part, err := decodeEntryPart(name, body)
 	if err != nil {
 		p.counts.unread++
 	}
-	t.body, t.part = body, said
-	for _, s := range said.Contended {
-		x := p.numberState(s.Key)
-		x.reporters = setAnnouncement(x.reporters, announcement{name: name, value: s.Rate})
+	entry.body, entry.part = body, part
+	for _, contended := range part.Contended {
+		state := p.numberState(contended.Key)
+		state.reporters = setAnnouncement(state.reporters, announcement{name: name, value: contended.Rate})
 	}
-	for _, k := range said.Kept {
-		x := p.numberState(k.Key)
-		x.keepers = setAnnouncement(x.keepers, announcement{name: name, value: int64(k.Fence), turnover: k.Turnover})
-		p.announcedKeepers = append(p.announcedKeepers, k.Key)
+	for _, kept := range part.Kept {
+		state := p.numberState(kept.Key)
+		state.keepers = setAnnouncement(state.keepers, announcement{name: name, value: int64(kept.Fence),
+			turnover: kept.Turnover})
+		p.announcedKeepers = append(p.announcedKeepers, kept.Key)
 	}
 }
 
 func (p *Part) numberState(key string) *numberState {
-	x := p.numbers[key]
-	if x == nil {
-		x = &numberState{key: key}
-		p.numbers[key] = x
+	state := p.numbers[key]
+	if state == nil {
+		state = &numberState{key: key}
+		p.numbers[key] = state
 	}
-	return x
+	return state
 }
 
-func (p *Part) updateNumberState(key string, f func(*numberState)) {
-	if x := p.numbers[key]; x != nil {
-		if f(x); len(x.reporters)+len(x.keepers) == 0 {
+func (p *Part) updateNumberState(key string, update func(*numberState)) {
+	if state := p.numbers[key]; state != nil {
+		if update(state); len(state.reporters)+len(state.keepers) == 0 {
 			delete(p.numbers, key)
 		}
 	}
@@ -114,14 +122,14 @@
 
 // keeperOf returns the announced keeper of a number with the highest fence; nil: none.
 func (p *Part) keeperOf(key string) *announcement {
-	x := p.numbers[key]
-	if x == nil {
+	state := p.numbers[key]
+	if state == nil {
 		return nil
 	}
 	var best *announcement
-	for i := range x.keepers {
-		if k := &x.keepers[i]; best == nil || k.value > best.value {
-			best = k
+	for i := range state.keepers {
+		if keeper := &state.keepers[i]; best == nil || keeper.value > best.value {
+			best = keeper
 		}
 	}
 	return best
@@ -130,12 +138,12 @@
 // keptElsewhere tells whether another process that is not suspected keeps a number. A number kept by a suspected
 // process may be claimed: the lease decides.
 func (p *Part) keptElsewhere(key string) bool {
-	k := p.keeperOf(key)
-	if k == nil || k.name == p.cfg.Self {
+	keeper := p.keeperOf(key)
+	if keeper == nil || keeper.name == p.cfg.Self {
 		return false
 	}
-	m := p.view.Member(k.name)
-	return m != nil && !m.Suspect
+	member := p.view.Member(keeper.name)
+	return member != nil && !member.Suspect
 }
 
 func (p *Part) members() []fleet.Member {
@@ -152,32 +160,34 @@
 		if p.draining || len(p.ledgers)+len(p.claims) >= p.cfg.Most || p.cfg.Barred(name) {
 			return false
 		}
-		m := p.view.Member(name)
-		return m == nil || m.State == fleet.Serving
+		member := p.view.Member(name)
+		return member == nil || member.State == fleet.Serving
 	}
-	m := p.view.Member(name)
-	if m == nil || m.State != fleet.Serving || m.Suspect && !p.cfg.disabled.allowSuspects || p.cfg.Barred(name) {
+	member := p.view.Member(name)
+	if member == nil || member.State != fleet.Serving || member.Suspect && !p.cfg.disabled.allowSuspects ||
+		p.cfg.Barred(name) {
 		return false
 	}
-	t := p.entries[name]
-	return t == nil || len(t.part.Kept) < p.cfg.Most
+	entry := p.entries[name]
+	return entry == nil || len(entry.part.Kept) < p.cfg.Most
 }
 
 // preferred orders the candidates for a number by demand, and equal ones by hash, so that all processes choose the
 // same one.
-func preferred(key, a string, na int64, b string, nb int64) bool {
-	if c := cmp.Compare(na, nb); c != 0 {
-		return c > 0
+func preferred(key, nameA string, rateA int64, nameB string, rateB int64) bool {
+	if order := cmp.Compare(rateA, rateB); order != 0 {
+		return order > 0
 	}
-	return xxhash.Sum64String(key+"\x00"+a) > xxhash.Sum64String(key+"\x00"+b)
+	return xxhash.Sum64String(key+"\x00"+nameA) > xxhash.Sum64String(key+"\x00"+nameB)
 }
 
 // chooseKeeper returns who is to keep a number that nobody keeps; empty: nobody is eligible.
-func (p *Part) chooseKeeper(x *numberState) string {
-	best, most := "", int64(0)
-	for _, t := range x.reporters {
-		if p.eligible(t.name) && (best == "" || preferred(x.key, t.name, t.value, best, most)) {
-			best, most = t.name, t.value
+func (p *Part) chooseKeeper(state *numberState) string {
+	best, highest := "", int64(0)
+	for _, reporter := range state.reporters {
+		if p.eligible(reporter.name) &&
+			(best == "" || preferred(state.key, reporter.name, reporter.value, best, highest)) {
+			best, highest = reporter.name, reporter.value
 		}
 	}
 	return best
@@ -185,69 +195,70 @@
 
 // isContended tells whether enough processes see a number in contention. One process alone may just have a problem of
 // its own with the number, such as an office of its own that answers busy.
-func (p *Part) isContended(x *numberState) bool {
-	need := minReporters
-	if len(x.reporters) < need && !p.cfg.disabled.singleReporter {
+func (p *Part) isContended(state *numberState) bool {
+	required := minReporters
+	if len(state.reporters) < required && !p.cfg.disabled.singleReporter {
 		return false
 	}
 	if p.cfg.disabled.singleReporter {
-		need = 1
+		required = 1
 	}
 	n := 0
-	for _, t := range x.reporters {
-		if m := p.view.Member(t.name); m != nil && !m.Suspect || t.name == p.cfg.Self {
+	for _, reporter := range state.reporters {
+		if member := p.view.Member(reporter.name); member != nil && !member.Suspect || reporter.name == p.cfg.Self {
 			n++
 		}
 	}
-	return n >= need
+	return n >= required
 }
 
 // evaluate checks for every announced number who keeps it, and whether this process is to.
 func (p *Part) evaluate(now int64, out *fleet.Out) {
 	var keys []string
-	for key, x := range p.numbers {
-		if len(x.reporters) > 0 {
+	for key, state := range p.numbers {
+		if len(state.reporters) > 0 {
 			keys = append(keys, key)
 		} else {
-			x.chosenSince = 0
+			state.chosenSince = 0
 		}
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		x := p.numbers[key]
+		state := p.numbers[key]
 		if p.ledgers[key] != nil || p.claims[key].claimedAt != 0 {
 			continue
 		}
-		if p.keptElsewhere(key) || !p.isContended(x) {
-			x.chosenSince = 0
+		if p.keptElsewhere(key) || !p.isContended(state) {
+			state.chosenSince = 0
 			continue
 		}
-		switch p.chooseKeeper(x) {
+		switch p.chooseKeeper(state) {
 		case p.cfg.Self:
-			if x.chosenSince == 0 {
-				x.chosenSince = now
+			if state.chosenSince == 0 {
+				state.chosenSince = now
 			}
-			if now-x.chosenSince >= p.cfg.ClaimDelay {
+			if now-state.chosenSince >= p.cfg.ClaimDelay {
 				p.claimNumber(now, key, out)
 			}
 		case "":
 			p.counts.noRoom++
-			if x.chosenSince = 0; now-p.fullNotedAt >= claimTimeout || p.fullNotedAt == 0 {
+			if state.chosenSince = 0; now-p.fullNotedAt >= claimTimeout || p.fullNotedAt == 0 {
 				p.fullNotedAt = now
-				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "full", Thing: key, Text: (&FullError{key}).Error()})
+				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "full", Thing: key,
+					Text: (&FullError{key}).Error()})
 			}
 		default:
-			x.chosenSince = 0
+			state.chosenSince = 0
 		}
 	}
 }
 
 func (p *Part) claimNumber(now int64, key string, out *fleet.Out) {
-	c := claim{claimedAt: max(1, now)}
-	if k := p.keeperOf(key); k != nil {
-		c.knownFence = uint64(k.value)
+	pending := claim{claimedAt: max(1, now)}
+	if keeper := p.keeperOf(key); keeper != nil {
+		pending.knownFence = uint64(keeper.value)
 	}
-	p.claims[key] = c
+	p.claims[key] = pending
 	p.counts.claims++
 	p.cfg.Lessor.Claim(now, leaseName(key), out)
 }
@@ -255,50 +266,52 @@
 // successor returns the process that should keep a number instead of this one: one whose demand has been enough
 // higher for long enough to be worth the cost of a move, or any eligible process if this one must hand over. Empty:
 // none. The margin and the delay keep a number from moving back and forth between processes with the same demand.
-func (p *Part) successor(now int64, b *numberLedger) string {
-	best, most, own := "", int64(0), int64(0)
-	rate := func(q *peerState) int64 {
+func (p *Part) successor(now int64, ledger *numberLedger) string {
+	best, highest, ownRate := "", int64(0), int64(0)
+	rate := func(peer *peerState) int64 {
 		if p.cfg.disabled.noHysteresis {
-			return q.report.Rate
+			return peer.report.Rate
 		}
-		return int64(q.averageRate)
+		return int64(peer.averageRate)
 	}
-	for _, q := range b.peers {
-		if q.name == p.cfg.Self {
-			own = rate(q)
+	for _, peer := range ledger.peers {
+		if peer.name == p.cfg.Self {
+			ownRate = rate(peer)
 			continue
 		}
-		if now-q.reportedAt <= recentTime && p.eligible(q.name) && (best == "" || preferred(b.key, q.name, rate(q), best, most)) {
-			best, most = q.name, rate(q)
+		if now-peer.reportedAt <= recentTime && p.eligible(peer.name) &&
+			(best == "" || preferred(ledger.key, peer.name, rate(peer), best, highest)) {
+			best, highest = peer.name, rate(peer)
 		}
 	}
 	if p.mustHandOver() {
 		if best == "" {
-			for _, m := range p.members() {
-				if m.Name != p.cfg.Self && p.eligible(m.Name) && (best == "" || preferred(b.key, m.Name, 0, best, 0)) {
-					best = m.Name
+			for _, member := range p.members() {
+				if member.Name != p.cfg.Self && p.eligible(member.Name) &&
+					(best == "" || preferred(ledger.key, member.Name, 0, best, 0)) {
+					best = member.Name
 				}
 			}
 		}
 		return best
 	}
 	// A move costs the lines that stay unused while the permits of the old keeper expire.
-	cost := b.turnover(now) * p.cfg.PermitLifetime / p.cfg.MoveDelay
-	need, stay := own+int64(p.cfg.MoveMargin*float64(own))+cost, p.cfg.MoveDelay
-	if now-b.startedAt < demandWindow/2 { // too early for the average demand of each process
-		need = math.MaxInt64
+	cost := ledger.turnover(now) * p.cfg.PermitLifetime / p.cfg.MoveDelay
+	threshold, delay := ownRate+int64(p.cfg.MoveMargin*float64(ownRate))+cost, p.cfg.MoveDelay
+	if now-ledger.startedAt < demandWindow/2 { // too early for the average demand of each process
+		threshold = math.MaxInt64
 	}
 	if p.cfg.disabled.noHysteresis {
-		need, stay = own, 0
+		threshold, delay = ownRate, 0
 	}
-	if best == "" || most <= need {
-		b.moveWantedSince = 0
+	if best == "" || highest <= threshold {
+		ledger.moveWantedSince = 0
 		return ""
 	}
-	if b.moveWantedSince == 0 {
-		b.moveWantedSince = now
+	if ledger.moveWantedSince == 0 {
+		ledger.moveWantedSince = now
 	}
-	if now-b.moveWantedSince < stay {
+	if now-ledger.moveWantedSince < delay {
 		return ""
 	}
 	return best
@@ -306,41 +319,43 @@
 
 // mustHandOver tells whether this process may no longer keep any number.
 func (p *Part) mustHandOver() bool {
-	m := p.view.Member(p.cfg.Self)
-	return p.draining || m != nil && (m.State == fleet.Draining || m.State == fleet.Leaving) || p.cfg.Barred(p.cfg.Self)
+	member := p.view.Member(p.cfg.Self)
+	return p.draining || member != nil && (member.State == fleet.Draining || member.State == fleet.Leaving) ||
+		p.cfg.Barred(p.cfg.Self)
 }
 
 // entryPart returns this process's part of its entry: the numbers it keeps, and those it sees in contention that
 // nobody keeps.
 func (p *Part) entryPart(now int64) entryPart {
-	var s entryPart
+	var part entryPart
 	for _, key := range sortedKeys(p.ledgers) {
-		b := p.ledgers[key]
-		s.Kept = append(s.Kept, keptNumber{key, b.fence, roundRate(b.turnover(now))})
+		ledger := p.ledgers[key]
+		part.Kept = append(part.Kept, keptNumber{key, ledger.fence, roundRate(ledger.turnover(now))})
 	}
-	for key, v := range p.localDemands {
-		if now-v.updatedAt > localDemandAge {
+	for key, demand := range p.localDemands {
+		if now-demand.updatedAt > localDemandAge {
 			delete(p.localDemands, key)
 		} else if p.clients[key] == nil {
-			s.Contended = append(s.Contended, contendedNumber{key, roundRate(int64(v.rate))})
+			part.Contended = append(part.Contended, contendedNumber{key, roundRate(int64(demand.rate))})
 		}
 	}
-	for key, h := range p.clients {
-		if h.refusedAt != 0 && now-h.refusedAt <= localDemandAge && p.ledgers[key] == nil && !p.keptElsewhere(key) {
-			s.Contended = append(s.Contended, contendedNumber{key, roundRate(int64(h.rate))})
+	for key, client := range p.clients {
+		if client.refusedAt != 0 && now-client.refusedAt <= localDemandAge && p.ledgers[key] == nil &&
+			!p.keptElsewhere(key) {
+			part.Contended = append(part.Contended, contendedNumber{key, roundRate(int64(client.rate))})
 		}
 	}
-	slices.SortFunc(s.Contended, func(a, b contendedNumber) int {
+	slices.SortFunc(part.Contended, func(a, b contendedNumber) int {
 		if c := cmp.Compare(b.Rate, a.Rate); c != 0 {
 			return c
 		}
 		return strings.Compare(a.Key, b.Key)
 	})
-	if len(s.Contended) > maxAnnounced {
-		s.Contended = s.Contended[:maxAnnounced]
+	if len(part.Contended) > maxAnnounced {
+		part.Contended = part.Contended[:maxAnnounced]
 	}
-	slices.SortFunc(s.Contended, func(a, b contendedNumber) int { return strings.Compare(a.Key, b.Key) })
-	return s
+	slices.SortFunc(part.Contended, func(a, b contendedNumber) int { return strings.Compare(a.Key, b.Key) })
+	return part
 }
 
 // roundRate rounds down to a power of two, or one and a half times one, so that an entry does not change with every
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -34,7 +34,7 @@
 	PermitLifetime int64 // lifetime of a permit, from when it was requested; 2 s
 	MaxWait        int64 // longest wait of a set-up for a permit, at most half the aim of its class; 40 ms
 	AnswerTimeout  int64 // a keeper that has not answered within this time is unreachable; 35 ms
-	Poll           int64 // interval at which the Part reads its queue while a number is in contention, if not woken; 5 ms
+	Poll           int64 // longest time between reads of the queue while a number is in contention; 5 ms
 	ClaimDelay     int64 // contention lasts this long before a number is claimed; 500 ms
 	MoveDelay      int64 // another process has the higher demand for this long before a number moves; 5 s
 	CalmTime       int64 // contention is over when no call was refused for this long; 10 s
@@ -45,7 +45,8 @@
 
 // disabledSafeguards switches safeguards off, so that tests can show that each is needed.
 type disabledSafeguards struct {
-	noLeaseLimit, noFencing, forgetPreviousHolders, noHysteresis, singleReporter, noFallbackLimit, noPermitExpiry, allowSuspects, overGrant bool
+	noLeaseLimit, noFencing, forgetPreviousHolders, noHysteresis, singleReporter, noFallbackLimit, noPermitExpiry,
+	allowSuspects, overGrant bool
 }
 
 // withDefaults returns the configuration with its zero fields set to their defaults.
@@ -74,29 +75,31 @@
 	return c
 }
 
-func setDefault[T int | int64 | float64](v *T, d T) {
-	if *v == 0 {
-		*v = d
+func setDefault[T int | int64 | float64](value *T, defaultValue T) {
+	if *value == 0 {
+		*value = defaultValue
 	}
 }
 
 // Check returns a *ConfigError if the configuration is invalid.
 func (c *Config) Check() error {
-	f := c.withDefaults()
+	filled := c.withDefaults()
 	switch {
-	case f.Self == "":
+	case filled.Self == "":
 		return &ConfigError{"no name configured for this process"}
-	case f.Most < 1:
+	case filled.Most < 1:
 		return &ConfigError{fmt.Sprintf("limit of %d numbers for one keeper is below 1", c.Most)}
-	case f.Share < 0 || f.Share > 1:
-		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", f.Share)}
-	case f.AdvanceShare < 0 || f.AdvanceShare > 0.9:
-		return &ConfigError{fmt.Sprintf("fraction %g of permits granted in advance is not within 0 to 0.9", f.AdvanceShare)}
-	case f.Drift < 0 || f.Drift > 0.1:
-		return &ConfigError{fmt.Sprintf("clock drift of %g is not within 0 to 0.1", f.Drift)}
-	case f.PermitLifetime < 10*f.MaxWait || f.SilenceTimeout < 2*f.PermitLifetime:
-		return &ConfigError{fmt.Sprintf("permit lifetime of %d us is below 10 waits of %d us or above half the silence timeout of %d us",
-			f.PermitLifetime, f.MaxWait, f.SilenceTimeout)}
+	case filled.Share < 0 || filled.Share > 1:
+		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", filled.Share)}
+	case filled.AdvanceShare < 0 || filled.AdvanceShare > 0.9:
+		return &ConfigError{fmt.Sprintf("fraction %g of permits granted in advance is not within 0 to 0.9",
+			filled.AdvanceShare)}
+	case filled.Drift < 0 || filled.Drift > 0.1:
+		return &ConfigError{fmt.Sprintf("clock drift of %g is not within 0 to 0.1", filled.Drift)}
+	case filled.PermitLifetime < 10*filled.MaxWait || filled.SilenceTimeout < 2*filled.PermitLifetime:
+		return &ConfigError{fmt.Sprintf(
+			"permit lifetime of %d us is below 10 waits of %d us or above half the silence timeout of %d us",
+			filled.PermitLifetime, filled.MaxWait, filled.SilenceTimeout)}
 	}
 	return nil
 }
@@ -143,7 +146,7 @@
 
 // Advice tells an operator what to do.
 func (e *LostError) Advice() string {
-	return "Check if this process was stopped or cut off from the roster's majority; calls go by share until another keeps it."
+	return "Check if this process was stopped or cut off from the roster majority; calls go by share until another keeps it."
 }
 
 // FullError reports a number in contention that no process can keep, as all keep their maximum.
--- a/internal/keeper/corpus_test.go
+++ b/internal/keeper/corpus_test.go
@@ -26,20 +26,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		it := operation{Op: uint8(n), Key: "+351210000000", Fence: 7, ReportNumber: 9, Incarnation: 11, Held: 12, Unused: 2, Calls: 8, Wanted: 40, Rate: 5000, Busy: 3, Began: 70,
-			Ended: 60, Refused: 5, Permits: 14, Lifetime: 2_000_000, RetryAfter: 300_000, CallerRetryAfter: 30_000_000, TurnoverShare: 2500, Keeper: "sidecar-3"}
+		full := operation{Op: uint8(n), Key: "+351210000000", Fence: 7, ReportNumber: 9, Incarnation: 11, Held: 12,
+			Unused: 2, Calls: 8, Wanted: 40, Rate: 5000, Busy: 3, Began: 70, Ended: 60, Refused: 5, Permits: 14,
+			Lifetime: 2_000_000, RetryAfter: 300_000, CallerRetryAfter: 30_000_000, TurnoverShare: 2500,
+			Keeper: "sidecar-3"}
 		var out fleet.Out
-		appendMessages("sidecar-1", "sidecar-2", []operation{it, {Op: uint8(n), Key: "1"}}, &out)
-		var l messageBody
-		if err := decoding.Unmarshal(out.Send[0].Body, &l); err != nil {
+		appendMessages("sidecar-1", "sidecar-2", []operation{full, {Op: uint8(n), Key: "1"}}, &out)
+		var body messageBody
+		if err := decoding.Unmarshal(out.Send[0].Body, &body); err != nil {
 			t.Fatal(err)
 		}
 		cases = append(cases, corpus.Case{Name: "letter-" + strings.ToLower(op[2:]), Value: struct {
-			Letter messageBody
-			Item   operation
-		}{l, it}, Bytes: out.Send[0].Body, Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64}, Read: func(b []byte) (any, error) {
-			return decodeOperations(fleet.Message{Kind: fleet.Keeper, From: "sidecar-1", To: "sidecar-2", Body: b})
-		}})
+			Body      messageBody
+			Operation operation
+		}{body, full}, Bytes: out.Send[0].Body, Max: fleet.MaxBody,
+			Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64},
+			Read: func(b []byte) (any, error) {
+				return decodeOperations(fleet.Message{Kind: fleet.Keeper, From: "sidecar-1", To: "sidecar-2", Body: b})
+			}})
 	}
 	r := record{Lines: 40, Known: 38, Turnover: 2500, Outstanding: 30}
 	r.setHolders([]holder{{nameHash("sidecar-1"), 10}, {nameHash("sidecar-2"), maxHolderLines}})
@@ -48,26 +52,30 @@
 	all := record{Lines: 1, Known: 1, Turnover: 1}
 	all.setHolders(make([]holder, maxHolders+1))
 	for name, r := range map[string]record{"record": r, "record-largest": most, "record-all": all} {
-		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord, Read: func(b []byte) (any, error) {
-			if len(b) > lease.MaxRecord {
-				return nil, &RecordError{"1", "longer than the record of a lease may be"}
-			}
-			r, err := decodeRecord("1", b)
-			type whom struct {
-				Name uint32
-				Most int64
-			}
-			var whose []whom
-			for _, h := range r.holders() {
-				whose = append(whose, whom{h.name, h.maxLines})
-			}
-			return struct {
-				Record  record
-				Holders []whom
-			}{r, whose}, err
-		}})
+		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord,
+			Read: func(b []byte) (any, error) {
+				if len(b) > lease.MaxRecord {
+					return nil, &RecordError{"1", "longer than the record of a lease may be"}
+				}
+				r, err := decodeRecord("1", b)
+				type namedHolder struct {
+					Name uint32
+					Most int64
+				}
+				var holders []namedHolder
+				for _, h := range r.holders() {
+					holders = append(holders, namedHolder{h.name, h.maxLines})
+				}
+				return struct {
+					Record  record
+					Holders []namedHolder
+				}{r, holders}, err
+			}})
 	}
-	s := entryPart{Kept: []keptNumber{{"+351210000000", 7, 2500}, {"1", 8, 0}}, Contended: []contendedNumber{{"2", 90_000}}}
-	cases = append(cases, corpus.Case{Name: "said", Value: s, Bytes: s.encode(), Max: fleet.MaxBody, Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64}, Read: func(b []byte) (any, error) { return decodeEntryPart("sidecar-1", b) }})
+	part := entryPart{Kept: []keptNumber{{"+351210000000", 7, 2500}, {"1", 8, 0}},
+		Contended: []contendedNumber{{"2", 90_000}}}
+	cases = append(cases, corpus.Case{Name: "said", Value: part, Bytes: part.encode(), Max: fleet.MaxBody,
+		Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64},
+		Read:   func(b []byte) (any, error) { return decodeEntryPart("sidecar-1", b) }})
 	corpus.Check(t, cases, numbers)
 }
--- a/internal/keeper/front.go
+++ b/internal/keeper/front.go
@@ -20,16 +20,16 @@
 	timerToken = 1 << 63
 )
 
-// trackedCall is one trackedCall to a number in contention that the Front follows.
+// trackedCall is one call to a number in contention that the Front follows.
 type trackedCall struct {
 	entry       *tableEntry
 	setUp       decide.Event // the set-up while it waits
 	fallback    bool         // admitted without a permit
 	waiting     bool
-	arrivedAt   int64 // when it arrived
+	arrivedAt   int64
 	waitUntil   int64 // latest end of the wait
-	attemptOpen bool  // an attempt is open
-	finished    bool  // it has its final answer, or its caller has gone
+	attemptOpen bool
+	finished    bool // it has its final answer, or its caller has gone
 	established bool
 }
 
@@ -69,8 +69,9 @@
 // NewFront returns a Front that passes events to inner, which is made with the same settings. It shares the table and
 // the queue with the Part of the process. The session must report the ends of calls to it (session.EndHearer): a
 // decider in front of it passes on HearsEnds and events.
-func NewFront(cfg Config, set decide.Settings, inner Decider, table *Table, queue *Queue) *Front {
-	return &Front{cfg: cfg.withDefaults(), settings: set, inner: inner, table: table, queue: queue, sketch: &sketch{}, calls: map[decide.CallID]*trackedCall{}}
+func NewFront(cfg Config, settings decide.Settings, inner Decider, table *Table, queue *Queue) *Front {
+	return &Front{cfg: cfg.withDefaults(), settings: settings, inner: inner, table: table, queue: queue,
+		sketch: &sketch{}, calls: map[decide.CallID]*trackedCall{}}
 }
 
 // Avoids tells whether the decide module currently avoids a listed server.
@@ -81,106 +82,106 @@
 
 // Reload passes on a part of a new configuration.
 func (f *Front) Reload(now int64, part any, out []decide.Action) []decide.Action {
-	if r, ok := f.inner.(interface {
+	if inner, ok := f.inner.(interface {
 		Reload(int64, any, []decide.Action) []decide.Action
 	}); ok {
-		return r.Reload(now, part, out)
+		return inner.Reload(now, part, out)
 	}
 	return out
 }
 
 // Figures reports the counters of the Front and of the decider behind it.
 func (f *Front) Figures(put func(name string, n uint64, gauge bool)) {
-	c := &f.Counts
-	put("keeper_hot", c.Contended, false)
-	put("keeper_permitted", c.Permitted, false)
-	put("keeper_held", c.Held, false)
-	put("keeper_refused", c.Refused, false)
-	put("keeper_plain", c.Fallback, false)
-	put("keeper_unshared", c.FallbackRefused, false)
-	put("keeper_busy", c.Busy, false)
-	put("keeper_busy_cold", c.BusyUncontended, false)
-	put("keeper_untracked", c.Untracked, false)
+	counts := &f.Counts
+	put("keeper_hot", counts.Contended, false)
+	put("keeper_permitted", counts.Permitted, false)
+	put("keeper_held", counts.Held, false)
+	put("keeper_refused", counts.Refused, false)
+	put("keeper_plain", counts.Fallback, false)
+	put("keeper_unshared", counts.FallbackRefused, false)
+	put("keeper_busy", counts.Busy, false)
+	put("keeper_busy_cold", counts.BusyUncontended, false)
+	put("keeper_untracked", counts.Untracked, false)
 	put("keeper_queue_dropped", f.queue.Dropped(), false)
 	put("keeper_followed", uint64(len(f.calls)), true)
-	if g, ok := f.inner.(interface {
+	if inner, ok := f.inner.(interface {
 		Figures(func(string, uint64, bool))
 	}); ok {
-		g.Figures(put)
+		inner.Figures(put)
 	}
 }
 
 // Step handles one event and appends the resulting actions.
-func (f *Front) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
+func (f *Front) Step(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	if len(f.waitingEntries) > 0 && now > f.checkedAt {
 		out = f.processWaiting(now, out)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case decide.Order:
-		if e.Key == "" || len(e.Key) > maxKeyLength {
+		if event.Key == "" || len(event.Key) > maxKeyLength {
 			break
 		}
-		hash := hashOf(e.Key)
+		hash := hashOf(event.Key)
 		f.sketch.add(hash, now)
-		if s := f.table.find(hash, e.Key); s != nil && f.calls[e.Call] == nil {
-			return f.handleSetUp(now, s, e, out)
+		if entry := f.table.find(hash, event.Key); entry != nil && f.calls[event.Call] == nil {
+			return f.handleSetUp(now, entry, event, out)
 		}
 	case decide.Fired:
-		if e.Token&timerToken != 0 {
+		if event.Token&timerToken != 0 {
 			f.timerArmed = false
 			return f.armTimer(out)
 		}
 	case decide.Over:
-		if c := f.calls[e.Call]; c != nil {
-			f.release(e.Call, c)
+		if call := f.calls[event.Call]; call != nil {
+			f.release(event.Call, call)
 		}
 		return out
 	case decide.Ended:
-		return f.handleEnd(now, e, out)
+		return f.handleEnd(now, event, out)
 	case decide.Begun:
-		if c := f.calls[e.Call]; c != nil && !c.established {
-			c.attemptOpen, c.established = false, true
-			c.entry.calls.Add(1)
-			if !c.fallback {
-				c.entry.began.Add(1)
+		if call := f.calls[event.Call]; call != nil && !call.established {
+			call.attemptOpen, call.established = false, true
+			call.entry.calls.Add(1)
+			if !call.fallback {
+				call.entry.began.Add(1)
 			}
-			f.reportChange(c.entry)
+			f.reportChange(call.entry)
 		}
 	case decide.Gone:
-		if c := f.calls[e.Call]; c != nil {
-			if c.waiting { // the inner decider does not know the call
-				c.waiting = false
-				c.entry.waitingCount.Add(-1)
-				delete(f.calls, e.Call)
+		if call := f.calls[event.Call]; call != nil {
+			if call.waiting { // the inner decider does not know the call
+				call.waiting = false
+				call.entry.waitingCount.Add(-1)
+				delete(f.calls, event.Call)
 				return out
 			}
-			out = f.forward(now, e, out)
-			f.finish(e.Call, c)
+			out = f.forward(now, event, out)
+			f.finish(event.Call, call)
 			return out
 		}
 	}
 	if len(f.calls) == 0 {
-		return f.inner.Step(now, e, out)
+		return f.inner.Step(now, event, out)
 	}
-	return f.forward(now, e, out)
+	return f.forward(now, event, out)
 }
 
 // forward passes an event on, and tracks what becomes of the calls that are followed.
-func (f *Front) forward(now int64, e decide.Event, out []decide.Action) []decide.Action {
+func (f *Front) forward(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	n := len(out)
-	out = f.inner.Step(now, e, out)
+	out = f.inner.Step(now, event, out)
 	if len(f.calls) == 0 {
 		return out
 	}
-	for _, a := range out[n:] {
-		switch a.Kind {
+	for _, action := range out[n:] {
+		switch action.Kind {
 		case decide.Send:
-			if c := f.calls[a.Call]; c != nil {
-				c.attemptOpen = true
+			if call := f.calls[action.Call]; call != nil {
+				call.attemptOpen = true
 			}
 		case decide.Refuse, decide.Fail:
-			if c := f.calls[a.Call]; c != nil {
-				f.finish(a.Call, c)
+			if call := f.calls[action.Call]; call != nil {
+				f.finish(action.Call, call)
 			}
 		}
 	}
@@ -188,145 +189,146 @@
 }
 
 // handleSetUp takes a set-up to a number in contention.
-func (f *Front) handleSetUp(now int64, s *tableEntry, e decide.Event, out []decide.Action) []decide.Action {
+func (f *Front) handleSetUp(now int64, entry *tableEntry, event decide.Event, out []decide.Action) []decide.Action {
 	f.Counts.Contended++
-	s.requested.Add(1)
+	entry.requested.Add(1)
 	if len(f.calls) >= maxTrackedCalls {
 		f.Counts.Untracked++
-		return f.forward(now, e, out)
+		return f.forward(now, event, out)
 	}
-	hold := f.cfg.MaxWait
-	if e.Class >= 0 && e.Class < len(f.settings.Classes) {
-		hold = min(hold, f.settings.Classes[e.Class].Aim/2)
+	wait := f.cfg.MaxWait
+	if event.Class >= 0 && event.Class < len(f.settings.Classes) {
+		wait = min(wait, f.settings.Classes[event.Class].Aim/2)
 	}
-	if e.Deadline > 0 {
-		hold = min(hold, (e.Deadline-now)/2)
+	if event.Deadline > 0 {
+		wait = min(wait, (event.Deadline-now)/2)
 	}
 	switch {
-	case len(s.waiting) == 0 && s.takePermit(now, &f.cfg.disabled):
-		return f.admit(now, e, f.track(e.Call, s, now), out)
-	case now < s.noPermitUntil.Load():
-		return f.refuse(s, e.Call, out)
-	case s.keeperUnreachable.Load():
-		f.reportChange(s) // permits are requested again, but nothing waits for them
-		return f.admitFallback(now, e, s, out)
-	case hold < waitingInterval, len(s.waiting) >= maxWaitingSetUps:
-		return f.refuse(s, e.Call, out)
+	case len(entry.waiting) == 0 && entry.takePermit(now, &f.cfg.disabled):
+		return f.admit(now, event, f.track(event.Call, entry, now), out)
+	case now < entry.noPermitUntil.Load():
+		return f.refuse(entry, event.Call, out)
+	case entry.keeperUnreachable.Load():
+		f.reportChange(entry) // permits are requested again, but nothing waits for them
+		return f.admitFallback(now, event, entry, out)
+	case wait < waitingInterval, len(entry.waiting) >= maxWaitingSetUps:
+		return f.refuse(entry, event.Call, out)
 	}
-	c := f.track(e.Call, s, now)
-	c.setUp, c.waiting, c.waitUntil = e, true, now+hold
-	s.waitingCount.Add(1)
-	if !f.reportChange(s) {
-		c.waiting = false
-		s.waitingCount.Add(-1)
-		delete(f.calls, e.Call)
-		return f.admitFallback(now, e, s, out)
+	call := f.track(event.Call, entry, now)
+	call.setUp, call.waiting, call.waitUntil = event, true, now+wait
+	entry.waitingCount.Add(1)
+	if !f.reportChange(entry) {
+		call.waiting = false
+		entry.waitingCount.Add(-1)
+		delete(f.calls, event.Call)
+		return f.admitFallback(now, event, entry, out)
 	}
 	f.Counts.Held++
-	if len(s.waiting) == 0 {
-		f.waitingEntries = append(f.waitingEntries, s)
+	if len(entry.waiting) == 0 {
+		f.waitingEntries = append(f.waitingEntries, entry)
 	}
-	s.waiting = append(s.waiting, c)
+	entry.waiting = append(entry.waiting, call)
 	return f.armTimer(out)
 }
 
 // track follows a call until it is over.
-func (f *Front) track(id decide.CallID, s *tableEntry, now int64) *trackedCall {
-	c := &trackedCall{}
+func (f *Front) track(id decide.CallID, entry *tableEntry, now int64) *trackedCall {
+	call := &trackedCall{}
 	if n := len(f.freeCalls); n > 0 {
-		c, f.freeCalls = f.freeCalls[n-1], f.freeCalls[:n-1]
+		call, f.freeCalls = f.freeCalls[n-1], f.freeCalls[:n-1]
 	}
-	*c = trackedCall{entry: s, arrivedAt: now}
-	f.calls[id] = c
-	return c
+	*call = trackedCall{entry: entry, arrivedAt: now}
+	f.calls[id] = call
+	return call
 }
 
 // admit lets a call through; its line counts as open already.
-func (f *Front) admit(now int64, e decide.Event, c *trackedCall, out []decide.Action) []decide.Action {
-	if !c.fallback {
+func (f *Front) admit(now int64, event decide.Event, call *trackedCall, out []decide.Action) []decide.Action {
+	if !call.fallback {
 		f.Counts.Permitted++
 	}
-	f.reportChange(c.entry)
-	return f.forward(now, e, out)
+	f.reportChange(call.entry)
+	return f.forward(now, event, out)
 }
 
 // refuse refuses a call for some time.
-func (f *Front) refuse(s *tableEntry, id decide.CallID, out []decide.Action) []decide.Action {
+func (f *Front) refuse(entry *tableEntry, id decide.CallID, out []decide.Action) []decide.Action {
 	f.Counts.Refused++
-	s.refused.Add(1)
-	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.retryAfter(s)})
+	entry.refused.Add(1)
+	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.retryAfter(entry)})
 }
 
-// retryAfter returns the time for which callers are told to retryAfter away.
-func (f *Front) retryAfter(s *tableEntry) int64 {
+// retryAfter returns the time for which callers are told to stay away.
+func (f *Front) retryAfter(entry *tableEntry) int64 {
 	if !f.settings.RetryAdvice {
 		return 0
 	}
-	return min(s.callerRetryAfter.Load(), f.settings.MaxRetryAfter)
+	return min(entry.callerRetryAfter.Load(), f.settings.MaxRetryAfter)
 }
 
 // admitFallback admits a call without a permit while the keeper is unreachable, within this process's fraction of the
-// turnover admitFallback it was last told. It keeps the calls of all processes from reaching the offices at once when a
+// turnover share it was last told. It keeps the calls of all processes from reaching the offices at once when a
 // keeper dies.
-func (f *Front) admitFallback(now int64, e decide.Event, s *tableEntry, out []decide.Action) []decide.Action {
-	if s.refilledAt == 0 {
-		s.tokens, s.refilledAt = 1, now
+func (f *Front) admitFallback(now int64, event decide.Event, entry *tableEntry, out []decide.Action) []decide.Action {
+	if entry.refilledAt == 0 {
+		entry.tokens, entry.refilledAt = 1, now
 	}
-	s.tokens = min(1, s.tokens+f.cfg.Share*float64(s.turnoverShare.Load())*1e-9*float64(now-s.refilledAt))
-	s.refilledAt = now
-	if s.tokens < 1 && !f.cfg.disabled.noFallbackLimit {
+	entry.tokens = min(1, entry.tokens+
+		f.cfg.Share*float64(entry.turnoverShare.Load())*1e-9*float64(now-entry.refilledAt))
+	entry.refilledAt = now
+	if entry.tokens < 1 && !f.cfg.disabled.noFallbackLimit {
 		f.Counts.FallbackRefused++
-		return f.refuse(s, e.Call, out)
+		return f.refuse(entry, event.Call, out)
 	}
-	s.tokens--
+	entry.tokens--
 	f.Counts.Fallback++
-	c := f.track(e.Call, s, now)
-	c.fallback = true
-	s.fallback.Add(1)
-	s.open.Add(1)
-	return f.admit(now, e, c, out)
+	call := f.track(event.Call, entry, now)
+	call.fallback = true
+	entry.fallback.Add(1)
+	entry.open.Add(1)
+	return f.admit(now, event, call, out)
 }
 
 // processWaiting checks the set-ups that wait: permits go to the first in the queue.
 func (f *Front) processWaiting(now int64, out []decide.Action) []decide.Action {
 	f.checkedAt = now
-	left := f.waitingEntries[:0]
-	for _, s := range f.waitingEntries {
-		rest := s.waiting[:0]
-		for i, c := range s.waiting {
-			if !c.waiting { // its caller has gone
+	remaining := f.waitingEntries[:0]
+	for _, entry := range f.waitingEntries {
+		waiting := entry.waiting[:0]
+		for i, call := range entry.waiting {
+			if !call.waiting { // its caller has gone
 				continue
 			}
-			id := c.setUp.Call
+			id := call.setUp.Call
 			switch {
-			case s.takePermit(now, &f.cfg.disabled):
-				f.stopWaiting(c)
-				out = f.admit(now, c.setUp, c, out)
-			case now < s.noPermitUntil.Load():
-				f.stopWaiting(c)
+			case entry.takePermit(now, &f.cfg.disabled):
+				f.stopWaiting(call)
+				out = f.admit(now, call.setUp, call, out)
+			case now < entry.noPermitUntil.Load():
+				f.stopWaiting(call)
 				delete(f.calls, id)
-				out = f.refuse(s, id, out)
-			case now >= c.waitUntil || s.keeperUnreachable.Load():
-				f.stopWaiting(c)
+				out = f.refuse(entry, id, out)
+			case now >= call.waitUntil || entry.keeperUnreachable.Load():
+				f.stopWaiting(call)
 				delete(f.calls, id)
-				out = f.admitFallback(now, c.setUp, s, out)
+				out = f.admitFallback(now, call.setUp, entry, out)
 			default:
-				rest = append(rest, s.waiting[i])
+				waiting = append(waiting, entry.waiting[i])
 			}
 		}
-		clear(s.waiting[len(rest):])
-		s.waiting = rest
-		if len(rest) > 0 {
-			left = append(left, s)
+		clear(entry.waiting[len(waiting):])
+		entry.waiting = waiting
+		if len(waiting) > 0 {
+			remaining = append(remaining, entry)
 		}
 	}
-	f.waitingEntries = left
+	f.waitingEntries = remaining
 	return out
 }
 
-func (f *Front) stopWaiting(c *trackedCall) {
-	c.waiting = false
-	c.entry.waitingCount.Add(-1)
+func (f *Front) stopWaiting(call *trackedCall) {
+	call.waiting = false
+	call.entry.waitingCount.Add(-1)
 }
 
 // armTimer requests the next check while set-ups wait.
@@ -340,35 +342,35 @@
 
 // handleEnd takes the end of an attempt. A number in contention that is busy is not attempted again: this is the
 // call's final answer, as the router gives it when the budget for repeats is used up.
-func (f *Front) handleEnd(now int64, e decide.Event, out []decide.Action) []decide.Action {
-	c := f.calls[e.Call]
-	if c == nil || c.waiting || c.established {
-		if e.Busy && c == nil && e.Key != "" && len(e.Key) <= maxKeyLength {
+func (f *Front) handleEnd(now int64, event decide.Event, out []decide.Action) []decide.Action {
+	call := f.calls[event.Call]
+	if call == nil || call.waiting || call.established {
+		if event.Busy && call == nil && event.Key != "" && len(event.Key) <= maxKeyLength {
 			f.Counts.BusyUncontended++
-			f.countBusy(now, e.Key)
+			f.countBusy(now, event.Key)
 		}
-		return f.forward(now, e, out)
+		return f.forward(now, event, out)
 	}
-	c.attemptOpen = false
-	if e.Busy {
-		if !c.fallback {
+	call.attemptOpen = false
+	if event.Busy {
+		if !call.fallback {
 			f.Counts.Busy++
-			c.entry.busy.Add(1)
+			call.entry.busy.Add(1)
 		}
-		if !e.Final && !c.finished {
-			e.Final = true
-			out = f.forward(now, e, out)
-			out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call, Wait: f.retryAfter(c.entry)})
-			f.release(e.Call, c)
+		if !event.Final && !call.finished {
+			event.Final = true
+			out = f.forward(now, event, out)
+			out = append(out, decide.Action{Kind: decide.Fail, Call: event.Call, Wait: f.retryAfter(call.entry)})
+			f.release(event.Call, call)
 			return out
 		}
 	}
-	final := e.Final
-	out = f.forward(now, e, out)
+	final := event.Final
+	out = f.forward(now, event, out)
 	if final {
-		f.finish(e.Call, c)
-	} else if c.finished && !c.attemptOpen {
-		f.release(e.Call, c)
+		f.finish(event.Call, call)
+	} else if call.finished && !call.attemptOpen {
+		f.release(event.Call, call)
 	}
 	return out
 }
@@ -376,48 +378,48 @@
 // countBusy counts a busy end of a number that is not in the table.
 func (f *Front) countBusy(now int64, key string) {
 	hash := hashOf(key)
-	if busy, orders := f.sketch.countBusy(hash, now); busy >= minBusyEnds && f.table.find(hash, key) == nil {
-		f.queue.push(report{kind: reportContended, key: key, recentSetUps: max(orders, busy)})
+	if busy, setUps := f.sketch.countBusy(hash, now); busy >= minBusyEnds && f.table.find(hash, key) == nil {
+		f.queue.push(report{kind: reportContended, key: key, recentSetUps: max(setUps, busy)})
 	}
 }
 
 // finish marks that a call has its final answer, or that its caller has gone. If no attempt is open, its line is
 // free.
-func (f *Front) finish(id decide.CallID, c *trackedCall) {
-	c.finished = true
-	if !c.attemptOpen && !c.established {
-		f.release(id, c)
+func (f *Front) finish(id decide.CallID, call *trackedCall) {
+	call.finished = true
+	if !call.attemptOpen && !call.established {
+		f.release(id, call)
 	}
 }
 
 // release frees a call's line.
-func (f *Front) release(id decide.CallID, c *trackedCall) {
-	if f.calls[id] != c {
+func (f *Front) release(id decide.CallID, call *trackedCall) {
+	if f.calls[id] != call {
 		return
 	}
 	delete(f.calls, id)
-	s := c.entry
-	if c.established {
-		s.calls.Add(-1)
+	entry := call.entry
+	if call.established {
+		entry.calls.Add(-1)
 	}
-	if c.fallback {
-		s.fallback.Add(-1)
+	if call.fallback {
+		entry.fallback.Add(-1)
 	}
-	s.ended.Add(1)
-	s.open.Add(-1)
-	f.reportChange(s)
-	f.freeCalls = append(f.freeCalls, c)
+	entry.ended.Add(1)
+	entry.open.Add(-1)
+	f.reportChange(entry)
+	f.freeCalls = append(f.freeCalls, call)
 }
 
-// reportChange tells the Part that the values of a number have reportChange, once until the Part has read them; false: the
+// reportChange tells the Part that the values of a number have changed, once until the Part has read them; false: the
 // queue is full.
-func (f *Front) reportChange(s *tableEntry) bool {
-	if s.reportQueued.Swap(true) {
+func (f *Front) reportChange(entry *tableEntry) bool {
+	if entry.reportQueued.Swap(true) {
 		return true
 	}
-	if f.queue.push(report{kind: reportChanged, entry: s}) {
+	if f.queue.push(report{kind: reportChanged, entry: entry}) {
 		return true
 	}
-	s.reportQueued.Store(false)
+	entry.reportQueued.Store(false)
 	return false
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -94,9 +94,11 @@
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Part{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{}, numbers: map[string]*numberState{},
-		localDemands: map[string]*localDemand{}, clients: map[string]*keeperClient{}, retired: map[string]*tableEntry{}, ledgers: map[string]*numberLedger{},
-		claims: map[string]claim{}, outgoing: map[string][]operation{}}, nil
+	return &Part{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{},
+		numbers: map[string]*numberState{}, localDemands: map[string]*localDemand{},
+		clients: map[string]*keeperClient{}, retired: map[string]*tableEntry{},
+		ledgers: map[string]*numberLedger{}, claims: map[string]claim{},
+		outgoing: map[string][]operation{}}, nil
 }
 
 // Kind returns fleet.Keeper.
@@ -111,36 +113,37 @@
 func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {}
 
 // Message takes a message of another process. What cannot be decoded is counted and ignored.
-func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
+func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
 	p.now = now
 	p.counts.received++
-	items, err := decodeOperations(m)
+	ops, err := decodeOperations(message)
 	if err != nil {
 		p.counts.unread++
 	}
-	for _, it := range items {
-		p.handleOperation(now, m.From, it, out)
+	for _, op := range ops {
+		p.handleOperation(now, message.From, op, out)
 	}
 	p.flush(now, out)
 }
 
 // View takes a new view of the processes.
-func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
-	was := p.view
-	p.now, p.view = now, v
-	for i := range v.Members {
-		m := &v.Members[i]
+func (p *Part) View(now int64, view *fleet.View, out *fleet.Out) {
+	previous := p.view
+	p.now, p.view = now, view
+	for i := range view.Members {
+		member := &view.Members[i]
 		// Most entries are unchanged since the last view, and at the same index.
-		if was != nil && i < len(was.Members) {
-			if o := &was.Members[i]; o.Name == m.Name && o.Version == m.Version && o.Incarnation == m.Incarnation {
+		if previous != nil && i < len(previous.Members) {
+			if old := &previous.Members[i]; old.Name == member.Name && old.Version == member.Version &&
+				old.Incarnation == member.Incarnation {
 				continue
 			}
 		}
-		p.readEntry(m.Name, m.Parts[fleet.Keeper])
+		p.readEntry(member.Name, member.Parts[fleet.Keeper])
 	}
-	if was != nil && len(p.entries) > 0 {
+	if previous != nil && len(p.entries) > 0 {
 		for name := range p.entries { // the order does not matter: each entry is removed on its own
-			if v.Member(name) == nil {
+			if view.Member(name) == nil {
 				p.readEntry(name, nil)
 				delete(p.entries, name)
 			}
@@ -154,12 +157,12 @@
 func (p *Part) adoptKeepers(now int64, out *fleet.Out) {
 	slices.Sort(p.announcedKeepers)
 	for _, key := range slices.Compact(p.announcedKeepers) {
-		if k := p.keeperOf(key); k != nil {
-			if h := p.client(now, key); h != nil {
-				if h.entry.turnoverShare.Load() == 0 { // until the keeper has sent this process its share
-					h.entry.turnoverShare.Store(k.turnover / int64(max(1, len(p.view.Members))))
+		if keeper := p.keeperOf(key); keeper != nil {
+			if client := p.client(now, key); client != nil {
+				if client.entry.turnoverShare.Load() == 0 { // until the keeper has sent this process its share
+					client.entry.turnoverShare.Store(keeper.turnover / int64(max(1, len(p.view.Members))))
 				}
-				p.raiseFence(now, h, k.name, uint64(k.value), out)
+				p.raiseFence(now, client, keeper.name, uint64(keeper.value), out)
 			}
 		}
 	}
@@ -172,9 +175,9 @@
 	p.readQueue(now, out)
 	for len(p.dueClients) > 0 && p.dueClients[0].at <= now {
 		d := heap.Pop(&p.dueClients).(dueTime)
-		if h := p.clients[d.key]; h != nil && h.checkAt == d.at {
-			h.checkAt = math.MaxInt64
-			p.tickClient(now, h, out)
+		if client := p.clients[d.key]; client != nil && client.checkAt == d.at {
+			client.checkAt = math.MaxInt64
+			p.tickClient(now, client, out)
 		}
 	}
 	if now-p.ledgersCheckedAt >= ledgerInterval {
@@ -197,9 +200,10 @@
 		return
 	}
 	p.sweptAt = now
-	for _, h := range p.clients { // the order does not matter: each is checked on its own
-		if now-h.keeperHeardAt > clientTimeout && p.keeperOf(h.entry.key) == nil && p.ledgers[h.entry.key] == nil {
-			p.dropClient(h)
+	for _, client := range p.clients { // the order does not matter: each is checked on its own
+		if now-client.keeperHeardAt > clientTimeout && p.keeperOf(client.entry.key) == nil &&
+			p.ledgers[client.entry.key] == nil {
+			p.dropClient(client)
 		}
 	}
 }
@@ -207,16 +211,16 @@
 func (p *Part) readQueue(now int64, out *fleet.Out) {
 	for range cap(p.queue.reports) {
 		select {
-		case r := <-p.queue.reports:
-			switch r.kind {
+		case report := <-p.queue.reports:
+			switch report.kind {
 			case reportChanged:
-				if h := p.clients[r.entry.key]; h != nil && h.entry == r.entry {
-					p.handleChange(now, h, out)
+				if client := p.clients[report.entry.key]; client != nil && client.entry == report.entry {
+					p.handleChange(now, client, out)
 				} else {
-					r.entry.reportQueued.Store(false)
+					report.entry.reportQueued.Store(false)
 				}
 			case reportContended:
-				p.recordContention(now, r)
+				p.recordContention(now, report)
 			}
 		default:
 			return
@@ -225,23 +229,24 @@
 }
 
 // recordContention records that a number ends busy here; the least requested one is replaced if there is no room.
-func (p *Part) recordContention(now int64, r report) {
-	v := p.localDemands[r.key]
-	if v == nil {
+func (p *Part) recordContention(now int64, report report) {
+	demand := p.localDemands[report.key]
+	if demand == nil {
 		if len(p.localDemands) >= maxLocalDemands {
 			least := ""
-			for key, w := range p.localDemands {
-				if least == "" || w.rate < p.localDemands[least].rate || w.rate == p.localDemands[least].rate && key < least {
+			for key, other := range p.localDemands {
+				if least == "" || other.rate < p.localDemands[least].rate ||
+					other.rate == p.localDemands[least].rate && key < least {
 					least = key
 				}
 			}
 			delete(p.localDemands, least)
 		}
-		v = &localDemand{}
-		p.localDemands[r.key] = v
+		demand = &localDemand{}
+		p.localDemands[report.key] = demand
 	}
 	// A count that is halved every epoch covers about one and a half epochs.
-	v.rate, v.updatedAt = float64(r.recentSetUps)*1e9/(1.5*epochLength), now
+	demand.rate, demand.updatedAt = float64(report.recentSetUps)*1e9/(1.5*epochLength), now
 }
 
 // Next returns when Tick is due.
@@ -259,10 +264,10 @@
 	return max(p.now, next)
 }
 
-func (p *Part) wakeClient(h *keeperClient, at int64) {
-	if at < h.checkAt {
-		h.checkAt = at
-		heap.Push(&p.dueClients, dueTime{at, h.entry.key})
+func (p *Part) wakeClient(client *keeperClient, at int64) {
+	if at < client.checkAt {
+		client.checkAt = at
+		heap.Push(&p.dueClients, dueTime{at, client.entry.key})
 	}
 }
 
@@ -271,10 +276,10 @@
 	if now-p.publishedAt < publishInterval && p.publishedAt != 0 {
 		return
 	}
-	if b := p.entryPart(now).encode(); !bytes.Equal(b, p.published) {
-		p.published, p.publishedAt = b, now
-		out.Tell(fleet.Keeper, b)
-		p.readEntry(p.cfg.Self, b)
+	if encoded := p.entryPart(now).encode(); !bytes.Equal(encoded, p.published) {
+		p.published, p.publishedAt = encoded, now
+		out.Tell(fleet.Keeper, encoded)
+		p.readEntry(p.cfg.Self, encoded)
 		p.announcedKeepers = p.announcedKeepers[:0]
 	}
 }
@@ -293,132 +298,135 @@
 // Drained tells whether all numbers kept here have been handed over.
 func (p *Part) Drained() bool { return p.draining && len(p.ledgers) == 0 }
 
-// emit queues an item for a process, this one included.
-func (p *Part) emit(to string, it operation) {
+// emit queues an operation for a process, this one included.
+func (p *Part) emit(to string, op operation) {
 	if to == p.cfg.Self {
-		p.localOperations = append(p.localOperations, it)
+		p.localOperations = append(p.localOperations, op)
 	} else {
-		p.outgoing[to] = append(p.outgoing[to], it)
+		p.outgoing[to] = append(p.outgoing[to], op)
 	}
 }
 
-// flush handles the items addressed to this process, and sends the others.
+// flush handles the operations addressed to this process, and sends the others.
 func (p *Part) flush(now int64, out *fleet.Out) {
 	for len(p.localOperations) > 0 {
-		it := p.localOperations[0]
+		op := p.localOperations[0]
 		p.localOperations = p.localOperations[1:]
-		p.handleOperation(now, p.cfg.Self, it, out)
+		p.handleOperation(now, p.cfg.Self, op, out)
 	}
 	p.localOperations = nil
 	if p.tableStale {
 		p.tableStale = false
-		slots := make(map[uint64]*tableEntry, len(p.clients))
-		for _, h := range p.clients {
-			slots[h.entry.hash] = h.entry
+		entries := make(map[uint64]*tableEntry, len(p.clients))
+		for _, client := range p.clients {
+			entries[client.entry.hash] = client.entry
 		}
-		p.table.replace(slots)
+		p.table.replace(entries)
 	}
 	if len(p.outgoing) == 0 {
 		return
 	}
-	n := len(out.Send)
+	queued := len(out.Send)
 	for _, to := range sortedKeys(p.outgoing) {
 		appendMessages(p.cfg.Self, to, p.outgoing[to], out)
 	}
 	clear(p.outgoing)
-	p.counts.sent += uint64(len(out.Send) - n)
+	p.counts.sent += uint64(len(out.Send) - queued)
 }
 
-// handleItem handles one handleOperation of a message.
-func (p *Part) handleOperation(now int64, from string, it operation, out *fleet.Out) {
-	switch it.Op {
+// handleOperation handles one operation of a message.
+func (p *Part) handleOperation(now int64, from string, op operation, out *fleet.Out) {
+	switch op.Op {
 	case opReport:
-		p.handleReport(now, from, it, out)
+		p.handleReport(now, from, op, out)
 	case opAnswer:
-		p.handleAnswer(now, from, it, out)
+		p.handleAnswer(now, from, op, out)
 	case opOver:
-		if h := p.clients[it.Key]; h != nil && it.Fence >= h.entry.fence.Load() && p.ledgers[it.Key] == nil {
-			p.dropClient(h)
+		if client := p.clients[op.Key]; client != nil && op.Fence >= client.entry.fence.Load() &&
+			p.ledgers[op.Key] == nil {
+			p.dropClient(client)
 		}
 	case opTake:
-		if p.ledgers[it.Key] == nil && p.claims[it.Key].claimedAt == 0 && p.eligible(p.cfg.Self) {
-			p.claimNumber(now, it.Key, out)
+		if p.ledgers[op.Key] == nil && p.claims[op.Key].claimedAt == 0 && p.eligible(p.cfg.Self) {
+			p.claimNumber(now, op.Key, out)
 		}
 	}
 }
 
 // handleReport takes a report for a number that this process keeps, or answers who keeps it.
-func (p *Part) handleReport(now int64, from string, it operation, out *fleet.Out) {
-	b := p.ledgers[it.Key]
-	if b == nil {
-		if h := p.clients[it.Key]; h != nil && h.entry.fence.Load() > it.Fence && h.keeper != p.cfg.Self {
-			p.emit(from, operation{Op: opAnswer, Key: it.Key, Fence: h.entry.fence.Load(), Keeper: h.keeper})
+func (p *Part) handleReport(now int64, from string, op operation, out *fleet.Out) {
+	ledger := p.ledgers[op.Key]
+	if ledger == nil {
+		if client := p.clients[op.Key]; client != nil && client.entry.fence.Load() > op.Fence &&
+			client.keeper != p.cfg.Self {
+			p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: client.entry.fence.Load(), Keeper: client.keeper})
 		}
 		return
 	}
-	g, held := p.cfg.Lessor.Held(now, b.leaseName)
+	grant, held := p.cfg.Lessor.Held(now, ledger.leaseName)
 	switch {
-	case !held || g.Fence != b.fence || it.Fence > b.fence:
+	case !held || grant.Fence != ledger.fence || op.Fence > ledger.fence:
 		return // the lease has ended, which the next check of the ledgers handles
-	case it.Fence < b.fence:
-		p.emit(from, operation{Op: opAnswer, Key: it.Key, Fence: b.fence})
+	case op.Fence < ledger.fence:
+		p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: ledger.fence})
 		return
 	}
-	q := b.applyReport(now, from, it)
-	if q == nil {
+	peer := ledger.applyReport(now, from, op)
+	if peer == nil {
 		p.counts.late++
 		return
 	}
-	if it.Wanted > 0 && !q.answerPending {
-		if b.answerReport(now, q, g); q.answerPending {
+	if op.Wanted > 0 && !peer.answerPending {
+		if ledger.answerReport(now, peer, grant); peer.answerPending {
 			p.ledgersCheckedAt = min(p.ledgersCheckedAt, now-ledgerInterval+pendingWriteDelay)
 		} else {
-			p.reply(now, b, q, out)
+			p.reply(now, ledger, peer, out)
 		}
 	}
-	p.grantAhead(now, b, out)
+	p.grantAhead(now, ledger, out)
 }
 
 // replyPending sends the answers that waited for the record.
-func (p *Part) replyPending(now int64, b *numberLedger, g lease.Grant, out *fleet.Out) {
-	for _, q := range b.peers {
-		if q.answerPending {
-			b.answerReport(now, q, g)
-			p.reply(now, b, q, out)
+func (p *Part) replyPending(now int64, ledger *numberLedger, grant lease.Grant, out *fleet.Out) {
+	for _, peer := range ledger.peers {
+		if peer.answerPending {
+			ledger.answerReport(now, peer, grant)
+			p.reply(now, ledger, peer, out)
 		}
 	}
 }
 
 // reply tells a process what it was granted for its newest report.
-func (p *Part) reply(now int64, b *numberLedger, q *peerState, out *fleet.Out) {
-	again, stay, share := b.retryTimes(now, q)
-	if q.granted >= q.report.Wanted {
-		again = 0
+func (p *Part) reply(now int64, ledger *numberLedger, peer *peerState, out *fleet.Out) {
+	retryAfter, callerRetryAfter, share := ledger.retryTimes(now, peer)
+	if peer.granted >= peer.report.Wanted {
+		retryAfter = 0
 	} else {
 		p.counts.withoutPermit++
 	}
-	p.emit(q.name, operation{Op: opAnswer, Key: b.key, Fence: b.fence, ReportNumber: q.reportNumber, Incarnation: q.incarnation, Permits: q.granted, Lifetime: q.lifetime,
-		RetryAfter: again, CallerRetryAfter: stay, TurnoverShare: share})
-	if q.granted > 0 {
+	p.emit(peer.name, operation{Op: opAnswer, Key: ledger.key, Fence: ledger.fence, ReportNumber: peer.reportNumber,
+		Incarnation: peer.incarnation, Permits: peer.granted, Lifetime: peer.lifetime,
+		RetryAfter: retryAfter, CallerRetryAfter: callerRetryAfter, TurnoverShare: share})
+	if peer.granted > 0 {
 		p.counts.granted++
 	}
 }
 
-// passNotes passes on the passNotes of a ledger.
-func (p *Part) passNotes(b *numberLedger, out *fleet.Out) {
-	out.Notes = append(out.Notes, b.notes...)
-	b.notes = b.notes[:0]
+// passNotes passes on the notes of a ledger.
+func (p *Part) passNotes(ledger *numberLedger, out *fleet.Out) {
+	out.Notes = append(out.Notes, ledger.notes...)
+	ledger.notes = ledger.notes[:0]
 }
 
 // grantAhead grants what may be granted in advance, and passes on the notes.
-func (p *Part) grantAhead(now int64, b *numberLedger, out *fleet.Out) {
-	defer p.passNotes(b, out)
-	g, held := p.cfg.Lessor.Held(now, b.leaseName)
-	if !held || g.Fence != b.fence {
+func (p *Part) grantAhead(now int64, ledger *numberLedger, out *fleet.Out) {
+	defer p.passNotes(ledger, out)
+	grant, held := p.cfg.Lessor.Held(now, ledger.leaseName)
+	if !held || grant.Fence != ledger.fence {
 		return
 	}
-	for q := b.grantAhead(now, g); q != nil; q = b.grantAhead(now, g) {
-		p.reply(now, b, q, out)
+	for peer := ledger.grantAhead(now, grant); peer != nil; peer = ledger.grantAhead(now, grant) {
+		p.reply(now, ledger, peer, out)
 	}
 }
 
@@ -426,13 +434,14 @@
 // to be handed over or given up.
 func (p *Part) tickLedgers(now int64, out *fleet.Out) {
 	for _, key := range sortedKeys(p.claims) {
-		if g, ok := p.cfg.Lessor.Held(now, leaseName(key)); ok {
+		if grant, ok := p.cfg.Lessor.Held(now, leaseName(key)); ok {
 			delete(p.claims, key)
-			p.startKeeping(now, key, g, out)
+			p.startKeeping(now, key, grant, out)
 			continue
 		}
 		// Another process keeps it by now, or nobody grants the lease.
-		if c := p.claims[key]; now-c.claimedAt > claimTimeout || p.keptElsewhere(key) && uint64(p.keeperOf(key).value) > c.knownFence {
+		if c := p.claims[key]; now-c.claimedAt > claimTimeout ||
+			p.keptElsewhere(key) && uint64(p.keeperOf(key).value) > c.knownFence {
 			delete(p.claims, key)
 			p.cfg.Lessor.Release(now, leaseName(key), out)
 		}
@@ -444,144 +453,149 @@
 
 // startKeeping creates the ledger from the previous keeper's record, and asks the processes that may hold lines what
 // they hold.
-func (p *Part) startKeeping(now int64, key string, g lease.Grant, out *fleet.Out) {
-	b, err := newLedger(&p.cfg, key, leaseName(key), now, g)
+func (p *Part) startKeeping(now int64, key string, grant lease.Grant, out *fleet.Out) {
+	ledger, err := newLedger(&p.cfg, key, leaseName(key), now, grant)
 	if err != nil {
 		p.counts.badRecords++
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "record", Thing: key, Fence: g.Fence, Text: err.Error()})
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "record", Thing: key, Fence: grant.Fence,
+			Text: err.Error()})
 	}
-	p.ledgers[key] = b
+	p.ledgers[key] = ledger
 	p.counts.kept++
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "kept", Thing: key, Fence: g.Fence, Until: g.Until, N: b.lines})
-	hello := operation{Op: opAnswer, Key: key, Fence: g.Fence}
-	p.emit(p.cfg.Self, hello)
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "kept", Thing: key, Fence: grant.Fence,
+		Until: grant.Until, N: ledger.lines})
+	greeting := operation{Op: opAnswer, Key: key, Fence: grant.Fence}
+	p.emit(p.cfg.Self, greeting)
 	ask := map[string]bool{p.cfg.Self: true}
-	if x := p.numbers[key]; x != nil {
-		for _, t := range x.reporters {
-			ask[t.name] = true
+	if state := p.numbers[key]; state != nil {
+		for _, reporter := range state.reporters {
+			ask[reporter.name] = true
 		}
 	}
-	for _, h := range b.previousHolders {
-		for _, m := range p.members() {
-			if nameHash(m.Name) == h.name {
-				ask[m.Name] = true
+	for _, holder := range ledger.previousHolders {
+		for _, member := range p.members() {
+			if nameHash(member.Name) == holder.name {
+				ask[member.Name] = true
 			}
 		}
 	}
 	for _, name := range sortedKeys(ask) {
 		if name != p.cfg.Self {
-			p.emit(name, hello)
+			p.emit(name, greeting)
 		}
 	}
 	p.publishedAt = 0
 	p.publish(now, out)
 }
 
-func (p *Part) tickLedger(now int64, b *numberLedger, out *fleet.Out) {
-	g, ok := p.cfg.Lessor.Held(now, b.leaseName)
-	if !ok || g.Fence != b.fence {
-		delete(p.ledgers, b.key)
+func (p *Part) tickLedger(now int64, ledger *numberLedger, out *fleet.Out) {
+	grant, ok := p.cfg.Lessor.Held(now, ledger.leaseName)
+	if !ok || grant.Fence != ledger.fence {
+		delete(p.ledgers, ledger.key)
 		p.counts.lost++
-		p.cfg.Lessor.Release(now, b.leaseName, out)
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "lost", Thing: b.key, Fence: b.fence, Text: (&LostError{b.key}).Error()})
+		p.cfg.Lessor.Release(now, ledger.leaseName, out)
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "lost", Thing: ledger.key,
+			Fence: ledger.fence, Text: (&LostError{ledger.key}).Error()})
 		p.publishedAt = 0
 		return
 	}
-	if b.pendingWrite != 0 && g.Write >= b.pendingWrite {
-		b.recordStored()
-		p.replyPending(now, b, g, out)
-		p.passNotes(b, out)
+	if ledger.pendingWrite != 0 && grant.Write >= ledger.pendingWrite {
+		ledger.recordStored()
+		p.replyPending(now, ledger, grant, out)
+		p.passNotes(ledger, out)
 	}
-	if b.handOverBy != 0 {
-		if b.pendingWrite == 0 || now >= b.handOverBy {
-			p.handOver(now, b, out)
+	if ledger.handOverBy != 0 {
+		if ledger.pendingWrite == 0 || now >= ledger.handOverBy {
+			p.handOver(now, ledger, out)
 		}
 		return
 	}
-	b.forgetSilent(now)
-	p.passNotes(b, out)
-	b.probeLines(now)
-	next := p.successor(now, b)
-	if calm := now-b.refusedAt > p.cfg.CalmTime; calm || next != "" || p.mustHandOver() {
-		b.handOverBy, b.successor = now+handOverTimeout, next
+	ledger.forgetSilent(now)
+	p.passNotes(ledger, out)
+	ledger.probeLines(now)
+	successor := p.successor(now, ledger)
+	if calm := now-ledger.refusedAt > p.cfg.CalmTime; calm || successor != "" || p.mustHandOver() {
+		ledger.handOverBy, ledger.successor = now+handOverTimeout, successor
 		if calm {
-			b.successor = ""
+			ledger.successor = ""
 		}
-		p.storeRecord(now, b, out)
+		p.storeRecord(now, ledger, out)
 		return
 	}
-	soon := slices.ContainsFunc(b.peers, func(q *peerState) bool { return q.answerPending })
-	if soon {
+	urgent := slices.ContainsFunc(ledger.peers, func(peer *peerState) bool { return peer.answerPending })
+	if urgent {
 		p.ledgersCheckedAt = min(p.ledgersCheckedAt, now-ledgerInterval+pendingWriteDelay)
 	}
-	if b.dirty && b.pendingWrite == 0 && (now-b.writtenAt >= minWriteInterval || soon) || now-b.writtenAt >= 10*ledgerInterval && b.pendingWrite == 0 {
-		p.storeRecord(now, b, out)
+	if ledger.dirty && ledger.pendingWrite == 0 && (now-ledger.writtenAt >= minWriteInterval || urgent) ||
+		now-ledger.writtenAt >= 10*ledgerInterval && ledger.pendingWrite == 0 {
+		p.storeRecord(now, ledger, out)
 	}
-	p.grantAhead(now, b, out)
+	p.grantAhead(now, ledger, out)
 }
 
 // storeRecord writes the record with the lease.
-func (p *Part) storeRecord(now int64, b *numberLedger, out *fleet.Out) {
-	r := b.prepareRecord(now)
-	n, err := p.cfg.Lessor.Write(now, b.leaseName, r.encode(), out)
+func (p *Part) storeRecord(now int64, ledger *numberLedger, out *fleet.Out) {
+	rec := ledger.prepareRecord(now)
+	write, err := p.cfg.Lessor.Write(now, ledger.leaseName, rec.encode(), out)
 	if err != nil {
 		p.counts.badRecords++
 		return
 	}
-	b.pendingWrite, b.writtenAt, b.dirty = n, now, false
+	ledger.pendingWrite, ledger.writtenAt, ledger.dirty = write, now, false
 }
 
 // handOver gives a number up to the next keeper, or to nobody.
-func (p *Part) handOver(now int64, b *numberLedger, out *fleet.Out) {
-	delete(p.ledgers, b.key)
-	p.cfg.Lessor.Release(now, b.leaseName, out)
+func (p *Part) handOver(now int64, ledger *numberLedger, out *fleet.Out) {
+	delete(p.ledgers, ledger.key)
+	p.cfg.Lessor.Release(now, ledger.leaseName, out)
 	what := "moved"
-	if b.successor == "" {
+	if ledger.successor == "" {
 		what = "over"
 		p.counts.over++
-		for _, q := range b.peers {
-			p.emit(q.name, operation{Op: opOver, Key: b.key, Fence: b.fence})
+		for _, peer := range ledger.peers {
+			p.emit(peer.name, operation{Op: opOver, Key: ledger.key, Fence: ledger.fence})
 		}
 	} else {
 		p.counts.moved++
-		p.emit(b.successor, operation{Op: opTake, Key: b.key, Fence: b.fence})
+		p.emit(ledger.successor, operation{Op: opTake, Key: ledger.key, Fence: ledger.fence})
 	}
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: b.key, Fence: b.fence, N: b.lines, Text: b.successor})
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: ledger.key, Fence: ledger.fence,
+		N: ledger.lines, Text: ledger.successor})
 	p.publishedAt = 0
 	p.publish(now, out)
 }
 
 // Figures reports the counters and gauges of the Part.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
-	c := &p.counts
+	counts := &p.counts
 	put("keeper_numbers", uint64(len(p.clients)), true)
 	put("keeper_kept_now", uint64(len(p.ledgers)), true)
 	lines, held := int64(0), int64(0)
-	for _, b := range p.ledgers {
-		n, _ := b.held(p.now)
-		lines, held = lines+b.lines, held+n
+	for _, ledger := range p.ledgers {
+		ledgerHeld, _ := ledger.held(p.now)
+		lines, held = lines+ledger.lines, held+ledgerHeld
 	}
 	put("keeper_lines", uint64(lines), true)
 	put("keeper_lines_held", uint64(held), true)
-	put("keeper_claims", c.claims, false)
-	put("keeper_kept", c.kept, false)
-	put("keeper_lost", c.lost, false)
-	put("keeper_moved", c.moved, false)
-	put("keeper_over", c.over, false)
-	put("keeper_no_room", c.noRoom, false)
-	put("keeper_table_full", c.tableFull, false)
-	put("keeper_reports", c.reports, false)
-	put("keeper_grants", c.granted, false)
-	put("keeper_none", c.withoutPermit, false)
-	put("keeper_permits_taken", c.permitsTaken, false)
-	put("keeper_permits_back", c.permitsReturned, false)
-	put("keeper_late", c.late, false)
-	put("keeper_low_fence", c.lowFence, false)
-	put("keeper_unanswered", c.unanswered, false)
-	put("keeper_unread", c.unread, false)
-	put("keeper_bad_record", c.badRecords, false)
-	put("keeper_messages_in", c.received, false)
-	put("keeper_messages_out", c.sent, false)
+	put("keeper_claims", counts.claims, false)
+	put("keeper_kept", counts.kept, false)
+	put("keeper_lost", counts.lost, false)
+	put("keeper_moved", counts.moved, false)
+	put("keeper_over", counts.over, false)
+	put("keeper_no_room", counts.noRoom, false)
+	put("keeper_table_full", counts.tableFull, false)
+	put("keeper_reports", counts.reports, false)
+	put("keeper_grants", counts.granted, false)
+	put("keeper_none", counts.withoutPermit, false)
+	put("keeper_permits_taken", counts.permitsTaken, false)
+	put("keeper_permits_back", counts.permitsReturned, false)
+	put("keeper_late", counts.late, false)
+	put("keeper_low_fence", counts.lowFence, false)
+	put("keeper_unanswered", counts.unanswered, false)
+	put("keeper_unread", counts.unread, false)
+	put("keeper_bad_record", counts.badRecords, false)
+	put("keeper_messages_in", counts.received, false)
+	put("keeper_messages_out", counts.sent, false)
 }
 
 func leaseName(key string) string { return "number/" + key }
--- a/internal/keeper/sketch.go
+++ b/internal/keeper/sketch.go
@@ -24,7 +24,7 @@
 type sketch struct {
 	sets     [sketchSets]counterSet
 	epoch    uint32
-	epochEnd int64 // end of this epoch
+	epochEnd int64
 }
 
 // add counts a set-up, and returns its cell.
@@ -33,60 +33,60 @@
 		s.epoch = uint32(now / epochLength)
 		s.epochEnd = (now/epochLength + 1) * epochLength
 	}
-	c := &s.sets[hash%sketchSets]
-	if c.epoch != s.epoch {
-		c.decay(s.epoch)
+	set := &s.sets[hash%sketchSets]
+	if set.epoch != s.epoch {
+		set.decay(s.epoch)
 	}
 	// Written out without branches that depend on the counts: most lookups find nothing, and which count is lowest is
 	// unpredictable.
 	i := 0
 	switch hash {
-	case c.hash[0]:
-	case c.hash[1]:
+	case set.hash[0]:
+	case set.hash[1]:
 		i = 1
-	case c.hash[2]:
+	case set.hash[2]:
 		i = 2
-	case c.hash[3]:
+	case set.hash[3]:
 		i = 3
 	default:
-		i = c.minIndex()
-		c.hash[i], c.overcount[i], c.busy[i] = hash, uint16(min(c.count[i], math.MaxUint16)), 0
+		i = set.minIndex()
+		set.hash[i], set.overcount[i], set.busy[i] = hash, uint16(min(set.count[i], math.MaxUint16)), 0
 	}
-	c.count[i]++
-	return c, i
+	set.count[i]++
+	return set, i
 }
 
 // minIndex returns the index of the lowest count.
 func (c *counterSet) minIndex() int {
-	i, n := 0, c.count[0]
-	if c.count[1] < n {
+	i, lowest := 0, c.count[0]
+	if c.count[1] < lowest {
 		i = 1
 	}
-	n = min(n, c.count[1])
-	if c.count[2] < n {
+	lowest = min(lowest, c.count[1])
+	if c.count[2] < lowest {
 		i = 2
 	}
-	n = min(n, c.count[2])
-	if c.count[3] < n {
+	lowest = min(lowest, c.count[2])
+	if c.count[3] < lowest {
 		i = 3
 	}
 	return i
 }
 
-func (c *counterSet) decay(e uint32) {
-	by := e - c.epoch
+func (c *counterSet) decay(current uint32) {
+	shift := current - c.epoch
 	for i := range c.count {
-		c.count[i], c.overcount[i], c.busy[i] = c.count[i]>>by, c.overcount[i]>>by, c.busy[i]>>by
+		c.count[i], c.overcount[i], c.busy[i] = c.count[i]>>shift, c.overcount[i]>>shift, c.busy[i]>>shift
 	}
-	c.epoch = e
+	c.epoch = current
 }
 
 // countBusy counts a set-up that ended busy, and returns the recent number of these and the least number of set-ups.
-func (s *sketch) countBusy(hash uint64, now int64) (busy, orders uint32) {
-	c, i := s.add(hash, now)
-	c.count[i]--
-	c.busy[i] += min(1, math.MaxUint8-c.busy[i])
-	return uint32(c.busy[i]), c.minCount(i)
+func (s *sketch) countBusy(hash uint64, now int64) (busy, setUps uint32) {
+	set, i := s.add(hash, now)
+	set.count[i]--
+	set.busy[i] += min(1, math.MaxUint8-set.busy[i])
+	return uint32(set.busy[i]), set.minCount(i)
 }
 
 // minCount returns the least number of set-ups that there can have been.
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -28,39 +28,39 @@
 
 // find returns the entry of a number; nil: it is not in contention.
 func (t *Table) find(hash uint64, key string) *tableEntry {
-	b := t.snapshot.Load()
-	if b.filter[hash>>58]&(1<<(hash>>52&63)) == 0 {
+	snapshot := t.snapshot.Load()
+	if snapshot.filter[hash>>58]&(1<<(hash>>52&63)) == 0 {
 		return nil
 	}
-	if s := b.entries[hash]; s != nil && s.key == key {
-		return s
+	if entry := snapshot.entries[hash]; entry != nil && entry.key == key {
+		return entry
 	}
 	return nil
 }
 
 // replace stores other entries; only the Part calls it.
-func (t *Table) replace(slots map[uint64]*tableEntry) {
-	b := &tableSnapshot{entries: slots}
-	for hash := range slots {
-		b.filter[hash>>58] |= 1 << (hash >> 52 & 63)
+func (t *Table) replace(entries map[uint64]*tableEntry) {
+	snapshot := &tableSnapshot{entries: entries}
+	for hash := range entries {
+		snapshot.filter[hash>>58] |= 1 << (hash >> 52 & 63)
 	}
-	t.snapshot.Store(b)
+	t.snapshot.Store(snapshot)
 }
 
 // Holds returns the lines of a number that this process holds: calls and set-ups admitted with a permit, those
 // admitted without one, and unused permits that are still valid. It serves operators and tests.
-func (t *Table) Holds(now int64, key string) (open, plain, permits int64) {
-	s := t.find(hashOf(key), key)
-	if s == nil {
+func (t *Table) Holds(now int64, key string) (open, fallback, permits int64) {
+	entry := t.find(hashOf(key), key)
+	if entry == nil {
 		return 0, 0, 0
 	}
-	for _, b := range *s.batches.Load() {
-		if now < b.expiresAt && b.fence >= s.fence.Load() {
-			permits += max(0, b.remaining.Load())
+	for _, batch := range *entry.batches.Load() {
+		if now < batch.expiresAt && batch.fence >= entry.fence.Load() {
+			permits += max(0, batch.remaining.Load())
 		}
 	}
-	plain = s.fallback.Load()
-	return s.open.Load() - plain, plain, permits
+	fallback = entry.fallback.Load()
+	return entry.open.Load() - fallback, fallback, permits
 }
 
 // batch holds the permits of one grant. The loop takes permits from it; the Part takes the remaining ones back.
@@ -104,63 +104,63 @@
 func hashOf(key string) uint64 { return xxhash.Sum64String(key) }
 
 func newTableEntry(key string) *tableEntry {
-	s := &tableEntry{hash: hashOf(key), key: key}
-	s.batches.Store(&[]*batch{})
-	return s
+	entry := &tableEntry{hash: hashOf(key), key: key}
+	entry.batches.Store(&[]*batch{})
+	return entry
 }
 
 // takePermit uses one unused permit that is valid and has the newest fence. The line counts as open before the permit
 // is taken, so that a permit is never missing from both counts.
-func (s *tableEntry) takePermit(now int64, d *disabledSafeguards) bool {
-	bs := *s.batches.Load()
-	if len(bs) == 0 {
+func (e *tableEntry) takePermit(now int64, disabled *disabledSafeguards) bool {
+	batches := *e.batches.Load()
+	if len(batches) == 0 {
 		return false
 	}
-	s.open.Add(1)
-	fence := s.fence.Load()
-	for _, b := range bs {
-		if b.fence < fence && !d.noFencing || now >= b.expiresAt && !d.noPermitExpiry {
+	e.open.Add(1)
+	fence := e.fence.Load()
+	for _, batch := range batches {
+		if batch.fence < fence && !disabled.noFencing || now >= batch.expiresAt && !disabled.noPermitExpiry {
 			continue
 		}
-		for n := b.remaining.Load(); n > 0; n = b.remaining.Load() {
-			if b.remaining.CompareAndSwap(n, n-1) {
+		for remaining := batch.remaining.Load(); remaining > 0; remaining = batch.remaining.Load() {
+			if batch.remaining.CompareAndSwap(remaining, remaining-1) {
 				return true
 			}
 		}
 	}
-	s.open.Add(-1)
+	e.open.Add(-1)
 	return false
 }
 
 // unusedPermits returns the permits that the loop can still take.
-func (s *tableEntry) unusedPermits() int64 {
-	n := int64(0)
-	for _, b := range *s.batches.Load() {
-		n += max(0, b.remaining.Load())
+func (e *tableEntry) unusedPermits() int64 {
+	total := int64(0)
+	for _, batch := range *e.batches.Load() {
+		total += max(0, batch.remaining.Load())
 	}
-	return n
+	return total
 }
 
 // addBatch adds a batch, and removeBatches takes back the batches that match; permits that the loop took until then
 // count as open. Only the Part calls them.
-func (s *tableEntry) addBatch(b *batch) {
-	bs := append([]*batch{}, *s.batches.Load()...)
-	bs = append(bs, b)
-	s.batches.Store(&bs)
+func (e *tableEntry) addBatch(added *batch) {
+	batches := append([]*batch{}, *e.batches.Load()...)
+	batches = append(batches, added)
+	e.batches.Store(&batches)
 }
 
-func (s *tableEntry) removeBatches(over func(*batch) bool) (back int64) {
-	var keep []*batch
-	for _, b := range *s.batches.Load() {
+func (e *tableEntry) removeBatches(matches func(*batch) bool) (returned int64) {
+	var kept []*batch
+	for _, batch := range *e.batches.Load() {
 		switch {
-		case over(b):
-			back += max(0, b.remaining.Swap(0))
-		case b.remaining.Load() > 0:
-			keep = append(keep, b)
+		case matches(batch):
+			returned += max(0, batch.remaining.Swap(0))
+		case batch.remaining.Load() > 0:
+			kept = append(kept, batch)
 		}
 	}
-	s.batches.Store(&keep)
-	return back
+	e.batches.Store(&kept)
+	return returned
 }
 
 // Kinds of reports from the loop to the Part.
@@ -185,8 +185,8 @@
 }
 
 // NewQueue returns a queue with the given capacity; 4096 is plenty.
-func NewQueue(room int) *Queue {
-	return &Queue{reports: make(chan report, room), wake: make(chan struct{}, 1)}
+func NewQueue(capacity int) *Queue {
+	return &Queue{reports: make(chan report, capacity), wake: make(chan struct{}, 1)}
 }
 
 // Wake receives a value when the queue is not empty: the driver of the Part may then call its Tick before Next is
--- a/internal/keeper/wire.go
+++ b/internal/keeper/wire.go
@@ -24,9 +24,9 @@
 type operation struct {
 	Op           uint8  `cbor:"1,keyasint"`
 	Key          string `cbor:"2,keyasint"`
-	Fence        uint64 `cbor:"3,keyasint,omitempty"`             // highest that the sender knows; from the keeper: its own
-	ReportNumber uint64 `cbor:"4,keyasint,omitempty" json:"N"`    // number of the report; permits for an earlier one are no longer accepted
-	Incarnation  uint64 `cbor:"5,keyasint,omitempty" json:"Life"` // incarnation of the reporter
+	Fence        uint64 `cbor:"3,keyasint,omitempty"`             // highest known to the sender; of the keeper: its own
+	ReportNumber uint64 `cbor:"4,keyasint,omitempty" json:"N"`    // permits for an earlier report are not accepted
+	Incarnation  uint64 `cbor:"5,keyasint,omitempty" json:"Life"` // of the reporter
 
 	Held    int64  `cbor:"6,keyasint,omitempty" json:"Hold"` // lines held: unused permits, set-ups and calls
 	Unused  int64  `cbor:"7,keyasint,omitempty" json:"Idle"` // of these, unused permits
@@ -38,11 +38,11 @@
 	Ended   uint64 `cbor:"13,keyasint,omitempty"`
 	Refused uint64 `cbor:"14,keyasint,omitempty"`
 
-	Permits          int64  `cbor:"20,keyasint,omitempty"` // all that were granted for this report so far
-	Lifetime         int64  `cbor:"21,keyasint,omitempty" json:"Lasts"`
+	Permits          int64  `cbor:"20,keyasint,omitempty"`              // all that were granted for this report so far
+	Lifetime         int64  `cbor:"21,keyasint,omitempty" json:"Lasts"` // of the permits
 	RetryAfter       int64  `cbor:"22,keyasint,omitempty" json:"Again"` // no permit is available for this long
 	CallerRetryAfter int64  `cbor:"23,keyasint,omitempty" json:"Stay"`  // callers are to stay away for this long
-	TurnoverShare    int64  `cbor:"24,keyasint,omitempty" json:"Share"` // the reporter's share of the turnover, calls in 1000 s
+	TurnoverShare    int64  `cbor:"24,keyasint,omitempty" json:"Share"` // calls in 1000 s: the reporter's part
 	Keeper           string `cbor:"25,keyasint,omitempty"`              // who keeps the number; empty: the sender
 }
 
@@ -89,103 +89,106 @@
 	maxRate     = 1 << 40
 )
 
-// withinBounds tells whether the values of an item are within bounds.
-func (it *operation) withinBounds() bool {
-	for _, n := range []int64{it.Held, it.Unused, it.Calls, it.Wanted, it.Permits} {
+// withinBounds tells whether the values of an operation are within bounds.
+func (op *operation) withinBounds() bool {
+	for _, n := range []int64{op.Held, op.Unused, op.Calls, op.Wanted, op.Permits} {
 		if n < 0 || n > maxCount {
 			return false
 		}
 	}
-	for _, t := range []int64{it.Lifetime, it.RetryAfter, it.CallerRetryAfter} {
+	for _, t := range []int64{op.Lifetime, op.RetryAfter, op.CallerRetryAfter} {
 		if t < 0 || t > maxDuration {
 			return false
 		}
 	}
-	return validKey(it.Key) && it.Rate >= 0 && it.Rate <= maxRate && it.TurnoverShare >= 0 && it.TurnoverShare <= maxRate &&
-		len(it.Keeper) <= 64
+	return validKey(op.Key) && op.Rate >= 0 && op.Rate <= maxRate &&
+		op.TurnoverShare >= 0 && op.TurnoverShare <= maxRate && len(op.Keeper) <= 64
 }
 
-func validKey(k string) bool { return k != "" && len(k) <= maxKeyLength }
+func validKey(key string) bool { return key != "" && len(key) <= maxKeyLength }
 
-// decodeItems returns the items of a message that are within bounds, and an error if it contains anything else.
-func decodeOperations(m fleet.Message) (items []operation, err error) {
-	var l messageBody
-	if len(m.Body) > fleet.MaxBody {
-		return nil, &MessageError{m.From, fmt.Sprintf("message of %d bytes exceeds the limit", len(m.Body))}
+// decodeOperations returns the operations of a message that are within bounds, and an error if it contains anything
+// else.
+func decodeOperations(message fleet.Message) (ops []operation, err error) {
+	var body messageBody
+	if len(message.Body) > fleet.MaxBody {
+		return nil, &MessageError{message.From, fmt.Sprintf("message of %d bytes exceeds the limit", len(message.Body))}
 	}
-	if e := decoding.Unmarshal(m.Body, &l); e != nil {
-		return nil, &MessageError{m.From, e.Error()}
+	if decodeErr := decoding.Unmarshal(message.Body, &body); decodeErr != nil {
+		return nil, &MessageError{message.From, decodeErr.Error()}
 	}
-	for _, raw := range l.Operations {
-		var it operation
-		if e := decoding.Unmarshal(raw, &it); e != nil {
-			err = &MessageError{m.From, e.Error()}
-		} else if !it.withinBounds() {
-			err = &MessageError{m.From, "value out of bounds"}
+	for _, raw := range body.Operations {
+		var op operation
+		if decodeErr := decoding.Unmarshal(raw, &op); decodeErr != nil {
+			err = &MessageError{message.From, decodeErr.Error()}
+		} else if !op.withinBounds() {
+			err = &MessageError{message.From, "value out of bounds"}
 		} else {
-			items = append(items, it)
+			ops = append(ops, op)
 		}
 	}
-	return items, err
+	return ops, err
 }
 
-// appendMessages packs items into as few messages as possible.
-func appendMessages(from, to string, items []operation, out *fleet.Out) {
-	const frame = 8
-	var l messageBody
-	size := frame
+// appendMessages packs operations into as few messages as possible.
+func appendMessages(from, to string, ops []operation, out *fleet.Out) {
+	const overhead = 8
+	var message messageBody
+	size := overhead
 	send := func() {
-		if body, err := encoding.Marshal(l); err == nil && len(l.Operations) > 0 {
+		if body, err := encoding.Marshal(message); err == nil && len(message.Operations) > 0 {
 			out.Send = append(out.Send, fleet.Message{Kind: fleet.Keeper, From: from, To: to, Body: body})
 		}
-		l.Operations, size = nil, frame
+		message.Operations, size = nil, overhead
 	}
-	for i := range items {
-		raw, err := encoding.Marshal(&items[i])
+	for i := range ops {
+		raw, err := encoding.Marshal(&ops[i])
 		if err != nil {
-			continue // every item can be encoded
+			continue // every operation can be encoded
 		}
-		if size+len(raw) > fleet.MaxBody || len(l.Operations) == 64 {
+		if size+len(raw) > fleet.MaxBody || len(message.Operations) == 64 {
 			send()
 		}
-		l.Operations, size = append(l.Operations, raw), size+len(raw)
+		message.Operations, size = append(message.Operations, raw), size+len(raw)
 	}
 	send()
 }
 
 // decodeEntryPart decodes the keeper part of an entry and leaves out what is out of bounds.
 func decodeEntryPart(name string, body []byte) (entryPart, error) {
-	var s entryPart
+	var part entryPart
 	if len(body) == 0 {
-		return s, nil
+		return part, nil
 	}
-	if err := decoding.Unmarshal(body, &s); err != nil {
+	if err := decoding.Unmarshal(body, &part); err != nil {
 		return entryPart{}, &MessageError{name, err.Error()}
 	}
-	s.Kept = slices.DeleteFunc(s.Kept, func(k keptNumber) bool {
-		return !validKey(k.Key) || k.Fence == 0 || k.Turnover < 0 || k.Turnover > maxRate
+	part.Kept = slices.DeleteFunc(part.Kept, func(number keptNumber) bool {
+		return !validKey(number.Key) || number.Fence == 0 || number.Turnover < 0 || number.Turnover > maxRate
 	})
-	s.Contended = slices.DeleteFunc(s.Contended, func(k contendedNumber) bool { return !validKey(k.Key) || k.Rate < 0 || k.Rate > maxRate })
-	return s, nil
+	part.Contended = slices.DeleteFunc(part.Contended, func(number contendedNumber) bool {
+		return !validKey(number.Key) || number.Rate < 0 || number.Rate > maxRate
+	})
+	return part, nil
 }
 
 // encode encodes the part, with as many of the contended numbers as fit.
-func (s entryPart) encode() []byte {
-	if len(s.Kept)+len(s.Contended) == 0 {
+func (part entryPart) encode() []byte {
+	if len(part.Kept)+len(part.Contended) == 0 {
 		return nil
 	}
 	for {
-		b, err := encoding.Marshal(s)
+		encoded, err := encoding.Marshal(part)
 		if err != nil {
 			return nil
 		}
-		if len(b) <= fleet.MaxBody {
-			return b
+		if len(encoded) <= fleet.MaxBody {
+			return encoded
 		}
-		if len(s.Contended) > 0 {
-			s.Contended = s.Contended[:len(s.Contended)-1]
+		if len(part.Contended) > 0 {
+			part.Contended = part.Contended[:len(part.Contended)-1]
 		} else {
-			s.Kept = s.Kept[:len(s.Kept)-1]
+			part.Kept = part.Kept[:len(part.Kept)-1]
 		}
 	}
 }
@@ -195,9 +198,9 @@
 	Lines       int64  `cbor:"1,keyasint"`
 	Known       int64  `cbor:"2,keyasint"`
 	Turnover    int64  `cbor:"3,keyasint" json:"Turn"`          // calls in 1000 s
-	AnyHolder   bool   `cbor:"4,keyasint,omitempty" json:"All"` // any process may hold lines: there are too many holders to list
+	AnyHolder   bool   `cbor:"4,keyasint,omitempty" json:"All"` // too many holders to list: any process may hold lines
 	Outstanding int64  `cbor:"6,keyasint,omitempty" json:"Out"` // lines that may have been held when it was written
-	Holders     []byte `cbor:"5,keyasint,omitempty"`            // 6 bytes each: hash of the name, most lines that it may hold
+	Holders     []byte `cbor:"5,keyasint,omitempty"`            // 6 bytes each: hash of the name, most lines allowed
 }
 
 const (
@@ -224,31 +227,31 @@
 	}
 }
 
-func (r *record) holders() (hs []holder) {
-	for b := r.Holders; len(b) >= holderSize; b = b[holderSize:] {
-		hs = append(hs, holder{binary.BigEndian.Uint32(b), int64(binary.BigEndian.Uint16(b[4:]))})
+func (r *record) holders() (holders []holder) {
+	for rest := r.Holders; len(rest) >= holderSize; rest = rest[holderSize:] {
+		holders = append(holders, holder{binary.BigEndian.Uint32(rest), int64(binary.BigEndian.Uint16(rest[4:]))})
 	}
-	return hs
+	return holders
 }
 
 func (r *record) encode() []byte {
-	b, err := encoding.Marshal(r)
-	if err != nil || len(b) > lease.MaxRecord {
+	encoded, err := encoding.Marshal(r)
+	if err != nil || len(encoded) > lease.MaxRecord {
 		return nil
 	}
-	return b
+	return encoded
 }
 
 // decodeRecord decodes the record of a number; no bytes give an empty record.
-func decodeRecord(key string, b []byte) (r record, err error) {
-	if len(b) == 0 {
+func decodeRecord(key string, encoded []byte) (r record, err error) {
+	if len(encoded) == 0 {
 		return r, nil
 	}
-	if e := decoding.Unmarshal(b, &r); e != nil {
-		return record{}, &RecordError{key, e.Error()}
+	if decodeErr := decoding.Unmarshal(encoded, &r); decodeErr != nil {
+		return record{}, &RecordError{key, decodeErr.Error()}
 	}
-	if r.Lines < 0 || r.Lines > maxCount || r.Known < 0 || r.Known > maxCount || r.Turnover < 0 || r.Turnover > maxRate ||
-		r.Outstanding < 0 || r.Outstanding > maxCount {
+	if r.Lines < 0 || r.Lines > maxCount || r.Known < 0 || r.Known > maxCount ||
+		r.Turnover < 0 || r.Turnover > maxRate || r.Outstanding < 0 || r.Outstanding > maxCount {
 		return record{}, &RecordError{key, "value out of bounds"}
 	}
 	return r, nil
