--- a/internal/keeper/book.go
+++ b/internal/keeper/book.go
@@ -23,7 +23,7 @@
 	pendingWriteDelay   = 5_000      // the same if an answer waits for the write
 	minPermitLifetime   = 100_000    // a permit that would be valid for less is not granted
 	maxPeers            = 4096       // processes in one ledger
-	recentTime          = 5_000_000  // a process that wanted a line this recently may get one in advance
+	recentWindow        = 5_000_000  // wants, set-ups, refusals and reports count as recent for this long
 	minRetryAfter       = 20_000
 	maxRetryAfter       = 500_000
 	minCallerRetryAfter = 200_000
@@ -360,7 +360,7 @@
 // probeLines assumes one more line, or twice as many as the last probe found, while all known lines are in use and
 // calls are refused.
 func (l *numberLedger) probeLines(now int64) {
-	if l.siteLines > 0 && l.lines >= l.siteLines || l.growing || now < l.nextProbe || now-l.refusedAt > recentTime ||
+	if l.siteLines > 0 && l.lines >= l.siteLines || l.growing || now < l.nextProbe || now-l.refusedAt > recentWindow ||
 		l.unreported(now) > 0 {
 		return
 	}
@@ -458,7 +458,7 @@
 	}
 	for _, peer := range l.peers {
 		if peer.report.Unused > 0 || peer.granted > 0 || now-peer.reportedAt > l.cfg.PermitLifetime/2 ||
-			now-peer.wantedAt > recentTime || peer.wantedAt == 0 ||
+			now-peer.wantedAt > recentWindow || peer.wantedAt == 0 ||
 			l.headroom(now, peer) < 1 {
 			continue
 		}
--- a/internal/keeper/choice.go
+++ b/internal/keeper/choice.go
@@ -279,7 +279,7 @@
 			ownRate = rate(peer)
 			continue
 		}
-		if now-peer.reportedAt <= recentTime && p.eligible(peer.name) &&
+		if now-peer.reportedAt <= recentWindow && p.eligible(peer.name) &&
 			(best == "" || preferred(ledger.key, peer.name, rate(peer), best, highest)) {
 			best, highest = peer.name, rate(peer)
 		}
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -146,7 +146,7 @@
 
 // Advice tells an operator what to do.
 func (e *LostError) Advice() string {
-	return "Check if this process was stopped or cut off from the roster majority; calls go by share until another keeps it."
+	return "Check if this process was stopped or cut off from a roster majority; calls go by share until another keeps it."
 }
 
 // FullError reports a number in contention that no process can keep, as all keep their maximum.
--- a/internal/keeper/front_test.go
+++ b/internal/keeper/front_test.go
@@ -72,7 +72,7 @@
 		entry.keeperUnreachable.Store(false)
 		table.replace(map[uint64]*tableEntry{entry.hash: entry})
 		now, id := int64(10_000_000), decide.CallID(0)
-		state := map[decide.CallID]string{} // waiting, out, stands, gone (its attempt still out)
+		state := map[decide.CallID]string{} // waiting, going (caller leaves), out, stands, gone (attempt still out)
 		permits, admitted := 0, 0
 		armed := false
 		do := func(e decide.Event) {
--- a/internal/keeper/hand.go
+++ b/internal/keeper/hand.go
@@ -43,7 +43,7 @@
 
 // recentlyRequested tells whether there were set-ups for the number recently.
 func (c *keeperClient) recentlyRequested(now int64) bool {
-	return c.requestedAt != 0 && now-c.requestedAt < recentTime
+	return c.requestedAt != 0 && now-c.requestedAt < recentWindow
 }
 
 // updateRate brings the demand up to date.
