--- a/internal/keeper/front.go
+++ b/internal/keeper/admission.go
@@ -208,7 +208,7 @@
 		return f.admit(now, event, f.track(event.Call, entry, now), out)
 	case now < entry.noPermitUntil.Load():
 		return f.refuse(entry, event.Call, out)
-	case entry.keeperUnreachable.Load():
+	case entry.ownerUnreachable.Load():
 		f.reportChange(entry) // permits are requested again, but nothing waits for them
 		return f.admitFallback(now, event, entry, out)
 	case wait < waitingInterval, len(entry.waiting) >= maxWaitingSetUps:
@@ -308,7 +308,7 @@
 				f.stopWaiting(call)
 				delete(f.calls, id)
 				out = f.refuse(entry, id, out)
-			case now >= call.waitUntil || entry.keeperUnreachable.Load():
+			case now >= call.waitUntil || entry.ownerUnreachable.Load():
 				f.stopWaiting(call)
 				delete(f.calls, id)
 				out = f.admitFallback(now, call.setUp, entry, out)
--- a/internal/keeper/front_test.go
+++ b/internal/keeper/admission_test.go
@@ -69,7 +69,7 @@
 		front := NewFront(Config{Self: "a"}, settings(), inner, table, queue)
 		entry := newTableEntry(contendedKey)
 		entry.fence.Store(3)
-		entry.keeperUnreachable.Store(false)
+		entry.ownerUnreachable.Store(false)
 		table.replace(map[uint64]*tableEntry{entry.hash: entry})
 		now, id := int64(10_000_000), decide.CallID(0)
 		state := map[decide.CallID]string{} // waiting, going (caller leaves), out, stands, gone (attempt still out)
@@ -141,7 +141,7 @@
 				if rapid.Bool().Draw(rt, "none") {
 					entry.noPermitUntil.Store(now + 10_000)
 				} else {
-					entry.keeperUnreachable.Store(rapid.Bool().Draw(rt, "lost"))
+					entry.ownerUnreachable.Store(rapid.Bool().Draw(rt, "lost"))
 					entry.turnoverShare.Store(500_000)
 				}
 			case 5:
--- a/internal/keeper/hand.go
+++ b/internal/keeper/client.go
@@ -14,15 +14,15 @@
 	rateWindow           = 5_000_000 // averaging window of the demand
 )
 
-// keeperClient is this process's own state for one number that another process, or this one, keeps.
-type keeperClient struct {
+// ownerClient is this process's own state for one number that another process, or this one, keeps.
+type ownerClient struct {
 	entry          *tableEntry
-	keeper         string
+	owner          string
 	reportNumber   uint64 // number of its newest report; reportedAt: when that was sent
 	reportedAt     int64
 	awaitingAnswer bool  // set-ups wait for the answer to that report
 	permitsTaken   int64 // permits accepted in answer to it
-	keeperHeardAt  int64 // when its keeper was last heard of
+	ownerHeardAt   int64 // when its keeper was last heard of
 	checkAt        int64 // when it is to be checked next
 	changed        bool  // something has changed since the report
 	notedLines     int64 // lines in the last note, plus one; 0: none under this fence
@@ -36,18 +36,18 @@
 
 // heldLines returns the lines of the number that this process holds, and how many of these are unused permits. The
 // loop counts a call as open before it takes its permit, so the unused permits are read first: no permit is missed.
-func (c *keeperClient) heldLines() (held, unused int64) {
+func (c *ownerClient) heldLines() (held, unused int64) {
 	unused = c.entry.unusedPermits()
 	return unused + c.entry.open.Load(), unused
 }
 
 // recentlyRequested tells whether there were set-ups for the number recently.
-func (c *keeperClient) recentlyRequested(now int64) bool {
+func (c *ownerClient) recentlyRequested(now int64) bool {
 	return c.requestedAt != 0 && now-c.requestedAt < recentWindow
 }
 
 // updateRate brings the demand up to date.
-func (c *keeperClient) updateRate(now int64) {
+func (c *ownerClient) updateRate(now int64) {
 	requested, refused := c.entry.requested.Load(), c.entry.refused.Load()
 	if requested != c.ratedRequested {
 		c.requestedAt = now
@@ -56,8 +56,8 @@
 		c.refusedAt = now
 	}
 	if elapsed := float64(now - c.ratedAt); elapsed > 0 {
-		keep := math.Exp(-elapsed / rateWindow)
-		c.rate = c.rate*keep + (1-keep)*float64(requested-c.ratedRequested)/elapsed*1e9
+		decay := math.Exp(-elapsed / rateWindow)
+		c.rate = c.rate*decay + (1-decay)*float64(requested-c.ratedRequested)/elapsed*1e9
 		c.ratedAt = now
 		c.ratedRequested, c.ratedRefused = requested, refused
 	}
@@ -65,7 +65,7 @@
 
 // client returns this process's state for a number. If there is none it is created when a keeper is heard of, if the
 // table has room.
-func (p *Part) client(now int64, key string) *keeperClient {
+func (p *Part) client(now int64, key string) *ownerClient {
 	if client := p.clients[key]; client != nil {
 		return client
 	}
@@ -79,7 +79,7 @@
 	}
 	p.tableStale = true
 	delete(p.retired, key)
-	client := &keeperClient{entry: entry, keeperHeardAt: now, ratedAt: now, checkAt: math.MaxInt64,
+	client := &ownerClient{entry: entry, ownerHeardAt: now, ratedAt: now, checkAt: math.MaxInt64,
 		ratedRequested: entry.requested.Load(), ratedRefused: entry.refused.Load()}
 	if demand := p.localDemands[key]; demand != nil {
 		client.rate, client.requestedAt = demand.rate, now
@@ -90,7 +90,7 @@
 
 // dropClient forgets a number. Its open calls are followed to their end: they count if the number returns before
 // that.
-func (p *Part) dropClient(client *keeperClient) {
+func (p *Part) dropClient(client *ownerClient) {
 	client.entry.removeBatches(func(*batch) bool { return true })
 	p.tableStale = true
 	delete(p.clients, client.entry.key)
@@ -101,17 +101,17 @@
 
 // raiseFence adopts a fence higher than the known one: permits of the old one are taken back, and the new keeper is
 // told what is held here.
-func (p *Part) raiseFence(now int64, client *keeperClient, keeper string, fence uint64, out *fleet.Out) {
+func (p *Part) raiseFence(now int64, client *ownerClient, owner string, fence uint64, out *fleet.Out) {
 	if fence <= client.entry.fence.Load() {
 		return
 	}
 	client.entry.fence.Store(fence)
-	client.keeper, client.keeperHeardAt, client.awaitingAnswer, client.notedLines = keeper, now, false, 0
+	client.owner, client.ownerHeardAt, client.awaitingAnswer, client.notedLines = owner, now, false, 0
 	p.counts.permitsReturned += uint64(client.entry.removeBatches(func(batch *batch) bool {
 		return batch.fence < fence && !p.cfg.disabled.noFencing
 	}))
 	client.entry.noPermitUntil.Store(0)
-	client.entry.keeperUnreachable.Store(false)
+	client.entry.ownerUnreachable.Store(false)
 	if held, _ := client.heldLines(); held > 0 || client.recentlyRequested(now) {
 		p.sendReport(now, client, out)
 	}
@@ -119,12 +119,12 @@
 
 // sendReport tells the keeper what is held here, and requests permits for the waiting set-ups. Permits for an earlier
 // report are no longer accepted, so the keeper knows exactly which ones are out.
-func (p *Part) sendReport(now int64, client *keeperClient, out *fleet.Out) {
+func (p *Part) sendReport(now int64, client *ownerClient, out *fleet.Out) {
 	entry := client.entry
 	entry.reportQueued.Store(false)
 	client.updateRate(now)
 	wanted := entry.waitingCount.Load()
-	if entry.keeperUnreachable.Load() { // no set-up waits for an unreachable keeper, but it is asked until it answers
+	if entry.ownerUnreachable.Load() { // no set-up waits for an unreachable keeper, but it is asked until it answers
 		wanted = max(wanted, 1)
 	}
 	client.reportNumber++
@@ -136,7 +136,7 @@
 		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "told", Thing: entry.key,
 			Fence: entry.fence.Load(), N: held})
 	}
-	p.emit(client.keeper, operation{Op: opReport, Key: entry.key, Fence: entry.fence.Load(),
+	p.emit(client.owner, operation{Op: opReport, Key: entry.key, Fence: entry.fence.Load(),
 		ReportNumber: client.reportNumber, Incarnation: p.cfg.Life, Held: held, Unused: unused,
 		Calls: max(0, entry.calls.Load()), Wanted: wanted, Rate: int64(client.rate), Busy: entry.busy.Load(),
 		Began: entry.began.Load(), Ended: entry.ended.Load(), Refused: entry.refused.Load()})
@@ -145,9 +145,9 @@
 
 // handleAnswer takes an answer of a keeper.
 func (p *Part) handleAnswer(now int64, from string, op operation, out *fleet.Out) {
-	keeper := from
-	if op.Keeper != "" {
-		keeper = op.Keeper
+	owner := from
+	if op.Owner != "" {
+		owner = op.Owner
 	}
 	client := p.clients[op.Key]
 	if client == nil {
@@ -164,15 +164,15 @@
 		p.counts.lowFence++
 		return
 	}
-	p.raiseFence(now, client, keeper, op.Fence, out)
+	p.raiseFence(now, client, owner, op.Fence, out)
 	if op.ReportNumber == 0 || op.ReportNumber != client.reportNumber || op.Incarnation != p.cfg.Life {
 		if op.ReportNumber != 0 {
 			p.counts.late++
 		}
 		return
 	}
-	client.keeperHeardAt = now
-	client.entry.keeperUnreachable.Store(false)
+	client.ownerHeardAt = now
+	client.entry.ownerUnreachable.Store(false)
 	if granted := op.Permits - client.permitsTaken; granted > 0 {
 		if until := client.reportedAt + op.Lifetime; now < until || p.cfg.disabled.noPermitExpiry {
 			client.permitsTaken = op.Permits
@@ -198,22 +198,22 @@
 }
 
 // handleChange handles the loop's notice that something differs from the last report.
-func (p *Part) handleChange(now int64, client *keeperClient, out *fleet.Out) {
+func (p *Part) handleChange(now int64, client *ownerClient, out *fleet.Out) {
 	client.entry.reportQueued.Store(false)
 	client.changed = true
 	p.tickClient(now, client, out)
 }
 
 // tickClient does what is due for a number.
-func (p *Part) tickClient(now int64, client *keeperClient, out *fleet.Out) {
+func (p *Part) tickClient(now int64, client *ownerClient, out *fleet.Out) {
 	if client.awaitingAnswer && now >= client.reportedAt+p.cfg.AnswerTimeout {
 		// The keeper is unreachable, or the message was lost: waiting set-ups use the fallback share, and the keeper
 		// is asked again.
 		client.awaitingAnswer, client.changed = false, true
-		client.entry.keeperUnreachable.Store(true)
+		client.entry.ownerUnreachable.Store(true)
 		p.counts.unanswered++
 	}
-	unreachable := client.entry.keeperUnreachable.Load()
+	unreachable := client.entry.ownerUnreachable.Load()
 	if returned := client.entry.removeBatches(func(batch *batch) bool {
 		return now >= batch.expiresAt && !p.cfg.disabled.noPermitExpiry
 	}); returned > 0 {
@@ -235,7 +235,7 @@
 // reportInterval returns how often the keeper hears of a number without changes: if a call is likely within the
 // lifetime of a permit, often enough for a permit to be granted in advance; else often enough for what is held here
 // to count.
-func (p *Part) reportInterval(now int64, client *keeperClient) int64 {
+func (p *Part) reportInterval(now int64, client *ownerClient) int64 {
 	if client.recentlyRequested(now) && client.rate*1e-9*float64(p.cfg.PermitLifetime) >= minAdvanceDemand {
 		return p.cfg.PermitLifetime / 2
 	}
@@ -250,7 +250,7 @@
 }
 
 // scheduleClient sets when a number is checked next.
-func (p *Part) scheduleClient(now int64, client *keeperClient) {
+func (p *Part) scheduleClient(now int64, client *ownerClient) {
 	next := int64(math.MaxInt64)
 	// Without lines held or recent set-ups nothing is due until the loop reports something.
 	if held, _ := client.heldLines(); held > 0 || client.recentlyRequested(now) {
@@ -264,7 +264,7 @@
 	if client.awaitingAnswer {
 		next = min(next, client.reportedAt+p.cfg.AnswerTimeout)
 	} else if client.changed {
-		next = min(next, client.reportedAt+p.minReportInterval(client.entry.keeperUnreachable.Load()))
+		next = min(next, client.reportedAt+p.minReportInterval(client.entry.ownerUnreachable.Load()))
 	} else if client.entry.waitingCount.Load() > 0 {
 		next = min(next, now+p.cfg.Poll)
 	}
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -52,7 +52,7 @@
 // withDefaults returns the configuration with its zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Most, 16)
-	c.Most = min(c.Most, maxKept)
+	c.Most = min(c.Most, maxOwned)
 	setDefault(&c.TableSize, 4096)
 	setDefault(&c.Share, 0.5)
 	setDefault(&c.AdvanceShare, 0.75)
--- a/internal/keeper/corpus_test.go
+++ b/internal/keeper/corpus_test.go
@@ -29,7 +29,7 @@
 		full := operation{Op: uint8(n), Key: "+351210000000", Fence: 7, ReportNumber: 9, Incarnation: 11, Held: 12,
 			Unused: 2, Calls: 8, Wanted: 40, Rate: 5000, Busy: 3, Began: 70, Ended: 60, Refused: 5, Permits: 14,
 			Lifetime: 2_000_000, RetryAfter: 300_000, CallerRetryAfter: 30_000_000, TurnoverShare: 2500,
-			Keeper: "sidecar-3"}
+			Owner: "sidecar-3"}
 		var out fleet.Out
 		appendMessages("sidecar-1", "sidecar-2", []operation{full, {Op: uint8(n), Key: "1"}}, &out)
 		var body messageBody
@@ -40,7 +40,7 @@
 			Body      messageBody
 			Operation operation
 		}{body, full}, Bytes: out.Send[0].Body, Max: fleet.MaxBody,
-			Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64},
+			Bounds: map[string]int{"Key": maxKeyLength, "Owner": 64},
 			Read: func(b []byte) (any, error) {
 				return decodeOperations(fleet.Message{Kind: fleet.Keeper, From: "sidecar-1", To: "sidecar-2", Body: b})
 			}})
@@ -72,10 +72,10 @@
 				}{r, holders}, err
 			}})
 	}
-	part := entryPart{Kept: []keptNumber{{"+351210000000", 7, 2500}, {"1", 8, 0}},
+	part := entryPart{Owned: []ownedNumber{{"+351210000000", 7, 2500}, {"1", 8, 0}},
 		Contended: []contendedNumber{{"2", 90_000}}}
 	cases = append(cases, corpus.Case{Name: "said", Value: part, Bytes: part.encode(), Max: fleet.MaxBody,
-		Bounds: map[string]int{"Key": maxKeyLength, "Keeper": 64},
+		Bounds: map[string]int{"Key": maxKeyLength, "Owner": 64},
 		Read:   func(b []byte) (any, error) { return decodeEntryPart("sidecar-1", b) }})
 	corpus.Check(t, cases, numbers)
 }
--- a/internal/keeper/wire.go
+++ b/internal/keeper/encoding.go
@@ -38,12 +38,12 @@
 	Ended   uint64 `cbor:"13,keyasint,omitempty"`
 	Refused uint64 `cbor:"14,keyasint,omitempty"`
 
-	Permits          int64  `cbor:"20,keyasint,omitempty"`              // all that were granted for this report so far
-	Lifetime         int64  `cbor:"21,keyasint,omitempty" json:"Lasts"` // of the permits
-	RetryAfter       int64  `cbor:"22,keyasint,omitempty" json:"Again"` // no permit is available for this long
-	CallerRetryAfter int64  `cbor:"23,keyasint,omitempty" json:"Stay"`  // callers are to stay away for this long
-	TurnoverShare    int64  `cbor:"24,keyasint,omitempty" json:"Share"` // calls in 1000 s: the reporter's part
-	Keeper           string `cbor:"25,keyasint,omitempty"`              // who keeps the number; empty: the sender
+	Permits          int64  `cbor:"20,keyasint,omitempty"`               // all that were granted for this report so far
+	Lifetime         int64  `cbor:"21,keyasint,omitempty" json:"Lasts"`  // of the permits
+	RetryAfter       int64  `cbor:"22,keyasint,omitempty" json:"Again"`  // no permit is available for this long
+	CallerRetryAfter int64  `cbor:"23,keyasint,omitempty" json:"Stay"`   // callers are to stay away for this long
+	TurnoverShare    int64  `cbor:"24,keyasint,omitempty" json:"Share"`  // calls in 1000 s: the reporter's part
+	Owner            string `cbor:"25,keyasint,omitempty" json:"Keeper"` // who keeps the number; empty: the sender
 }
 
 type messageBody struct {
@@ -52,11 +52,11 @@
 
 // entryPart is the keeper part of a process's entry.
 type entryPart struct {
-	Kept      []keptNumber      `cbor:"1,keyasint,omitempty"`
+	Owned     []ownedNumber     `cbor:"1,keyasint,omitempty" json:"Kept"`
 	Contended []contendedNumber `cbor:"2,keyasint,omitempty" json:"Seen"`
 }
 
-type keptNumber struct {
+type ownedNumber struct {
 	Key      string `cbor:"1,keyasint"`
 	Fence    uint64 `cbor:"2,keyasint"`
 	Turnover int64  `cbor:"3,keyasint,omitempty" json:"Share"` // turnover of the lines, calls in 1000 s
@@ -102,7 +102,7 @@
 		}
 	}
 	return validKey(op.Key) && op.Rate >= 0 && op.Rate <= maxRate &&
-		op.TurnoverShare >= 0 && op.TurnoverShare <= maxRate && len(op.Keeper) <= 64
+		op.TurnoverShare >= 0 && op.TurnoverShare <= maxRate && len(op.Owner) <= 64
 }
 
 func validKey(key string) bool { return key != "" && len(key) <= maxKeyLength }
@@ -163,7 +163,7 @@
 	if err := decoding.Unmarshal(body, &part); err != nil {
 		return entryPart{}, &MessageError{name, err.Error()}
 	}
-	part.Kept = slices.DeleteFunc(part.Kept, func(number keptNumber) bool {
+	part.Owned = slices.DeleteFunc(part.Owned, func(number ownedNumber) bool {
 		return !validKey(number.Key) || number.Fence == 0 || number.Turnover < 0 || number.Turnover > maxRate
 	})
 	part.Contended = slices.DeleteFunc(part.Contended, func(number contendedNumber) bool {
@@ -174,7 +174,7 @@
 
 // encode encodes the part, with as many of the contended numbers as fit.
 func (part entryPart) encode() []byte {
-	if len(part.Kept)+len(part.Contended) == 0 {
+	if len(part.Owned)+len(part.Contended) == 0 {
 		return nil
 	}
 	for {
@@ -188,7 +188,7 @@
 		if len(part.Contended) > 0 {
 			part.Contended = part.Contended[:len(part.Contended)-1]
 		} else {
-			part.Kept = part.Kept[:len(part.Kept)-1]
+			part.Owned = part.Owned[:len(part.Owned)-1]
 		}
 	}
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -11,8 +11,8 @@
 	"pewterwheel/internal/lease"
 )
 
-// maxKept bounds the numbers that one process keeps, so that its part of the entry holds them all.
-const maxKept = 16
+// maxOwned bounds the numbers that one process keeps, so that its part of the entry holds them all.
+const maxOwned = 16
 
 const (
 	ledgerInterval  = 100_000 // interval at which ledgers are checked
@@ -32,14 +32,14 @@
 	now   int64
 	view  *fleet.View
 
-	entries          map[string]*memberEntry // by process
-	numbers          map[string]*numberState // by number
-	announcedKeepers []string                // numbers for which an entry announced a keeper
-	localDemands     map[string]*localDemand // numbers that this process sees in contention
-	clients          map[string]*keeperClient
-	retired          map[string]*tableEntry   // numbers that are no longer followed but still have calls
-	ledgers          map[string]*numberLedger // numbers that this process keeps
-	claims           map[string]claim         // numbers that it claims
+	entries         map[string]*memberEntry // by process
+	numbers         map[string]*numberState // by number
+	announcedOwners []string                // numbers for which an entry announced a keeper
+	localDemands    map[string]*localDemand // numbers that this process sees in contention
+	clients         map[string]*ownerClient
+	retired         map[string]*tableEntry   // numbers that are no longer followed but still have calls
+	ledgers         map[string]*numberLedger // numbers that this process keeps
+	claims          map[string]claim         // numbers that it claims
 
 	tableStale       bool // the table differs from clients
 	draining         bool
@@ -59,7 +59,7 @@
 
 // counts holds what a Part has done since its start.
 type counts struct {
-	claims, kept, lost, moved, over                           uint64
+	claims, acquired, lost, moved, over                       uint64
 	reports, granted, withoutPermit                           uint64
 	permitsTaken, permitsReturned, late, lowFence, unanswered uint64
 	unread, tableFull, noRoom, received, sent, badRecords     uint64
@@ -96,7 +96,7 @@
 	}
 	return &Part{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{},
 		numbers: map[string]*numberState{}, localDemands: map[string]*localDemand{},
-		clients: map[string]*keeperClient{}, retired: map[string]*tableEntry{},
+		clients: map[string]*ownerClient{}, retired: map[string]*tableEntry{},
 		ledgers: map[string]*numberLedger{}, claims: map[string]claim{},
 		outgoing: map[string][]operation{}}, nil
 }
@@ -149,24 +149,24 @@
 			}
 		}
 	}
-	p.adoptKeepers(now, out)
+	p.adoptOwners(now, out)
 	p.flush(now, out)
 }
 
-// adoptKeepers takes up the keepers that entries have announced.
-func (p *Part) adoptKeepers(now int64, out *fleet.Out) {
-	slices.Sort(p.announcedKeepers)
-	for _, key := range slices.Compact(p.announcedKeepers) {
-		if keeper := p.keeperOf(key); keeper != nil {
+// adoptOwners takes up the keepers that entries have announced.
+func (p *Part) adoptOwners(now int64, out *fleet.Out) {
+	slices.Sort(p.announcedOwners)
+	for _, key := range slices.Compact(p.announcedOwners) {
+		if owner := p.ownerOf(key); owner != nil {
 			if client := p.client(now, key); client != nil {
 				if client.entry.turnoverShare.Load() == 0 { // until the keeper has sent this process its share
-					client.entry.turnoverShare.Store(keeper.turnover / int64(max(1, len(p.view.Members))))
+					client.entry.turnoverShare.Store(owner.turnover / int64(max(1, len(p.view.Members))))
 				}
-				p.raiseFence(now, client, keeper.name, uint64(keeper.value), out)
+				p.raiseFence(now, client, owner.name, uint64(owner.value), out)
 			}
 		}
 	}
-	p.announcedKeepers = p.announcedKeepers[:0]
+	p.announcedOwners = p.announcedOwners[:0]
 }
 
 // Tick takes what the loop has reported, and does what is due.
@@ -201,7 +201,7 @@
 	}
 	p.sweptAt = now
 	for _, client := range p.clients { // the order does not matter: each is checked on its own
-		if now-client.keeperHeardAt > clientTimeout && p.keeperOf(client.entry.key) == nil &&
+		if now-client.ownerHeardAt > clientTimeout && p.ownerOf(client.entry.key) == nil &&
 			p.ledgers[client.entry.key] == nil {
 			p.dropClient(client)
 		}
@@ -264,7 +264,7 @@
 	return max(p.now, next)
 }
 
-func (p *Part) wakeClient(client *keeperClient, at int64) {
+func (p *Part) wakeClient(client *ownerClient, at int64) {
 	if at < client.checkAt {
 		client.checkAt = at
 		heap.Push(&p.dueClients, dueTime{at, client.entry.key})
@@ -280,7 +280,7 @@
 		p.published, p.publishedAt = encoded, now
 		out.Tell(fleet.Keeper, encoded)
 		p.readEntry(p.cfg.Self, encoded)
-		p.announcedKeepers = p.announcedKeepers[:0]
+		p.announcedOwners = p.announcedOwners[:0]
 	}
 }
 
@@ -358,8 +358,8 @@
 	ledger := p.ledgers[op.Key]
 	if ledger == nil {
 		if client := p.clients[op.Key]; client != nil && client.entry.fence.Load() > op.Fence &&
-			client.keeper != p.cfg.Self {
-			p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: client.entry.fence.Load(), Keeper: client.keeper})
+			client.owner != p.cfg.Self {
+			p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: client.entry.fence.Load(), Owner: client.owner})
 		}
 		return
 	}
@@ -436,12 +436,12 @@
 	for _, key := range sortedKeys(p.claims) {
 		if grant, ok := p.cfg.Lessor.Held(now, leaseName(key)); ok {
 			delete(p.claims, key)
-			p.startKeeping(now, key, grant, out)
+			p.startOwnership(now, key, grant, out)
 			continue
 		}
 		// Another process keeps it by now, or nobody grants the lease.
 		if c := p.claims[key]; now-c.claimedAt > claimTimeout ||
-			p.keptElsewhere(key) && uint64(p.keeperOf(key).value) > c.knownFence {
+			p.ownedElsewhere(key) && uint64(p.ownerOf(key).value) > c.knownFence {
 			delete(p.claims, key)
 			p.cfg.Lessor.Release(now, leaseName(key), out)
 		}
@@ -451,9 +451,9 @@
 	}
 }
 
-// startKeeping creates the ledger from the previous keeper's record, and asks the processes that may hold lines what
+// startOwnership creates the ledger from the previous keeper's record, and asks the processes that may hold lines what
 // they hold.
-func (p *Part) startKeeping(now int64, key string, grant lease.Grant, out *fleet.Out) {
+func (p *Part) startOwnership(now int64, key string, grant lease.Grant, out *fleet.Out) {
 	ledger, err := newLedger(&p.cfg, key, leaseName(key), now, grant)
 	if err != nil {
 		p.counts.badRecords++
@@ -461,27 +461,27 @@
 			Text: err.Error()})
 	}
 	p.ledgers[key] = ledger
-	p.counts.kept++
+	p.counts.acquired++
 	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "kept", Thing: key, Fence: grant.Fence,
 		Until: grant.Until, N: ledger.lines})
-	greeting := operation{Op: opAnswer, Key: key, Fence: grant.Fence}
-	p.emit(p.cfg.Self, greeting)
-	ask := map[string]bool{p.cfg.Self: true}
+	notice := operation{Op: opAnswer, Key: key, Fence: grant.Fence}
+	p.emit(p.cfg.Self, notice)
+	recipients := map[string]bool{p.cfg.Self: true}
 	if state := p.numbers[key]; state != nil {
 		for _, reporter := range state.reporters {
-			ask[reporter.name] = true
+			recipients[reporter.name] = true
 		}
 	}
 	for _, holder := range ledger.previousHolders {
 		for _, member := range p.members() {
 			if nameHash(member.Name) == holder.name {
-				ask[member.Name] = true
+				recipients[member.Name] = true
 			}
 		}
 	}
-	for _, name := range sortedKeys(ask) {
+	for _, name := range sortedKeys(recipients) {
 		if name != p.cfg.Self {
-			p.emit(name, greeting)
+			p.emit(name, notice)
 		}
 	}
 	p.publishedAt = 0
@@ -578,7 +578,7 @@
 	put("keeper_lines", uint64(lines), true)
 	put("keeper_lines_held", uint64(held), true)
 	put("keeper_claims", counts.claims, false)
-	put("keeper_kept", counts.kept, false)
+	put("keeper_kept", counts.acquired, false)
 	put("keeper_lost", counts.lost, false)
 	put("keeper_moved", counts.moved, false)
 	put("keeper_over", counts.over, false)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -40,7 +40,7 @@
 // Plays schedules of messages that are lost, duplicated, late or out of order, of processes that are killed, stopped,
 // cut off or drained, and of keepers that change: permits and calls under permits never exceed the known lines.
 func TestLinesNeverExceeded(t *testing.T) {
-	moves, keptNotes, granted := 0, 0, 0
+	moves, ownedNotes, granted := 0, 0, 0
 	check := func(rt *rapid.T) {
 		lines := rapid.IntRange(2, 12).Draw(rt, "lines")
 		cfg := smallWorld(rapid.Uint64().Draw(rt, "seed"), lines)
@@ -57,11 +57,11 @@
 		}
 		world.Run(60 * second)
 		moves += len(world.Noted("moved")) + len(world.Noted("lost"))
-		keptNotes += len(world.Noted("kept"))
+		ownedNotes += len(world.Noted("kept"))
 		granted += len(world.Noted("granted"))
 	}
 	rapid.Check(t, check)
-	t.Log("kept", keptNotes, "moved or lost", moves, "grants", granted)
+	t.Log("kept", ownedNotes, "moved or lost", moves, "grants", granted)
 	must(t, moves > 2, "too few moves")
 	must(t, granted > 1000, "too few grants")
 }
@@ -142,8 +142,8 @@
 			if how == "drained" {
 				must(t, old.Part.Drained(), "old keeper not drained")
 				must(t, len(world.Noted("moved")) == 1, world.Noted("moved"))
-				kept := world.Noted("kept")
-				must(t, kept[len(kept)-1].At-world.Noted("moved")[0].At < 300_000, "the next keeper is late")
+				owned := world.Noted("kept")
+				must(t, owned[len(owned)-1].At-world.Noted("moved")[0].At < 300_000, "the next keeper is late")
 			}
 			must(t, world.Counts.Busy-busy <= 15, "busy ends", world.Counts.Busy-busy)
 		})
--- a/internal/keeper/book.go
+++ b/internal/keeper/ledger.go
@@ -298,10 +298,10 @@
 		return peer // duplicate
 	}
 	previous, first := peer.report, !peer.reported
-	if keep := math.Exp(-float64(now-peer.reportedAt) / demandWindow); first {
+	if decay := math.Exp(-float64(now-peer.reportedAt) / demandWindow); first {
 		peer.averageRate = float64(op.Rate)
 	} else {
-		peer.averageRate = peer.averageRate*keep + float64(op.Rate)*(1-keep)
+		peer.averageRate = peer.averageRate*decay + float64(op.Rate)*(1-decay)
 	}
 	peer.reportNumber, peer.reportedAt, peer.reported, peer.report, peer.granted, peer.lifetime, peer.answerPending =
 		op.ReportNumber, now, true, op, 0, 0, false
--- a/internal/keeper/choice.go
+++ b/internal/keeper/owner_selection.go
@@ -37,7 +37,7 @@
 type numberState struct {
 	key         string
 	reporters   []announcement // sorted by name
-	keepers     []announcement // sorted by name
+	owners      []announcement // sorted by name
 	chosenSince int64          // since when this process is the one chosen to keep it; 0: it is not
 }
 
@@ -81,9 +81,9 @@
 			state.reporters = removeAnnouncement(state.reporters, name)
 		})
 	}
-	for _, kept := range entry.part.Kept {
-		p.updateNumberState(kept.Key, func(state *numberState) {
-			state.keepers = removeAnnouncement(state.keepers, name)
+	for _, owned := range entry.part.Owned {
+		p.updateNumberState(owned.Key, func(state *numberState) {
+			state.owners = removeAnnouncement(state.owners, name)
 		})
 	}
 	part, err := decodeEntryPart(name, body)
@@ -95,11 +95,11 @@
 		state := p.numberState(contended.Key)
 		state.reporters = setAnnouncement(state.reporters, announcement{name: name, value: contended.Rate})
 	}
-	for _, kept := range part.Kept {
-		state := p.numberState(kept.Key)
-		state.keepers = setAnnouncement(state.keepers, announcement{name: name, value: int64(kept.Fence),
-			turnover: kept.Turnover})
-		p.announcedKeepers = append(p.announcedKeepers, kept.Key)
+	for _, owned := range part.Owned {
+		state := p.numberState(owned.Key)
+		state.owners = setAnnouncement(state.owners, announcement{name: name, value: int64(owned.Fence),
+			turnover: owned.Turnover})
+		p.announcedOwners = append(p.announcedOwners, owned.Key)
 	}
 }
 
@@ -114,35 +114,35 @@
 
 func (p *Part) updateNumberState(key string, update func(*numberState)) {
 	if state := p.numbers[key]; state != nil {
-		if update(state); len(state.reporters)+len(state.keepers) == 0 {
+		if update(state); len(state.reporters)+len(state.owners) == 0 {
 			delete(p.numbers, key)
 		}
 	}
 }
 
-// keeperOf returns the announced keeper of a number with the highest fence; nil: none.
-func (p *Part) keeperOf(key string) *announcement {
+// ownerOf returns the announced keeper of a number with the highest fence; nil: none.
+func (p *Part) ownerOf(key string) *announcement {
 	state := p.numbers[key]
 	if state == nil {
 		return nil
 	}
 	var best *announcement
-	for i := range state.keepers {
-		if keeper := &state.keepers[i]; best == nil || keeper.value > best.value {
-			best = keeper
+	for i := range state.owners {
+		if owner := &state.owners[i]; best == nil || owner.value > best.value {
+			best = owner
 		}
 	}
 	return best
 }
 
-// keptElsewhere tells whether another process that is not suspected keeps a number. A number kept by a suspected
+// ownedElsewhere tells whether another process that is not suspected keeps a number. A number kept by a suspected
 // process may be claimed: the lease decides.
-func (p *Part) keptElsewhere(key string) bool {
-	keeper := p.keeperOf(key)
-	if keeper == nil || keeper.name == p.cfg.Self {
+func (p *Part) ownedElsewhere(key string) bool {
+	owner := p.ownerOf(key)
+	if owner == nil || owner.name == p.cfg.Self {
 		return false
 	}
-	member := p.view.Member(keeper.name)
+	member := p.view.Member(owner.name)
 	return member != nil && !member.Suspect
 }
 
@@ -169,7 +169,7 @@
 		return false
 	}
 	entry := p.entries[name]
-	return entry == nil || len(entry.part.Kept) < p.cfg.Most
+	return entry == nil || len(entry.part.Owned) < p.cfg.Most
 }
 
 // preferred orders the candidates for a number by demand, and equal ones by hash, so that all processes choose the
@@ -181,8 +181,8 @@
 	return xxhash.Sum64String(key+"\x00"+nameA) > xxhash.Sum64String(key+"\x00"+nameB)
 }
 
-// chooseKeeper returns who is to keep a number that nobody keeps; empty: nobody is eligible.
-func (p *Part) chooseKeeper(state *numberState) string {
+// chooseOwner returns who is to keep a number that nobody keeps; empty: nobody is eligible.
+func (p *Part) chooseOwner(state *numberState) string {
 	best, highest := "", int64(0)
 	for _, reporter := range state.reporters {
 		if p.eligible(reporter.name) &&
@@ -228,11 +228,11 @@
 		if p.ledgers[key] != nil || p.claims[key].claimedAt != 0 {
 			continue
 		}
-		if p.keptElsewhere(key) || !p.isContended(state) {
+		if p.ownedElsewhere(key) || !p.isContended(state) {
 			state.chosenSince = 0
 			continue
 		}
-		switch p.chooseKeeper(state) {
+		switch p.chooseOwner(state) {
 		case p.cfg.Self:
 			if state.chosenSince == 0 {
 				state.chosenSince = now
@@ -255,8 +255,8 @@
 
 func (p *Part) claimNumber(now int64, key string, out *fleet.Out) {
 	pending := claim{claimedAt: max(1, now)}
-	if keeper := p.keeperOf(key); keeper != nil {
-		pending.knownFence = uint64(keeper.value)
+	if owner := p.ownerOf(key); owner != nil {
+		pending.knownFence = uint64(owner.value)
 	}
 	p.claims[key] = pending
 	p.counts.claims++
@@ -330,7 +330,7 @@
 	var part entryPart
 	for _, key := range sortedKeys(p.ledgers) {
 		ledger := p.ledgers[key]
-		part.Kept = append(part.Kept, keptNumber{key, ledger.fence, roundRate(ledger.turnover(now))})
+		part.Owned = append(part.Owned, ownedNumber{key, ledger.fence, roundRate(ledger.turnover(now))})
 	}
 	for key, demand := range p.localDemands {
 		if now-demand.updatedAt > localDemandAge {
@@ -341,7 +341,7 @@
 	}
 	for key, client := range p.clients {
 		if client.refusedAt != 0 && now-client.refusedAt <= localDemandAge && p.ledgers[key] == nil &&
-			!p.keptElsewhere(key) {
+			!p.ownedElsewhere(key) {
 			part.Contended = append(part.Contended, contendedNumber{key, roundRate(int64(client.rate))})
 		}
 	}
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -88,12 +88,12 @@
 	reportQueued atomic.Bool   // a report of a change is queued already
 
 	// Written by the Part, read by the loop.
-	batches           atomic.Pointer[[]*batch]
-	fence             atomic.Uint64 // highest seen
-	noPermitUntil     atomic.Int64  // no permit is available before
-	callerRetryAfter  atomic.Int64  // microseconds that a caller is to stay away
-	turnoverShare     atomic.Int64  // calls in 1000 s: this process's share of the lines' turnover
-	keeperUnreachable atomic.Bool   // the keeper does not answer
+	batches          atomic.Pointer[[]*batch]
+	fence            atomic.Uint64 // highest seen
+	noPermitUntil    atomic.Int64  // no permit is available before
+	callerRetryAfter atomic.Int64  // microseconds that a caller is to stay away
+	turnoverShare    atomic.Int64  // calls in 1000 s: this process's share of the lines' turnover
+	ownerUnreachable atomic.Bool   // the keeper does not answer
 
 	// Used by the loop alone: token bucket for calls admitted without a permit while the keeper is unreachable.
 	tokens     float64
@@ -150,16 +150,16 @@
 }
 
 func (e *tableEntry) removeBatches(matches func(*batch) bool) (returned int64) {
-	var kept []*batch
+	var remaining []*batch
 	for _, batch := range *e.batches.Load() {
 		switch {
 		case matches(batch):
 			returned += max(0, batch.remaining.Swap(0))
 		case batch.remaining.Load() > 0:
-			kept = append(kept, batch)
+			remaining = append(remaining, batch)
 		}
 	}
-	e.batches.Store(&kept)
+	e.batches.Store(&remaining)
 	return returned
 }
 
