--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -4,7 +4,7 @@
 	"pewterwheel/decide"
 )
 
-// Decider decides behind a Front: the router, or the decide module alone.
+// Decider decides on the events that a Front passes on: the router, or the decide module alone.
 type Decider interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
@@ -57,9 +57,9 @@
 type FilterCounts struct {
 	Contended       uint64 // set-ups for numbers in contention
 	Permitted       uint64 // admitted with a permit
-	Held            uint64 // delayed while a permit was requested
+	Delayed         uint64 // delayed while a permit was requested
 	Refused         uint64 // refused, as no line is free
-	Fallback        uint64 // admitted by the fallback share, as the keeper was unreachable
+	Fallback        uint64 // admitted by the fallback share, as the owner was unreachable
 	FallbackRefused uint64 // refused, as the fallback share was used up
 	Busy            uint64 // set-ups under a permit that ended busy
 	Untracked       uint64 // admitted without being followed, for lack of room
@@ -95,7 +95,7 @@
 	counts := &f.Counts
 	put("keeper_hot", counts.Contended, false)
 	put("keeper_permitted", counts.Permitted, false)
-	put("keeper_held", counts.Held, false)
+	put("keeper_held", counts.Delayed, false)
 	put("keeper_refused", counts.Refused, false)
 	put("keeper_plain", counts.Fallback, false)
 	put("keeper_unshared", counts.FallbackRefused, false)
@@ -223,7 +223,7 @@
 		delete(f.calls, event.Call)
 		return f.admitFallback(now, event, entry, out)
 	}
-	f.Counts.Held++
+	f.Counts.Delayed++
 	if len(entry.waiting) == 0 {
 		f.waitingEntries = append(f.waitingEntries, entry)
 	}
@@ -266,9 +266,9 @@
 	return min(entry.callerRetryAfter.Load(), f.settings.MaxRetryAfter)
 }
 
-// admitFallback admits a call without a permit while the keeper is unreachable, within this process's fraction of the
-// turnover share it was last told. It keeps the calls of all processes from reaching the offices at once when a
-// keeper dies.
+// admitFallback admits a call without a permit while the owner is unreachable, within this process's fraction of the
+// turnover share it was last told. It prevents the calls of all processes from reaching the offices at once when an
+// owner dies.
 func (f *Front) admitFallback(now int64, event decide.Event, entry *tableEntry, out []decide.Action) []decide.Action {
 	if entry.refilledAt == 0 {
 		entry.tokens, entry.refilledAt = 1, now
--- a/internal/keeper/admission_test.go
+++ b/internal/keeper/admission_test.go
@@ -62,11 +62,11 @@
 
 // For any sequence of events: each call gets at most one final answer, each admitted call has a permit or uses the
 // fallback share, no permit is used twice, and no line is held once all calls are over.
-func TestFrontLines(t *testing.T) {
+func TestAdmissionFilterLines(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		table, queue := NewTable(), NewQueue(64)
 		inner := &fakeDecider{t: rt, seen: map[decide.CallID]bool{}}
-		front := NewFront(Config{Self: "a"}, settings(), inner, table, queue)
+		filter := NewFront(Config{Self: "a"}, settings(), inner, table, queue)
 		entry := newTableEntry(contendedKey)
 		entry.fence.Store(3)
 		entry.ownerUnreachable.Store(false)
@@ -76,7 +76,7 @@
 		permits, admitted := 0, 0
 		armed := false
 		do := func(e decide.Event) {
-			for _, action := range front.Step(now, e, nil) {
+			for _, action := range filter.Step(now, e, nil) {
 				switch action.Kind {
 				case decide.Send:
 					switch state[action.Call] {
@@ -173,7 +173,7 @@
 					(<-queue.reports).entry.reportQueued.Store(false)
 				}
 			}
-			if used := admitted - int(front.Counts.Fallback); used > permits {
+			if used := admitted - int(filter.Counts.Fallback); used > permits {
 				rt.Fatalf("%d calls admitted with %d permits", used, permits)
 			}
 		}
@@ -192,10 +192,10 @@
 			}
 		}
 		if entry.open.Load() != 0 || entry.calls.Load() != 0 || entry.waitingCount.Load() != 0 ||
-			entry.fallback.Load() != 0 || len(front.calls) != 0 {
+			entry.fallback.Load() != 0 || len(filter.calls) != 0 {
 			rt.Fatalf("after all calls are over: open %d, calls %d, waiting %d, without permit %d, followed %d",
 				entry.open.Load(), entry.calls.Load(), entry.waitingCount.Load(),
-				entry.fallback.Load(), len(front.calls))
+				entry.fallback.Load(), len(filter.calls))
 		}
 	})
 }
@@ -222,13 +222,13 @@
 			if entry.takePermit(1000, &cfg.disabled) == enabled {
 				t.Errorf("safeguard %s on: %v; permit taken: %v", test.safeguard, enabled, enabled)
 			}
-			// The same for an answer of a keeper.
-			part := newTestPart(t, cfg)
+			// The same for an answer of an owner.
+			module := newTestModule(t, cfg)
 			var out fleet.Out
-			part.handleAnswer(1000, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 3}, &out)
-			client := part.clients[contendedKey]
-			part.sendReport(1000, client, &out)
-			part.handleAnswer(1000+test.later, "k", operation{Op: opAnswer, Key: contendedKey, Fence: test.fence,
+			module.handleAnswer(1000, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 3}, &out)
+			client := module.clients[contendedKey]
+			module.sendReport(1000, client, &out)
+			module.handleAnswer(1000+test.later, "k", operation{Op: opAnswer, Key: contendedKey, Fence: test.fence,
 				ReportNumber: client.reportNumber, Permits: 1, Lifetime: 900}, &out)
 			if taken := client.entry.unusedPermits() == 1; taken == enabled {
 				t.Errorf("safeguard %s on: %v; grant accepted: %v", test.safeguard, enabled, taken)
@@ -238,20 +238,20 @@
 }
 
 // Runs the loop and the Part concurrently, for the race detector: each permit is used once, and no line is lost.
-func TestLoopAndPartConcurrently(t *testing.T) {
+func TestLoopAndModuleConcurrently(t *testing.T) {
 	table, queue := NewTable(), NewQueue(16)
-	part, err := New(Config{Self: "a", Lessor: &fakeLessor{}}, table, queue)
+	module, err := New(Config{Self: "a", Lessor: &fakeLessor{}}, table, queue)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out fleet.Out
-	part.handleAnswer(1, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 1}, &out)
-	part.flush(1, &out)
-	entry := part.clients[contendedKey].entry
-	front := NewFront(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
+	module.handleAnswer(1, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 1}, &out)
+	module.flush(1, &out)
+	entry := module.clients[contendedKey].entry
+	filter := NewFront(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
 	stop, done := make(chan bool), make(chan int64)
 	var clock atomic.Int64
-	go func() { // the Part, and a keeper that grants one permit for each report
+	go func() { // the Part, and an owner that grants one permit for each report
 		given, fence := int64(0), uint64(1)
 		for {
 			select {
@@ -264,13 +264,13 @@
 			}
 			var out fleet.Out
 			now := clock.Load() // both use one clock
-			part.Tick(now, &out)
-			client := part.clients[contendedKey]
+			module.Tick(now, &out)
+			client := module.clients[contendedKey]
 			if client.awaitingAnswer {
 				if given++; given%50 == 0 {
 					fence++
 				}
-				part.handleAnswer(now, "k", operation{Op: opAnswer, Key: contendedKey, Fence: fence,
+				module.handleAnswer(now, "k", operation{Op: opAnswer, Key: contendedKey, Fence: fence,
 					ReportNumber: client.reportNumber, Incarnation: 0, Permits: 1, Lifetime: 100_000}, &out)
 			}
 		}
@@ -281,25 +281,25 @@
 		if i%16 == 0 {
 			runtime.Gosched()
 		}
-		for _, action := range front.Step(now, decide.Event{Kind: decide.Order, Call: id, Key: contendedKey}, nil) {
+		for _, action := range filter.Step(now, decide.Event{Kind: decide.Order, Call: id, Key: contendedKey}, nil) {
 			if action.Kind == decide.Send {
-				front.Step(now, decide.Event{Kind: decide.Begun, Call: action.Call}, nil)
-				front.Step(now, decide.Event{Kind: decide.Over, Call: action.Call}, nil)
+				filter.Step(now, decide.Event{Kind: decide.Begun, Call: action.Call}, nil)
+				filter.Step(now, decide.Event{Kind: decide.Over, Call: action.Call}, nil)
 			}
 		}
 	}
 	close(stop)
 	given := <-done
-	for _, c := range front.calls {
+	for _, c := range filter.calls {
 		if !c.waiting {
 			t.Error("a call that is over is still followed")
 		}
 	}
-	if open := entry.open.Load() - entry.fallback.Load(); int64(front.Counts.Permitted) > given ||
-		open > int64(len(front.calls)) {
-		t.Errorf("%d permits granted, %d used, %d lines open", given, front.Counts.Permitted, open)
+	if open := entry.open.Load() - entry.fallback.Load(); int64(filter.Counts.Permitted) > given ||
+		open > int64(len(filter.calls)) {
+		t.Errorf("%d permits granted, %d used, %d lines open", given, filter.Counts.Permitted, open)
 	}
-	t.Log("granted", given, "used", front.Counts.Permitted, "by fallback share", front.Counts.Fallback)
+	t.Log("granted", given, "used", filter.Counts.Permitted, "by fallback share", filter.Counts.Fallback)
 }
 
 // fakeLessor is a lessor that grants everything.
@@ -316,13 +316,13 @@
 }
 func (l *fakeLessor) Holder(string) (string, uint64) { return "", 0 }
 
-func newTestPart(t testing.TB, cfg Config) *Part {
+func newTestModule(t testing.TB, cfg Config) *Part {
 	cfg.Self, cfg.Lessor = "a", &fakeLessor{}
-	part, err := New(cfg, NewTable(), NewQueue(64))
+	module, err := New(cfg, NewTable(), NewQueue(64))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return part
+	return module
 }
 
 // A duplicate of a report is granted no more permits, and a report older than the newest is granted none.
@@ -375,13 +375,13 @@
 	if !slices.Equal(decoded, ops) {
 		t.Error("decoded operations differ from the encoded ones")
 	}
-	part := newTestPart(t, Config{})
+	module := newTestModule(t, Config{})
 	for i, invalid := range []operation{{Op: opAnswer, Key: ""}, {Op: opAnswer, Key: contendedKey, Permits: -1},
 		{Op: opAnswer, Key: contendedKey, Lifetime: 1 << 50}, {Op: opAnswer, Key: contendedKey, Held: 1 << 30}} {
 		var out fleet.Out
 		appendMessages("b", "a", []operation{invalid, {Op: 200, Key: contendedKey}}, &out)
-		part.Message(1, out.Send[0], &out)
-		if part.counts.unread != uint64(i+1) || len(part.clients) != 0 {
+		module.Message(1, out.Send[0], &out)
+		if module.counts.undecodable != uint64(i+1) || len(module.clients) != 0 {
 			t.Errorf("%+v is accepted", invalid)
 		}
 	}
@@ -410,9 +410,9 @@
 		{Op: opAnswer, Key: contendedKey, Fence: 9, Permits: 2}}, &out)
 	f.Add(out.Send[0].Body)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		part := newTestPart(t, Config{})
+		module := newTestModule(t, Config{})
 		var out fleet.Out
-		part.Message(1, fleet.Message{Kind: fleet.Keeper, From: "b", To: "a", Body: body}, &out)
+		module.Message(1, fleet.Message{Kind: fleet.Keeper, From: "b", To: "a", Body: body}, &out)
 		_, _ = decodeEntryPart("b", body)
 		_, _ = decodeRecord(contendedKey, body)
 	})
@@ -498,12 +498,12 @@
 
 // A set-up to a number not in contention allocates nothing.
 func TestUncontendedNumberAllocatesNothing(t *testing.T) {
-	front, keys := uncontendedFront(t)
+	filter, keys := uncontendedFilter(t)
 	out := make([]decide.Action, 0, 4)
 	i := 0
 	if n := testing.AllocsPerRun(10_000, func() {
 		i++
-		out = front.Step(int64(i), decide.Event{Kind: decide.Order, Call: decide.CallID(i),
+		out = filter.Step(int64(i), decide.Event{Kind: decide.Order, Call: decide.CallID(i),
 			Key: keys[i%len(keys)]}, out[:0])
 	}); n != 0 {
 		t.Errorf("%g allocations a call", n)
@@ -515,7 +515,7 @@
 func (noopDecider) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
 func (noopDecider) Avoids(decide.ServerID) bool                                       { return false }
 
-func uncontendedFront(testing.TB) (*Front, []string) {
+func uncontendedFilter(testing.TB) (*Front, []string) {
 	table := NewTable()
 	entries := map[uint64]*tableEntry{}
 	for i := range 100 {
@@ -523,12 +523,12 @@
 		entries[entry.hash] = entry
 	}
 	table.replace(entries)
-	front := NewFront(Config{Self: "a"}, settings(), noopDecider{}, table, NewQueue(64))
+	filter := NewFront(Config{Self: "a"}, settings(), noopDecider{}, table, NewQueue(64))
 	var keys []string
 	for i := range 4096 {
 		keys = append(keys, fmt.Sprintf("0800%06d", i))
 	}
-	return front, keys
+	return filter, keys
 }
 
 // reportCPUTime reports the processor time of a benchmark besides its wall-clock time, which is longer on a shared
@@ -550,7 +550,7 @@
 		name string
 		n    int
 	}{{"few", 16}, {"many", 4096}} {
-		front, keys := uncontendedFront(b)
+		filter, keys := uncontendedFilter(b)
 		var inner Decider = noopDecider{}
 		out := make([]decide.Action, 0, 4)
 		event := decide.Event{Kind: decide.Order, Call: 1}
@@ -559,7 +559,7 @@
 			defer reportCPUTime(b)()
 			for i := range b.N {
 				event.Key = keys[i%test.n]
-				out = front.Step(int64(i), event, out[:0])
+				out = filter.Step(int64(i), event, out[:0])
 			}
 		})
 		b.Run(test.name+"/without", func(b *testing.B) {
--- a/internal/keeper/client.go
+++ b/internal/keeper/client.go
@@ -8,13 +8,13 @@
 
 const (
 	minReportGap         = 20_000    // least time between two reports of one number while no set-up waits
-	unreachableReportGap = 200_000   // the same while its keeper does not answer
-	clientTimeout        = 6_000_000 // a number whose keeper is not known or heard any more is forgotten after this
+	unreachableReportGap = 200_000   // the same while its owner does not answer
+	clientTimeout        = 6_000_000 // a number whose owner is not known or heard any more is forgotten after this
 	minAdvanceDemand     = 0.5       // calls in the lifetime of a permit from which permits are granted in advance
 	rateWindow           = 5_000_000 // averaging window of the demand
 )
 
-// ownerClient is this process's own state for one number that another process, or this one, keeps.
+// ownerClient is the state of this process as a client of a number's owner, which may be this process itself.
 type ownerClient struct {
 	entry          *tableEntry
 	owner          string
@@ -22,7 +22,7 @@
 	reportedAt     int64
 	awaitingAnswer bool  // set-ups wait for the answer to that report
 	permitsTaken   int64 // permits accepted in answer to it
-	ownerHeardAt   int64 // when its keeper was last heard of
+	ownerHeardAt   int64 // when its owner was last heard of
 	checkAt        int64 // when it is to be checked next
 	changed        bool  // something has changed since the report
 	notedLines     int64 // lines in the last note, plus one; 0: none under this fence
@@ -63,8 +63,8 @@
 	}
 }
 
-// client returns this process's state for a number. If there is none it is created when a keeper is heard of, if the
-// table has room.
+// client returns the client for a number. If there is none, it is created, and its entry added to the table; nil: the
+// table is full.
 func (p *Part) client(now int64, key string) *ownerClient {
 	if client := p.clients[key]; client != nil {
 		return client
@@ -99,8 +99,8 @@
 	}
 }
 
-// raiseFence adopts a fence higher than the known one: permits of the old one are taken back, and the new keeper is
-// told what is held here.
+// raiseFence adopts the fence of a new owner if it is higher than the known one: permits with a lower fence are taken
+// back, and the new owner is told what is held here.
 func (p *Part) raiseFence(now int64, client *ownerClient, owner string, fence uint64, out *fleet.Out) {
 	if fence <= client.entry.fence.Load() {
 		return
@@ -117,14 +117,14 @@
 	}
 }
 
-// sendReport tells the keeper what is held here, and requests permits for the waiting set-ups. Permits for an earlier
-// report are no longer accepted, so the keeper knows exactly which ones are out.
+// sendReport tells the owner what is held here, and requests permits for the waiting set-ups. Permits for an earlier
+// report are no longer accepted, so the owner knows exactly which ones are out.
 func (p *Part) sendReport(now int64, client *ownerClient, out *fleet.Out) {
 	entry := client.entry
 	entry.reportQueued.Store(false)
 	client.updateRate(now)
 	wanted := entry.waitingCount.Load()
-	if entry.ownerUnreachable.Load() { // no set-up waits for an unreachable keeper, but it is asked until it answers
+	if entry.ownerUnreachable.Load() { // no set-up waits for an unreachable owner, but it is asked until it answers
 		wanted = max(wanted, 1)
 	}
 	client.reportNumber++
@@ -143,7 +143,7 @@
 	p.scheduleClient(now, client)
 }
 
-// handleAnswer takes an answer of a keeper.
+// handleAnswer takes an owner's answer.
 func (p *Part) handleAnswer(now int64, from string, op operation, out *fleet.Out) {
 	owner := from
 	if op.Owner != "" {
@@ -159,7 +159,7 @@
 		}
 	}
 	fence := client.entry.fence.Load()
-	// Ignore a keeper that does not know that its lease has ended.
+	// Ignore an owner that does not know that its lease has ended.
 	if op.Fence < fence && !p.cfg.disabled.noFencing {
 		p.counts.lowFence++
 		return
@@ -167,7 +167,7 @@
 	p.raiseFence(now, client, owner, op.Fence, out)
 	if op.ReportNumber == 0 || op.ReportNumber != client.reportNumber || op.Incarnation != p.cfg.Life {
 		if op.ReportNumber != 0 {
-			p.counts.late++
+			p.counts.outdated++
 		}
 		return
 	}
@@ -183,7 +183,7 @@
 			out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "permit", Thing: op.Key, Fence: op.Fence,
 				Until: until, N: granted})
 		} else {
-			p.counts.late++
+			p.counts.outdated++
 		}
 	}
 	noPermitUntil := int64(0)
@@ -207,7 +207,7 @@
 // tickClient does what is due for a number.
 func (p *Part) tickClient(now int64, client *ownerClient, out *fleet.Out) {
 	if client.awaitingAnswer && now >= client.reportedAt+p.cfg.AnswerTimeout {
-		// The keeper is unreachable, or the message was lost: waiting set-ups use the fallback share, and the keeper
+		// The owner is unreachable, or the message was lost: waiting set-ups use the fallback share, and the owner
 		// is asked again.
 		client.awaitingAnswer, client.changed = false, true
 		client.entry.ownerUnreachable.Store(true)
@@ -232,9 +232,9 @@
 	p.scheduleClient(now, client)
 }
 
-// reportInterval returns how often the keeper hears of a number without changes: if a call is likely within the
-// lifetime of a permit, often enough for a permit to be granted in advance; else often enough for what is held here
-// to count.
+// reportInterval returns the interval of reports without changes: if a call is likely within the lifetime of a
+// permit, short enough for a permit to be granted in advance; else short enough for the owner not to take this process
+// for silent.
 func (p *Part) reportInterval(now int64, client *ownerClient) int64 {
 	if client.recentlyRequested(now) && client.rate*1e-9*float64(p.cfg.PermitLifetime) >= minAdvanceDemand {
 		return p.cfg.PermitLifetime / 2
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -1,7 +1,8 @@
 // Package keeper shares the lines of called numbers whose lines run out. When several processes repeatedly find one
-// number busy, one of them (the keeper) takes the lease of the number, tracks its lines and everything open to it,
-// and grants permits to the others. A Front on each call loop admits calls to the number only with a permit. A number
-// that is not in contention has no keeper and costs nothing.
+// number busy, one of them takes the lease of the number and so becomes its owner: it tracks the lines of the number
+// and everything open to it, and grants permits to the others. A Front on each call loop admits calls to the number
+// only with a permit. A number that is not in contention has no owner and costs nothing. The package is named keeper
+// for the settings section and the metrics of that name.
 //
 // Part is the state machine of a process and runs beside its call loop; Front is the session.Decider on the loop.
 // They share only a Table and a Queue. Neither has a clock, goroutine or socket; both use the same monotonic time in
@@ -24,16 +25,16 @@
 	Barred func(name string) bool // reports processes that are next in a staged change; nil: none
 	Lines  func(key string) int   // lines of a number that the site configures; 0 or nil: they are learned
 
-	Most         int     // numbers kept here at once; default and maximum 16: they must fit into the process's entry
+	Most         int     // numbers owned here at once; default and maximum 16: they must fit into the process's entry
 	TableSize    int     // numbers in the table; 4096
-	Share        float64 // fraction of its turnover share that a process uses while the keeper is unreachable; 0.5
+	Share        float64 // fraction of its turnover share that a process uses while the owner is unreachable; 0.5
 	AdvanceShare float64 // fraction of the permits granted before they are requested; 0.75
 	MoveMargin   float64 // relative excess of another process's demand that moves a number to it; 0.5
 	Drift        float64 // bound on how much faster one clock runs than another; 0.01
 
 	PermitLifetime int64 // lifetime of a permit, from when it was requested; 2 s
 	MaxWait        int64 // longest wait of a set-up for a permit, at most half the aim of its class; 40 ms
-	AnswerTimeout  int64 // a keeper that has not answered within this time is unreachable; 35 ms
+	AnswerTimeout  int64 // an owner that has not answered within this time is unreachable; 35 ms
 	Poll           int64 // longest time between reads of the queue while a number is in contention; 5 ms
 	ClaimDelay     int64 // contention lasts this long before a number is claimed; 500 ms
 	MoveDelay      int64 // another process has the higher demand for this long before a number moves; 5 s
@@ -88,7 +89,7 @@
 	case filled.Self == "":
 		return &ConfigError{"no name configured for this process"}
 	case filled.Most < 1:
-		return &ConfigError{fmt.Sprintf("limit of %d numbers for one keeper is below 1", c.Most)}
+		return &ConfigError{fmt.Sprintf("limit of %d owned numbers is below 1", c.Most)}
 	case filled.Share < 0 || filled.Share > 1:
 		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", filled.Share)}
 	case filled.AdvanceShare < 0 || filled.AdvanceShare > 0.9:
@@ -139,22 +140,22 @@
 	return "No action needed: the lines are learned again in some seconds; if it recurs, compare the program versions."
 }
 
-// LostError reports that the lease of a number ended while this process kept it.
+// LostError reports that the lease of a number ended while this process owned it.
 type LostError struct{ Number string }
 
 func (e *LostError) Error() string { return "keeper: lease of " + e.Number + " lost" }
 
 // Advice tells an operator what to do.
 func (e *LostError) Advice() string {
-	return "Check if this process was stopped or cut off from a roster majority; calls go by share until another keeps it."
+	return "Check if this process was stopped or cut off from a roster majority; calls go by share until another owns it."
 }
 
-// FullError reports a number in contention that no process can keep, as all keep their maximum.
+// FullError reports a number in contention that no process can own, as all own their maximum.
 type FullError struct{ Number string }
 
-func (e *FullError) Error() string { return "keeper: no process has room to keep " + e.Number }
+func (e *FullError) Error() string { return "keeper: no process has room to own " + e.Number }
 
 // Advice tells an operator what to do.
 func (e *FullError) Advice() string {
-	return "Raise the limit of numbers for one keeper, or find out why so many numbers run out of lines at once."
+	return "Raise the limit of numbers that one process owns, or find out why so many numbers run out of lines at once."
 }
--- a/internal/keeper/encoding.go
+++ b/internal/keeper/encoding.go
@@ -14,17 +14,18 @@
 
 // Operations that one process sends another about a number. A value is never reused; unknown ones are ignored.
 const (
-	opReport = 1 // to the keeper: the lines held here, and the permits wanted
-	opAnswer = 2 // from the keeper: permits, or when to retry; with a zero report number it only names the keeper
-	opOver   = 3 // from the keeper: the contention is over
-	opTake   = 4 // from the keeper: become the next keeper
+	opReport = 1 // to the owner: the lines held here, and the permits wanted
+	opAnswer = 2 // from the owner: permits, or when to retry; with a zero report number it only names the owner
+	opOver   = 3 // from the owner: the contention is over
+	opTake   = 4 // from the owner: become the next owner
 )
 
-// operation is one operation of a message. Times are microseconds from when the message that is answered was sent.
+// operation is one operation of a message. Durations are in microseconds; the lifetime of permits starts when the
+// report that is answered was sent.
 type operation struct {
 	Op           uint8  `cbor:"1,keyasint"`
 	Key          string `cbor:"2,keyasint"`
-	Fence        uint64 `cbor:"3,keyasint,omitempty"`             // highest known to the sender; of the keeper: its own
+	Fence        uint64 `cbor:"3,keyasint,omitempty"`             // highest known to the sender; of the owner: its own
 	ReportNumber uint64 `cbor:"4,keyasint,omitempty" json:"N"`    // permits for an earlier report are not accepted
 	Incarnation  uint64 `cbor:"5,keyasint,omitempty" json:"Life"` // of the reporter
 
@@ -43,14 +44,14 @@
 	RetryAfter       int64  `cbor:"22,keyasint,omitempty" json:"Again"`  // no permit is available for this long
 	CallerRetryAfter int64  `cbor:"23,keyasint,omitempty" json:"Stay"`   // callers are to stay away for this long
 	TurnoverShare    int64  `cbor:"24,keyasint,omitempty" json:"Share"`  // calls in 1000 s: the reporter's part
-	Owner            string `cbor:"25,keyasint,omitempty" json:"Keeper"` // who keeps the number; empty: the sender
+	Owner            string `cbor:"25,keyasint,omitempty" json:"Keeper"` // who owns the number; empty: the sender
 }
 
 type messageBody struct {
 	Operations []cbor.RawMessage `cbor:"1,keyasint"`
 }
 
-// entryPart is the keeper part of a process's entry.
+// entryPart is the part of a process's entry that belongs to this package.
 type entryPart struct {
 	Owned     []ownedNumber     `cbor:"1,keyasint,omitempty" json:"Kept"`
 	Contended []contendedNumber `cbor:"2,keyasint,omitempty" json:"Seen"`
@@ -107,8 +108,8 @@
 
 func validKey(key string) bool { return key != "" && len(key) <= maxKeyLength }
 
-// decodeOperations returns the operations of a message that are within bounds, and an error if it contains anything
-// else.
+// decodeOperations returns the operations of a message that can be decoded and are within bounds, and an error if any
+// are not.
 func decodeOperations(message fleet.Message) (ops []operation, err error) {
 	var body messageBody
 	if len(message.Body) > fleet.MaxBody {
@@ -154,7 +155,7 @@
 	send()
 }
 
-// decodeEntryPart decodes the keeper part of an entry and leaves out what is out of bounds.
+// decodeEntryPart decodes this package's part of an entry and leaves out what is out of bounds.
 func decodeEntryPart(name string, body []byte) (entryPart, error) {
 	var part entryPart
 	if len(body) == 0 {
@@ -193,10 +194,10 @@
 	}
 }
 
-// record is stored with the lease of a number for the next keeper.
+// record is stored with the lease of a number for the next owner.
 type record struct {
 	Lines       int64  `cbor:"1,keyasint"`
-	Known       int64  `cbor:"2,keyasint"`
+	Known       int64  `cbor:"2,keyasint"`                      // most lines seen in use recently
 	Turnover    int64  `cbor:"3,keyasint" json:"Turn"`          // calls in 1000 s
 	AnyHolder   bool   `cbor:"4,keyasint,omitempty" json:"All"` // too many holders to list: any process may hold lines
 	Outstanding int64  `cbor:"6,keyasint,omitempty" json:"Out"` // lines that may have been held when it was written
--- a/internal/keeper/failpoint_on.go
+++ b/internal/keeper/failpoint_on.go
@@ -2,7 +2,7 @@
 
 package keeper
 
-// Overgranting returns a configuration whose keeper grants one line more than exists, for tests of how that is
+// Overgranting returns a configuration whose owner grants one line more than exists, for tests of how that is
 // detected.
 func (c Config) Overgranting() Config {
 	c.disabled.overGrant = true
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -11,7 +11,7 @@
 	"pewterwheel/internal/lease"
 )
 
-// maxOwned bounds the numbers that one process keeps, so that its part of the entry holds them all.
+// maxOwned bounds the numbers that one process owns, so that its part of the entry holds them all.
 const maxOwned = 16
 
 const (
@@ -22,9 +22,9 @@
 	handOverTimeout = 300_000 // longest wait of a hand-over for the record to be stored
 )
 
-// Part is the state machine of one process: it detects which numbers are in contention, takes and gives up the
-// keeping of numbers, grants permits for those it keeps, and requests permits for those that others keep. It is not
-// safe for concurrent use.
+// Part is the state machine of one process: it detects which numbers are in contention, takes and gives up ownership
+// of numbers, grants permits for those it owns, and requests permits for those that others own. It is not safe for
+// concurrent use.
 type Part struct {
 	cfg   Config
 	table *Table
@@ -34,11 +34,11 @@
 
 	entries         map[string]*memberEntry // by process
 	numbers         map[string]*numberState // by number
-	announcedOwners []string                // numbers for which an entry announced a keeper
+	announcedOwners []string                // numbers for which an entry announced an owner
 	localDemands    map[string]*localDemand // numbers that this process sees in contention
 	clients         map[string]*ownerClient
 	retired         map[string]*tableEntry   // numbers that are no longer followed but still have calls
-	ledgers         map[string]*numberLedger // numbers that this process keeps
+	ledgers         map[string]*numberLedger // numbers that this process owns
 	claims          map[string]claim         // numbers that it claims
 
 	tableStale       bool // the table differs from clients
@@ -59,16 +59,16 @@
 
 // counts holds what a Part has done since its start.
 type counts struct {
-	claims, acquired, lost, moved, over                       uint64
-	reports, granted, withoutPermit                           uint64
-	permitsTaken, permitsReturned, late, lowFence, unanswered uint64
-	unread, tableFull, noRoom, received, sent, badRecords     uint64
+	claims, acquired, lost, moved, over                           uint64
+	reports, granted, withoutPermit                               uint64
+	permitsTaken, permitsReturned, outdated, lowFence, unanswered uint64
+	undecodable, tableFull, noRoom, received, sent, badRecords    uint64
 }
 
 // claim is a number whose lease this process has requested.
 type claim struct {
 	claimedAt  int64
-	knownFence uint64 // of the keeper known at the time: a process announced under a higher one keeps the number
+	knownFence uint64 // of the owner known at the time: a process announced under a higher one owns the number
 }
 
 // dueTime is a time at which the client of a number is to be checked.
@@ -118,7 +118,7 @@
 	p.counts.received++
 	ops, err := decodeOperations(message)
 	if err != nil {
-		p.counts.unread++
+		p.counts.undecodable++
 	}
 	for _, op := range ops {
 		p.handleOperation(now, message.From, op, out)
@@ -153,13 +153,13 @@
 	p.flush(now, out)
 }
 
-// adoptOwners takes up the keepers that entries have announced.
+// adoptOwners creates or updates the clients of the numbers for which entries have announced owners.
 func (p *Part) adoptOwners(now int64, out *fleet.Out) {
 	slices.Sort(p.announcedOwners)
 	for _, key := range slices.Compact(p.announcedOwners) {
 		if owner := p.ownerOf(key); owner != nil {
 			if client := p.client(now, key); client != nil {
-				if client.entry.turnoverShare.Load() == 0 { // until the keeper has sent this process its share
+				if client.entry.turnoverShare.Load() == 0 { // until the owner has sent this process its share
 					client.entry.turnoverShare.Store(owner.turnover / int64(max(1, len(p.view.Members))))
 				}
 				p.raiseFence(now, client, owner.name, uint64(owner.value), out)
@@ -194,7 +194,7 @@
 	p.flush(now, out)
 }
 
-// sweep forgets numbers whose keeper is not announced or heard any more.
+// sweep forgets numbers whose owner is not announced or heard any more.
 func (p *Part) sweep(now int64) {
 	if now-p.sweptAt < sweepInterval {
 		return
@@ -228,7 +228,8 @@
 	}
 }
 
-// recordContention records that a number ends busy here; the least requested one is replaced if there is no room.
+// recordContention records that calls to a number end busy here. It replaces the least requested number if there is no
+// room.
 func (p *Part) recordContention(now int64, report report) {
 	demand := p.localDemands[report.key]
 	if demand == nil {
@@ -271,7 +272,7 @@
 	}
 }
 
-// publish puts what this process keeps and sees in contention into its entry.
+// publish puts the numbers that this process owns or sees in contention into its entry.
 func (p *Part) publish(now int64, out *fleet.Out) {
 	if now-p.publishedAt < publishInterval && p.publishedAt != 0 {
 		return
@@ -284,7 +285,7 @@
 	}
 }
 
-// Drain begins a planned shutdown: numbers kept here are handed over, and no more are claimed.
+// Drain begins a planned shutdown: numbers owned here are handed over, and no more are claimed.
 func (p *Part) Drain(now int64, out *fleet.Out) {
 	p.now, p.draining = now, true
 	for _, key := range sortedKeys(p.claims) {
@@ -295,7 +296,7 @@
 	p.flush(now, out)
 }
 
-// Drained tells whether all numbers kept here have been handed over.
+// Drained tells whether all numbers owned here have been handed over.
 func (p *Part) Drained() bool { return p.draining && len(p.ledgers) == 0 }
 
 // emit queues an operation for a process, this one included.
@@ -353,7 +354,7 @@
 	}
 }
 
-// handleReport takes a report for a number that this process keeps, or answers who keeps it.
+// handleReport takes a report for a number that this process owns, or answers who owns it.
 func (p *Part) handleReport(now int64, from string, op operation, out *fleet.Out) {
 	ledger := p.ledgers[op.Key]
 	if ledger == nil {
@@ -373,7 +374,7 @@
 	}
 	peer := ledger.applyReport(now, from, op)
 	if peer == nil {
-		p.counts.late++
+		p.counts.outdated++
 		return
 	}
 	if op.Wanted > 0 && !peer.answerPending {
@@ -430,7 +431,7 @@
 	}
 }
 
-// tickLedgers checks claimed and kept numbers: leases that were granted or have ended, records to be written, numbers
+// tickLedgers checks claimed and owned numbers: leases that were granted or have ended, records to be written, numbers
 // to be handed over or given up.
 func (p *Part) tickLedgers(now int64, out *fleet.Out) {
 	for _, key := range sortedKeys(p.claims) {
@@ -439,7 +440,7 @@
 			p.startOwnership(now, key, grant, out)
 			continue
 		}
-		// Another process keeps it by now, or nobody grants the lease.
+		// Another process owns it by now, or the lease was not granted in time.
 		if c := p.claims[key]; now-c.claimedAt > claimTimeout ||
 			p.ownedElsewhere(key) && uint64(p.ownerOf(key).value) > c.knownFence {
 			delete(p.claims, key)
@@ -451,8 +452,8 @@
 	}
 }
 
-// startOwnership creates the ledger from the previous keeper's record, and asks the processes that may hold lines what
-// they hold.
+// startOwnership creates the ledger from the previous owner's record, and asks the processes that may hold lines to
+// report what they hold.
 func (p *Part) startOwnership(now int64, key string, grant lease.Grant, out *fleet.Out) {
 	ledger, err := newLedger(&p.cfg, key, leaseName(key), now, grant)
 	if err != nil {
@@ -544,7 +545,8 @@
 	ledger.pendingWrite, ledger.writtenAt, ledger.dirty = write, now, false
 }
 
-// handOver gives a number up to the next keeper, or to nobody.
+// handOver releases the lease of a number and asks the next owner to claim it; without one, it tells the processes in
+// the ledger that the contention is over.
 func (p *Part) handOver(now int64, ledger *numberLedger, out *fleet.Out) {
 	delete(p.ledgers, ledger.key)
 	p.cfg.Lessor.Release(now, ledger.leaseName, out)
@@ -589,10 +591,10 @@
 	put("keeper_none", counts.withoutPermit, false)
 	put("keeper_permits_taken", counts.permitsTaken, false)
 	put("keeper_permits_back", counts.permitsReturned, false)
-	put("keeper_late", counts.late, false)
+	put("keeper_late", counts.outdated, false)
 	put("keeper_low_fence", counts.lowFence, false)
 	put("keeper_unanswered", counts.unanswered, false)
-	put("keeper_unread", counts.unread, false)
+	put("keeper_unread", counts.undecodable, false)
 	put("keeper_bad_record", counts.badRecords, false)
 	put("keeper_messages_in", counts.received, false)
 	put("keeper_messages_out", counts.sent, false)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -38,7 +38,7 @@
 }
 
 // Plays schedules of messages that are lost, duplicated, late or out of order, of processes that are killed, stopped,
-// cut off or drained, and of keepers that change: permits and calls under permits never exceed the known lines.
+// cut off or drained, and of owners that change: permits and calls under permits never exceed the known lines.
 func TestLinesNeverExceeded(t *testing.T) {
 	moves, ownedNotes, granted := 0, 0, 0
 	check := func(rt *rapid.T) {
@@ -61,12 +61,12 @@
 		granted += len(world.Noted("granted"))
 	}
 	rapid.Check(t, check)
-	t.Log("kept", ownedNotes, "moved or lost", moves, "grants", granted)
+	t.Log("owned", ownedNotes, "moved or lost", moves, "grants", granted)
 	must(t, moves > 2, "too few moves")
 	must(t, granted > 1000, "too few grants")
 }
 
-// injectFault applies one of the faults to a process; 6 is whichever process keeps the number.
+// injectFault applies one of the faults to a process; 6 is whichever process owns the number.
 func injectFault(world *keepers.World, who, what int, duration int64) {
 	process := world.Keeper(0)
 	if who < 6 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Moves a number while calls run: no call is lost or granted twice, and the next keeper continues with what the last
+// Moves a number while calls run: no call is lost or granted twice, and the next owner continues with what the last
 // one knew.
 func TestMove(t *testing.T) {
 	for _, how := range []string{"drained", "killed", "cut off"} {
@@ -122,7 +122,7 @@
 			checkLines(world, 10, func(s string) { t.Error(s) })
 			world.Run(30 * second)
 			old := world.Keeper(0)
-			must(t, old != nil, "nobody keeps the number")
+			must(t, old != nil, "no process owns the number")
 			served := world.Counts.Served
 			holds, busy := world.Holds(0), world.Counts.Busy
 			must(t, holds >= 8, "lines held", holds)
@@ -136,14 +136,14 @@
 			}
 			world.Run(55 * second)
 			next := world.Keeper(0)
-			must(t, next != nil, "no next keeper")
-			must(t, old.Name != next.Name, "the keeper has not changed")
+			must(t, next != nil, "no new owner")
+			must(t, old.Name != next.Name, "the owner has not changed")
 			must(t, world.Counts.Served > served+5, "served", world.Counts.Served-served)
 			if how == "drained" {
-				must(t, old.Part.Drained(), "old keeper not drained")
+				must(t, old.Part.Drained(), "old owner not drained")
 				must(t, len(world.Noted("moved")) == 1, world.Noted("moved"))
 				owned := world.Noted("kept")
-				must(t, owned[len(owned)-1].At-world.Noted("moved")[0].At < 300_000, "the next keeper is late")
+				must(t, owned[len(owned)-1].At-world.Noted("moved")[0].At < 300_000, "the new owner is late")
 			}
 			must(t, world.Counts.Busy-busy <= 15, "busy ends", world.Counts.Busy-busy)
 		})
@@ -177,7 +177,7 @@
 	return cfg
 }
 
-// A keeper that loses its electors continues to the end of its lease; none of its permits may be valid after that.
+// An owner that loses its electors continues to the end of its lease; none of its permits may be valid after that.
 func permitOutlivesLease(cfg keeper.Config) (found string) {
 	worldCfg := smallWorld(5, 10)
 	worldCfg.Keeper = withLines(cfg, 10)
@@ -196,7 +196,7 @@
 	return found
 }
 
-// A process that holds calls is cut off while the number moves: the next keeper must not grant its lines to others.
+// A process that holds calls is cut off while the number moves: the next owner must not grant its lines to others.
 func holderForgotten(cfg keeper.Config) (found string) {
 	worldCfg := smallWorld(9, 10)
 	worldCfg.Keeper, worldCfg.Stands = withLines(cfg, 10), 30*second
@@ -238,12 +238,12 @@
 	world := keepers.New(worldCfg)
 	world.Run(20 * second)
 	if n := len(world.Noted("kept")); n > 0 {
-		return "the only process keeps the number"
+		return "the only process owns the number"
 	}
 	return ""
 }
 
-// While the keeper is unreachable, all processes together attempt no more calls than their share of what the lines
+// While the owner is unreachable, all processes together attempt no more calls than their share of what the lines
 // can carry.
 func aboveFallbackShare(cfg keeper.Config) string {
 	worldCfg := smallWorld(4, 10)
@@ -272,7 +272,7 @@
 	return ""
 }
 
-// A suspected process is not given a number to keep, however much of the demand it has.
+// A suspected process does not become the owner of a number, however much of the demand it has.
 func suspectChosen(cfg keeper.Config) string {
 	worldCfg := smallWorld(4, 10)
 	worldCfg.Keeper, worldCfg.Skew = withLines(cfg, 10), 1
@@ -290,20 +290,20 @@
 	most.Lessor.Cut = true
 	world.Run(25 * second)
 	if world.Keeper(0) == nil {
-		return "nobody keeps the number: suspected " + most.Name + " is chosen"
+		return "no process owns the number: suspected " + most.Name + " is chosen"
 	}
 	return ""
 }
 
-// A number that is no longer in contention has no keeper, and its table entry is removed.
+// A number that is no longer in contention has no owner, and its table entry is removed.
 func TestEndOfContention(t *testing.T) {
 	worldCfg := smallWorld(2, 10)
 	world := keepers.New(worldCfg)
 	world.Run(15 * second)
-	must(t, world.Keeper(0) != nil, "nobody keeps the number")
+	must(t, world.Keeper(0) != nil, "no process owns the number")
 	world.Cfg.Demand = 0.3
 	world.Run(60 * second)
-	must(t, world.Keeper(0) == nil, "the number still has a keeper")
+	must(t, world.Keeper(0) == nil, "the number still has an owner")
 	for _, process := range world.Procs {
 		must(t, process.Table.Len() == 0, process.Name, "still has the number in its table")
 	}
--- a/internal/keeper/ledger.go
+++ b/internal/keeper/ledger.go
@@ -14,7 +14,7 @@
 	foundProbeDelay     = 250_000    // delay of the next probe for lines after a probe that found some
 	knownProbeDelay     = 2_000_000  // delay after a busy end, while fewer lines than were known are assumed
 	maxProbeDelay       = 8_000_000  // longest delay between probes
-	demandWindow        = 60_000_000 // averaging window of the demand that decides who should keep a number
+	demandWindow        = 60_000_000 // averaging window of the demand that decides who should own a number
 	turnoverWindow      = 10_000_000 // averaging window of the turnover of lines
 	knownLinesAge       = 60_000_000 // the most lines seen in use are remembered for this long
 	unusedDivisor       = 12         // no advance grants while over one in this many lines has an unused permit
@@ -23,7 +23,7 @@
 	pendingWriteDelay   = 5_000      // the same if an answer waits for the write
 	minPermitLifetime   = 100_000    // a permit that would be valid for less is not granted
 	maxPeers            = 4096       // processes in one ledger
-	recentWindow        = 5_000_000  // wants, set-ups, refusals and reports count as recent for this long
+	recentWindow        = 5_000_000  // requests, set-ups, refusals and reports count as recent for this long
 	minRetryAfter       = 20_000
 	maxRetryAfter       = 500_000
 	minCallerRetryAfter = 200_000
@@ -36,7 +36,7 @@
 	incarnation   uint64
 	reportNumber  uint64    // number of its newest report
 	reportedAt    int64     // when that report came
-	reported      bool      // it has reported under this keeper's fence
+	reported      bool      // it has reported under this owner's fence
 	answerPending bool      // its answer waits for the record to be written
 	report        operation // its newest report
 
@@ -46,7 +46,7 @@
 	previousUntil int64   // when these no longer count
 	maxLines      int64   // most lines that it may hold by the record stored at a majority
 	nextMaxLines  int64   // the same by the record that is being written
-	wantedAt      int64   // when it last wanted a line
+	wantedAt      int64   // when it last requested a permit
 	virtualTime   float64 // grants weighted by demand, as in weighted fair queuing: the lowest is served first
 	averageRate   float64 // its demand averaged over a minute, which decides whether the number should move
 	notedLines    int64   // lines counted for it in the last note; notedPrevious: those of an earlier incarnation
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// numberLedger is the authoritative record of one number at its keeper.
+// numberLedger is the owner's account of one number: its lines, and who holds them.
 type numberLedger struct {
 	cfg       *Config
 	key       string
@@ -92,12 +92,12 @@
 	virtualTime   float64 // virtual time of the peer served last
 	refusedAt     int64   // when a call was last refused
 
-	// What the previous keeper may have granted without this one having been told.
+	// What the previous owner may have granted without this one having been told.
 	previousHolders      []holder // those that have not reported here yet
 	anyPreviousHolder    bool     // any process may hold lines
-	recordedLines        int64    // lines in the previous keeper's record
+	recordedLines        int64    // lines in the previous owner's record
 	reportedLines        int64    // of these, lines in the first reports of those that have reported
-	previousPermitsUntil int64    // until when permits of the previous keeper may be valid
+	previousPermitsUntil int64    // until when permits of the previous owner may be valid
 	previousHoldersUntil int64    // until when lines of processes that have not reported count as held
 
 	pendingWrite     uint64 // the write that is in progress; 0: none
@@ -109,7 +109,7 @@
 	storedLines      int64
 
 	moveWantedSince int64  // since when another process has enough more of the demand; 0: none has
-	successor       string // the next keeper
+	successor       string // the next owner
 	handOverBy      int64  // when the number is handed over at the latest; 0: it is not
 
 	lifetimeRefusals uint64 // permits not granted because the lease ends too soon
@@ -129,7 +129,7 @@
 		ledger.freedLines = float64(stored.Turnover) * turnoverWindow / 1e9
 		ledger.recordedLines, ledger.anyPreviousHolder, ledger.previousHolders =
 			max(stored.Lines, stored.Outstanding), stored.AnyHolder, stored.holders()
-		// The previous keeper may have granted a permit just before this lease began, and clocks may drift apart.
+		// The previous owner may have granted a permit just before this lease began, and clocks may drift apart.
 		ledger.previousPermitsUntil = now + int64(float64(cfg.PermitLifetime)*(1+2*cfg.Drift))
 		ledger.previousHoldersUntil = now + cfg.SilenceTimeout
 	}
@@ -167,8 +167,8 @@
 	return held, calls
 }
 
-// unreported returns the lines that the previous keeper may have granted to processes that have not reported to this
-// one. While permits of that keeper may be valid, these are all the lines it could grant; later, those that its
+// unreported returns the lines that the previous owner may have granted to processes that have not reported to this
+// one. While permits of that owner may be valid, these are all the lines it could grant; later, those that its
 // record allowed, until the processes have been silent for so long that they count as gone.
 func (l *numberLedger) unreported(now int64) int64 {
 	if l.cfg.disabled.forgetPreviousHolders || now >= l.previousHoldersUntil ||
@@ -187,7 +187,7 @@
 }
 
 // grantLimit returns the number of lines that may be granted in total. Lines that are not yet stored at a majority
-// are not granted, so that the next keeper never reads of fewer lines than are granted.
+// are not granted, so that the next owner never reads of fewer lines than are granted.
 func (l *numberLedger) grantLimit() int64 {
 	lines := min(l.lines, l.storedLines)
 	if l.pendingWrite != 0 {
@@ -264,7 +264,7 @@
 }
 
 // permitLifetime returns how long a permit granted now for a report may be valid, from when the report was sent.
-// Permits end before the lease does, also by a slow clock, so that none is valid while another process keeps the
+// Permits end before the lease does, also by a slow clock, so that none is valid while another process owns the
 // number.
 func (l *numberLedger) permitLifetime(now int64, peer *peerState, grant lease.Grant) int64 {
 	lifetime := l.cfg.PermitLifetime
@@ -330,8 +330,8 @@
 	return peer
 }
 
-// learnLines takes busy ends, and set-ups under permits that became calls. A busy end shows that there is one line
-// less than assumed, but never fewer than carry calls.
+// learnLines corrects the assumed number of lines by busy ends and by set-ups under permits that became calls. A busy
+// end shows that there is one line less than assumed, but never fewer than carry calls.
 func (l *numberLedger) learnLines(now, busy, began int64) {
 	held, calls := l.held(now)
 	if calls >= l.knownLines || now-l.knownAt > knownLinesAge {
@@ -377,7 +377,7 @@
 	l.dirty = true
 }
 
-// headroom returns how many more lines a process may hold by the record that a later keeper would read.
+// headroom returns how many more lines a process may hold by the record that a later owner would read.
 func (l *numberLedger) headroom(now int64, peer *peerState) int64 {
 	if l.storedAnyHolder && (l.pendingWrite == 0 || l.writtenAnyHolder) {
 		return maxHolderLines
@@ -396,8 +396,8 @@
 }
 
 // grant grants a process up to the wanted number of permits for its newest report, and returns how many.
-func (l *numberLedger) grant(now int64, peer *peerState, want int64, grant lease.Grant) int64 {
-	n := min(want, l.freeLines(now), l.headroom(now, peer))
+func (l *numberLedger) grant(now int64, peer *peerState, wanted int64, grant lease.Grant) int64 {
+	n := min(wanted, l.freeLines(now), l.headroom(now, peer))
 	if n <= 0 || l.handOverBy != 0 {
 		return 0
 	}
--- a/internal/keeper/owner_selection.go
+++ b/internal/keeper/owner_selection.go
@@ -16,8 +16,8 @@
 	maxLocalDemands  = 256        // numbers in contention that it tracks
 	localDemandAge   = 10_000_000 // how long it tracks them after their last busy end
 	claimTimeout     = 10_000_000 // a claim that is not granted within this time is given up
-	successionTime   = 2_000_000  // a keeper that hands over is succeeded at once within this time
-	evaluateInterval = 250_000    // interval at which it is evaluated who keeps which number
+	successionTime   = 2_000_000  // an owner that hands over is succeeded at once within this time
+	evaluateInterval = 250_000    // interval at which the owners of numbers are evaluated
 	minReporters     = 2          // processes that must see a number in contention
 )
 
@@ -27,7 +27,7 @@
 	updatedAt int64
 }
 
-// memberEntry is the decoded keeper part of a member's entry, and the bytes it was decoded from.
+// memberEntry is this package's part of a member's entry, decoded, and the bytes it was decoded from.
 type memberEntry struct {
 	body []byte
 	part entryPart
@@ -38,13 +38,13 @@
 	key         string
 	reporters   []announcement // sorted by name
 	owners      []announcement // sorted by name
-	chosenSince int64          // since when this process is the one chosen to keep it; 0: it is not
+	chosenSince int64          // since when this process is the one chosen to own it; 0: it is not
 }
 
 // announcement is what the entry of one member says of a number.
 type announcement struct {
 	name     string
-	value    int64 // rate for reporters, fence for keepers
+	value    int64 // rate for reporters, fence for owners
 	turnover int64
 }
 
@@ -88,7 +88,7 @@
 	}
 	part, err := decodeEntryPart(name, body)
 	if err != nil {
-		p.counts.unread++
+		p.counts.undecodable++
 	}
 	entry.body, entry.part = body, part
 	for _, contended := range part.Contended {
@@ -120,7 +120,7 @@
 	}
 }
 
-// ownerOf returns the announced keeper of a number with the highest fence; nil: none.
+// ownerOf returns the announced owner of a number with the highest fence; nil: none.
 func (p *Part) ownerOf(key string) *announcement {
 	state := p.numbers[key]
 	if state == nil {
@@ -135,7 +135,7 @@
 	return best
 }
 
-// ownedElsewhere tells whether another process that is not suspected keeps a number. A number kept by a suspected
+// ownedElsewhere tells whether another process that is not suspected owns a number. A number owned by a suspected
 // process may be claimed: the lease decides.
 func (p *Part) ownedElsewhere(key string) bool {
 	owner := p.ownerOf(key)
@@ -153,7 +153,7 @@
 	return p.view.Members
 }
 
-// eligible tells whether a process may be given a number to keep: it is serving, not suspected, not next in a staged
+// eligible tells whether a process may become the owner of a number: it is serving, not suspected, not next in a staged
 // change, and has room.
 func (p *Part) eligible(name string) bool {
 	if name == p.cfg.Self {
@@ -181,7 +181,7 @@
 	return xxhash.Sum64String(key+"\x00"+nameA) > xxhash.Sum64String(key+"\x00"+nameB)
 }
 
-// chooseOwner returns who is to keep a number that nobody keeps; empty: nobody is eligible.
+// chooseOwner returns the process that is to own a number without an owner; empty: no process is eligible.
 func (p *Part) chooseOwner(state *numberState) string {
 	best, highest := "", int64(0)
 	for _, reporter := range state.reporters {
@@ -212,7 +212,8 @@
 	return n >= required
 }
 
-// evaluate checks for every announced number who keeps it, and whether this process is to.
+// evaluate claims the numbers in contention that have no owner and for which this process has been chosen for long
+// enough. It notes if no process is eligible for one.
 func (p *Part) evaluate(now int64, out *fleet.Out) {
 	var keys []string
 	for key, state := range p.numbers {
@@ -263,9 +264,9 @@
 	p.cfg.Lessor.Claim(now, leaseName(key), out)
 }
 
-// successor returns the process that should keep a number instead of this one: one whose demand has been enough
+// successor returns the process that should own a number instead of this one: one whose demand has been enough
 // higher for long enough to be worth the cost of a move, or any eligible process if this one must hand over. Empty:
-// none. The margin and the delay keep a number from moving back and forth between processes with the same demand.
+// none. The margin and the delay prevent a number from moving back and forth between processes with the same demand.
 func (p *Part) successor(now int64, ledger *numberLedger) string {
 	best, highest, ownRate := "", int64(0), int64(0)
 	rate := func(peer *peerState) int64 {
@@ -295,7 +296,7 @@
 		}
 		return best
 	}
-	// A move costs the lines that stay unused while the permits of the old keeper expire.
+	// A move costs the lines that stay unused while the permits of the old owner expire.
 	cost := ledger.turnover(now) * p.cfg.PermitLifetime / p.cfg.MoveDelay
 	threshold, delay := ownRate+int64(p.cfg.MoveMargin*float64(ownRate))+cost, p.cfg.MoveDelay
 	if now-ledger.startedAt < demandWindow/2 { // too early for the average demand of each process
@@ -317,15 +318,15 @@
 	return best
 }
 
-// mustHandOver tells whether this process may no longer keep any number.
+// mustHandOver tells whether this process may no longer own any number.
 func (p *Part) mustHandOver() bool {
 	member := p.view.Member(p.cfg.Self)
 	return p.draining || member != nil && (member.State == fleet.Draining || member.State == fleet.Leaving) ||
 		p.cfg.Barred(p.cfg.Self)
 }
 
-// entryPart returns this process's part of its entry: the numbers it keeps, and those it sees in contention that
-// nobody keeps.
+// entryPart returns this package's part of the process's entry: the numbers it owns, and those without an owner that
+// it sees in contention.
 func (p *Part) entryPart(now int64) entryPart {
 	var part entryPart
 	for _, key := range sortedKeys(p.ledgers) {
--- a/internal/keeper/sketch.go
+++ b/internal/keeper/sketch.go
@@ -18,9 +18,9 @@
 	epoch     uint32
 }
 
-// sketch finds the most requested numbers in bounded memory. It is space-saving with decay, in sets, so that a count
-// looks at few cells and allocates nothing. A number that has no cell replaces the one with the lowest count of its
-// set, and inherits that count.
+// sketch finds the most requested numbers in bounded memory. It runs the space-saving algorithm with decay in each set,
+// so that a count looks at few cells and allocates nothing. A number that has no cell replaces the one with the lowest
+// count of its set, and inherits that count.
 type sketch struct {
 	sets     [sketchSets]counterSet
 	epoch    uint32
@@ -81,7 +81,8 @@
 	c.epoch = current
 }
 
-// countBusy counts a set-up that ended busy, and returns the recent number of these and the least number of set-ups.
+// countBusy counts a busy end, and returns the recent numbers of busy ends and, at least, of set-ups. The set-up itself
+// was counted by add, whose count for the look-up is undone.
 func (s *sketch) countBusy(hash uint64, now int64) (busy, setUps uint32) {
 	set, i := s.add(hash, now)
 	set.count[i]--
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -93,9 +93,9 @@
 	noPermitUntil    atomic.Int64  // no permit is available before
 	callerRetryAfter atomic.Int64  // microseconds that a caller is to stay away
 	turnoverShare    atomic.Int64  // calls in 1000 s: this process's share of the lines' turnover
-	ownerUnreachable atomic.Bool   // the keeper does not answer
+	ownerUnreachable atomic.Bool   // the owner does not answer
 
-	// Used by the loop alone: token bucket for calls admitted without a permit while the keeper is unreachable.
+	// Used by the loop alone: token bucket for calls admitted without a permit while the owner is unreachable.
 	tokens     float64
 	refilledAt int64
 	waiting    []*trackedCall
