--- a/internal/keeper/admission_test.go
+++ b/internal/keeper/admission_test.go
@@ -332,8 +332,8 @@
 	ledger.prepareRecord(1)
 	ledger.recordStored()
 	grant := lease.Grant{Fence: 1, Until: 4_000_000}
-	ask := func(n uint64, hold, want int64) int64 {
-		peer := ledger.applyReport(1, "p", operation{ReportNumber: n, Incarnation: 1, Held: hold, Wanted: want,
+	ask := func(n uint64, held, wanted int64) int64 {
+		peer := ledger.applyReport(1, "p", operation{ReportNumber: n, Incarnation: 1, Held: held, Wanted: wanted,
 			Rate: 1000})
 		if peer == nil {
 			return -1
--- a/internal/keeper/corpus_test.go
+++ b/internal/keeper/corpus_test.go
@@ -47,11 +47,11 @@
 	}
 	r := record{Lines: 40, Known: 38, Turnover: 2500, Outstanding: 30}
 	r.setHolders([]holder{{nameHash("sidecar-1"), 10}, {nameHash("sidecar-2"), maxHolderLines}})
-	most := record{Lines: 40, Known: 38, Turnover: maxRate, Outstanding: 30}
-	most.setHolders(make([]holder, maxHolders))
+	largest := record{Lines: 40, Known: 38, Turnover: maxRate, Outstanding: 30}
+	largest.setHolders(make([]holder, maxHolders))
 	all := record{Lines: 1, Known: 1, Turnover: 1}
 	all.setHolders(make([]holder, maxHolders+1))
-	for name, r := range map[string]record{"record": r, "record-largest": most, "record-all": all} {
+	for name, r := range map[string]record{"record": r, "record-largest": largest, "record-all": all} {
 		cases = append(cases, corpus.Case{Name: name, Value: r, Bytes: r.encode(), Max: lease.MaxRecord,
 			Read: func(b []byte) (any, error) {
 				if len(b) > lease.MaxRecord {
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -80,13 +80,13 @@
 // dueHeap is a heap of due times.
 type dueHeap []dueTime
 
-func (a dueHeap) Len() int { return len(a) }
-func (a dueHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].key < a[j].key
+func (h dueHeap) Len() int { return len(h) }
+func (h dueHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].key < h[j].key
 }
-func (a dueHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *dueHeap) Push(x any)   { *a = append(*a, x.(dueTime)) }
-func (a *dueHeap) Pop() any     { o := *a; x := o[len(o)-1]; *a = o[:len(o)-1]; return x }
+func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueTime)) }
+func (h *dueHeap) Pop() any     { old := *h; last := old[len(old)-1]; *h = old[:len(old)-1]; return last }
 
 // New returns the Part of a process, or a *ConfigError. It shares the table and the queue with the process's Front.
 // Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
@@ -110,7 +110,7 @@
 }
 
 // Done does nothing: the Part has no acts.
-func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {}
+func (p *Part) Done(now int64, act fleet.Act, err error, out *fleet.Out) {}
 
 // Message takes a message of another process. What cannot be decoded is counted and ignored.
 func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
@@ -174,8 +174,8 @@
 	p.now = now
 	p.readQueue(now, out)
 	for len(p.dueClients) > 0 && p.dueClients[0].at <= now {
-		d := heap.Pop(&p.dueClients).(dueTime)
-		if client := p.clients[d.key]; client != nil && client.checkAt == d.at {
+		due := heap.Pop(&p.dueClients).(dueTime)
+		if client := p.clients[due.key]; client != nil && client.checkAt == due.at {
 			client.checkAt = math.MaxInt64
 			p.tickClient(now, client, out)
 		}
@@ -188,7 +188,7 @@
 		p.evaluatedAt = now
 		p.evaluate(now, out)
 		p.sweep(now)
-		maps.DeleteFunc(p.retired, func(_ string, s *tableEntry) bool { return s.open.Load() <= 0 })
+		maps.DeleteFunc(p.retired, func(_ string, entry *tableEntry) bool { return entry.open.Load() <= 0 })
 		p.publish(now, out)
 	}
 	p.flush(now, out)
@@ -441,8 +441,8 @@
 			continue
 		}
 		// Another process owns it by now, or the lease was not granted in time.
-		if c := p.claims[key]; now-c.claimedAt > claimTimeout ||
-			p.ownedElsewhere(key) && uint64(p.ownerOf(key).value) > c.knownFence {
+		if pending := p.claims[key]; now-pending.claimedAt > claimTimeout ||
+			p.ownedElsewhere(key) && uint64(p.ownerOf(key).value) > pending.knownFence {
 			delete(p.claims, key)
 			p.cfg.Lessor.Release(now, leaseName(key), out)
 		}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -13,10 +13,10 @@
 
 const second = 1_000_000
 
-func must(t testing.TB, ok bool, what ...any) {
+func must(t testing.TB, ok bool, message ...any) {
 	t.Helper()
 	if !ok {
-		t.Fatal(what...)
+		t.Fatal(message...)
 	}
 }
 
