--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -11,19 +11,20 @@
 	"pewterwheel/internal/lease"
 )
 
-// maxKept bounds the numbers that one process keeps, so that its part of its entry holds them all.
-const maxKept = 16
+// maxOwned bounds the numbers that one process owns, so that its part of the entry holds them all.
+const maxOwned = 16
 
 const (
-	bookEvery  = 100_000 // a record is looked at so often
-	tellEvery  = 500_000 // the entry is told anew no oftener
-	idleEvery  = 250_000 // the queue is looked at so often when nothing is hot
-	sweepEvery = 2_000_000
-	leaveTime  = 300_000 // a handing over waits for its record no longer
+	ledgerInterval  = 100_000 // interval at which ledgers are checked
+	publishInterval = 500_000 // least time between two updates of the entry
+	idleInterval    = 250_000 // interval at which the queue is read while no number is in contention
+	sweepInterval   = 2_000_000
+	handOverTimeout = 300_000 // longest wait of a hand-over for the record to be stored
 )
 
-// Part is the keepers' state machine of one process: it sees which numbers are hot, claims and gives up the keeping of them,
-// grants permits for those it keeps, and asks for those of others. It is not safe for concurrent use.
+// Part is the state machine of one process: it detects which numbers are in contention, takes and gives up ownership
+// of numbers, grants permits for those it owns, and requests permits for those that others own. It is not safe for
+// concurrent use.
 type Part struct {
 	cfg   Config
 	table *Table
@@ -31,189 +32,195 @@
 	now   int64
 	view  *fleet.View
 
-	tellers map[string]*teller // by process
-	sights  map[string]*sight  // by number
-	news    []string           // numbers of which a keeper was told anew
-	seen    map[string]*heavy  // that this process sees in contention
-	hands   map[string]*hand
-	past    map[string]*slot // numbers not followed any more to which calls stand
-	books   map[string]*book // that this process keeps
-	claims  map[string]claim // that it claims
-
-	reshelve bool // the table lacks a number, or has one too many
-	draining bool
-	told     []byte // what stands in the entry
-	toldAt   int64
-	weighed  int64
-	swept    int64
-	fullAt   int64 // when it was last said that nobody has room for a number
-	booked   int64
-
-	agenda  agenda
-	local   []item // to this process itself
-	letters map[string][]item
+	entries         map[string]*memberEntry // by process
+	numbers         map[string]*numberState // by number
+	announcedOwners []string                // numbers for which an entry announced an owner
+	localDemands    map[string]*localDemand // numbers that this process sees in contention
+	clients         map[string]*ownerClient
+	retired         map[string]*tableEntry   // numbers that are no longer followed but still have calls
+	ledgers         map[string]*numberLedger // numbers that this process owns
+	claims          map[string]claim         // numbers that it claims
+
+	tableStale       bool // the table differs from clients
+	draining         bool
+	published        []byte // the current part of the entry
+	publishedAt      int64
+	evaluatedAt      int64
+	sweptAt          int64
+	fullNotedAt      int64 // when it was last noted that no process has room for a number
+	ledgersCheckedAt int64
+
+	dueClients      dueHeap
+	localOperations []operation // addressed to this process itself
+	outgoing        map[string][]operation
 
 	counts counts
 }
 
-// counts are what a part has done since its start.
+// counts holds what a Part has done since its start.
 type counts struct {
-	claims, kept, lost, moved, calm                uint64
-	reports, granted, none                         uint64
-	taken, back, late, lowFence, unanswered        uint64
-	unread, full, noRoom, messages, sent, badStore uint64
+	claims, acquired, lost, moved, over                           uint64
+	reports, granted, withoutPermit                               uint64
+	permitsTaken, permitsReturned, outdated, lowFence, unanswered uint64
+	undecodable, tableFull, noRoom, received, sent, badRecords    uint64
 }
 
-// claim is a number that this process asks the lease of.
+// claim is a number whose lease this process has requested.
 type claim struct {
-	at    int64
-	fence uint64 // of the last keeper then known: who is told to keep it under a higher one has it
+	claimedAt  int64
+	knownFence uint64 // of the owner known at the time: a process announced under a higher one owns the number
 }
 
-// due is a time at which a number's hand is to be looked at.
-type due struct {
+// dueTime is a time at which the client of a number is to be checked.
+type dueTime struct {
 	at  int64
 	key string
 }
 
-// agenda is a heap of such times.
-type agenda []due
+// dueHeap is a heap of due times.
+type dueHeap []dueTime
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].key < a[j].key
+func (h dueHeap) Len() int { return len(h) }
+func (h dueHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].key < h[j].key
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(due)) }
-func (a *agenda) Pop() any     { o := *a; x := o[len(o)-1]; *a = o[:len(o)-1]; return x }
+func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueTime)) }
+func (h *dueHeap) Pop() any     { old := *h; last := old[len(old)-1]; *h = old[:len(old)-1]; return last }
 
-// New returns the part of a process, or a *ConfigError. The table and the queue are those of its Front. Whoever drives the
-// part calls Tick when Queue.Wake says so, or at Next at the latest.
+// New returns the Part of a process, or a *ConfigError. It shares the table and the queue with the process's Front.
+// Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
 func New(cfg Config, table *Table, queue *Queue) (*Part, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Part{cfg: cfg.fill(), table: table, queue: queue, tellers: map[string]*teller{}, sights: map[string]*sight{},
-		seen: map[string]*heavy{}, hands: map[string]*hand{}, past: map[string]*slot{}, books: map[string]*book{},
-		claims: map[string]claim{}, letters: map[string][]item{}}, nil
+	return &Part{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{},
+		numbers: map[string]*numberState{}, localDemands: map[string]*localDemand{},
+		clients: map[string]*ownerClient{}, retired: map[string]*tableEntry{},
+		ledgers: map[string]*numberLedger{}, claims: map[string]claim{},
+		outgoing: map[string][]operation{}}, nil
 }
 
-// Kind is fleet.Keeper.
+// Kind returns fleet.Keeper.
 func (p *Part) Kind() fleet.Kind { return fleet.Keeper }
 
-// Start takes the first time.
-func (p *Part) Start(now int64, out *fleet.Out) { p.now, p.weighed, p.booked = now, now, now }
+// Start takes the start time.
+func (p *Part) Start(now int64, out *fleet.Out) {
+	p.now, p.evaluatedAt, p.ledgersCheckedAt = now, now, now
+}
 
-// Done does nothing: the part has no acts.
-func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {}
+// Done does nothing: the Part has no acts.
+func (p *Part) Done(now int64, act fleet.Act, err error, out *fleet.Out) {}
 
-// Message takes what an other process tells. What cannot be read is counted and passed over.
-func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
+// Message takes a message of another process. What cannot be decoded is counted and ignored.
+func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
 	p.now = now
-	p.counts.messages++
-	items, err := readLetter(m)
+	p.counts.received++
+	ops, err := decodeOperations(message)
 	if err != nil {
-		p.counts.unread++
+		p.counts.undecodable++
 	}
-	for _, it := range items {
-		p.item(now, m.From, it, out)
+	for _, op := range ops {
+		p.handleOperation(now, message.From, op, out)
 	}
 	p.flush(now, out)
 }
 
-// View takes what is known of the processes.
-func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
-	was := p.view
-	p.now, p.view = now, v
-	for i := range v.Members {
-		m := &v.Members[i]
-		// Most entries are the same as in the last view, at the same place.
-		if was != nil && i < len(was.Members) {
-			if o := &was.Members[i]; o.Name == m.Name && o.Version == m.Version && o.Incarnation == m.Incarnation {
+// View takes a new view of the processes.
+func (p *Part) View(now int64, view *fleet.View, out *fleet.Out) {
+	previous := p.view
+	p.now, p.view = now, view
+	for i := range view.Members {
+		member := &view.Members[i]
+		// Most entries are unchanged since the last view, and at the same index.
+		if previous != nil && i < len(previous.Members) {
+			if old := &previous.Members[i]; old.Name == member.Name && old.Version == member.Version &&
+				old.Incarnation == member.Incarnation {
 				continue
 			}
 		}
-		p.tells(m.Name, m.Parts[fleet.Keeper])
+		p.readEntry(member.Name, member.Parts[fleet.Keeper])
 	}
-	if was != nil && len(p.tellers) > 0 {
-		for name := range p.tellers { // each is let go of by itself, in any order
-			if v.Member(name) == nil {
-				p.tells(name, nil)
-				delete(p.tellers, name)
+	if previous != nil && len(p.entries) > 0 {
+		for name := range p.entries { // the order does not matter: each entry is removed on its own
+			if view.Member(name) == nil {
+				p.readEntry(name, nil)
+				delete(p.entries, name)
 			}
 		}
 	}
-	p.heard(now, out)
+	p.adoptOwners(now, out)
 	p.flush(now, out)
 }
 
-// heard takes up the keepers that entries tell of.
-func (p *Part) heard(now int64, out *fleet.Out) {
-	slices.Sort(p.news)
-	for _, key := range slices.Compact(p.news) {
-		if k := p.keeperOf(key); k != nil {
-			if h := p.hand(now, key); h != nil {
-				if h.slot.rate.Load() == 0 { // until it is told its own part
-					h.slot.rate.Store(k.share / int64(max(1, len(p.view.Members))))
+// adoptOwners creates or updates the clients of the numbers for which entries have announced owners.
+func (p *Part) adoptOwners(now int64, out *fleet.Out) {
+	slices.Sort(p.announcedOwners)
+	for _, key := range slices.Compact(p.announcedOwners) {
+		if owner := p.ownerOf(key); owner != nil {
+			if client := p.client(now, key); client != nil {
+				if client.entry.turnoverShare.Load() == 0 { // until the owner has sent this process its share
+					client.entry.turnoverShare.Store(owner.turnover / int64(max(1, len(p.view.Members))))
 				}
-				p.raise(now, h, k.name, uint64(k.n), out)
+				p.raiseFence(now, client, owner.name, uint64(owner.value), out)
 			}
 		}
 	}
-	p.news = p.news[:0]
+	p.announcedOwners = p.announcedOwners[:0]
 }
 
 // Tick takes what the loop has reported, and does what is due.
 func (p *Part) Tick(now int64, out *fleet.Out) {
 	p.now = now
-	p.drainQueue(now, out)
-	for len(p.agenda) > 0 && p.agenda[0].at <= now {
-		d := heap.Pop(&p.agenda).(due)
-		if h := p.hands[d.key]; h != nil && h.due == d.at {
-			h.due = math.MaxInt64
-			p.handDue(now, h, out)
+	p.readQueue(now, out)
+	for len(p.dueClients) > 0 && p.dueClients[0].at <= now {
+		due := heap.Pop(&p.dueClients).(dueTime)
+		if client := p.clients[due.key]; client != nil && client.checkAt == due.at {
+			client.checkAt = math.MaxInt64
+			p.tickClient(now, client, out)
 		}
 	}
-	if now-p.booked >= bookEvery {
-		p.booked = now
-		p.tickBooks(now, out)
+	if now-p.ledgersCheckedAt >= ledgerInterval {
+		p.ledgersCheckedAt = now
+		p.tickLedgers(now, out)
 	}
-	if now-p.weighed >= evalEvery {
-		p.weighed = now
-		p.weigh(now, out)
+	if now-p.evaluatedAt >= evaluateInterval {
+		p.evaluatedAt = now
+		p.evaluate(now, out)
 		p.sweep(now)
-		maps.DeleteFunc(p.past, func(_ string, s *slot) bool { return s.open.Load() <= 0 })
-		p.tell(now, out)
+		maps.DeleteFunc(p.retired, func(_ string, entry *tableEntry) bool { return entry.open.Load() <= 0 })
+		p.publish(now, out)
 	}
 	p.flush(now, out)
 }
 
-// sweep forgets numbers of which no keeper is told or heard any more.
+// sweep forgets numbers whose owner is not announced or heard any more.
 func (p *Part) sweep(now int64) {
-	if now-p.swept < sweepEvery {
+	if now-p.sweptAt < sweepInterval {
 		return
 	}
-	p.swept = now
-	for _, h := range p.hands { // each by itself, in any order
-		if now-h.heard > forgetHand && p.keeperOf(h.slot.key) == nil && p.books[h.slot.key] == nil {
-			p.drop(h)
+	p.sweptAt = now
+	for _, client := range p.clients { // the order does not matter: each is checked on its own
+		if now-client.ownerHeardAt > clientTimeout && p.ownerOf(client.entry.key) == nil &&
+			p.ledgers[client.entry.key] == nil {
+			p.dropClient(client)
 		}
 	}
 }
 
-func (p *Part) drainQueue(now int64, out *fleet.Out) {
-	for range cap(p.queue.c) {
+func (p *Part) readQueue(now int64, out *fleet.Out) {
+	for range cap(p.queue.reports) {
 		select {
-		case r := <-p.queue.c:
-			switch r.kind {
+		case report := <-p.queue.reports:
+			switch report.kind {
 			case reportChanged:
-				if h := p.hands[r.slot.key]; h != nil && h.slot == r.slot {
-					p.changed(now, h, out)
+				if client := p.clients[report.entry.key]; client != nil && client.entry == report.entry {
+					p.handleChange(now, client, out)
 				} else {
-					r.slot.dirty.Store(false)
+					report.entry.reportQueued.Store(false)
 				}
-			case reportSeen:
-				p.sees(now, r)
+			case reportContended:
+				p.recordContention(now, report)
 			}
 		default:
 			return
@@ -221,366 +228,379 @@
 	}
 }
 
-// sees bears in mind that a number ends busy here; the least asked for gives way.
-func (p *Part) sees(now int64, r report) {
-	v := p.seen[r.key]
-	if v == nil {
-		if len(p.seen) >= seenRoom {
+// recordContention records that calls to a number end busy here. It replaces the least requested number if there is no
+// room.
+func (p *Part) recordContention(now int64, report report) {
+	demand := p.localDemands[report.key]
+	if demand == nil {
+		if len(p.localDemands) >= maxLocalDemands {
 			least := ""
-			for key, w := range p.seen {
-				if least == "" || w.rate < p.seen[least].rate || w.rate == p.seen[least].rate && key < least {
+			for key, other := range p.localDemands {
+				if least == "" || other.rate < p.localDemands[least].rate ||
+					other.rate == p.localDemands[least].rate && key < least {
 					least = key
 				}
 			}
-			delete(p.seen, least)
+			delete(p.localDemands, least)
 		}
-		v = &heavy{}
-		p.seen[r.key] = v
+		demand = &localDemand{}
+		p.localDemands[report.key] = demand
 	}
-	// A count that is halved every epoch holds about one and a half of them.
-	v.rate, v.at = float64(r.n)*1e9/(1.5*epoch), now
+	// A count that is halved every epoch covers about one and a half epochs.
+	demand.rate, demand.updatedAt = float64(report.recentSetUps)*1e9/(1.5*epochLength), now
 }
 
-// Next tells when Tick is due.
+// Next returns when Tick is due.
 func (p *Part) Next() int64 {
-	next := p.now + idleEvery
-	if len(p.hands) > 0 {
+	next := p.now + idleInterval
+	if len(p.clients) > 0 {
 		next = p.now + p.cfg.Poll
 	}
-	if len(p.agenda) > 0 {
-		next = min(next, p.agenda[0].at)
+	if len(p.dueClients) > 0 {
+		next = min(next, p.dueClients[0].at)
 	}
-	if len(p.books)+len(p.claims) > 0 {
-		next = min(next, p.booked+bookEvery)
+	if len(p.ledgers)+len(p.claims) > 0 {
+		next = min(next, p.ledgersCheckedAt+ledgerInterval)
 	}
 	return max(p.now, next)
 }
 
-func (p *Part) wakeHand(h *hand, at int64) {
-	if at < h.due {
-		h.due = at
-		heap.Push(&p.agenda, due{at, h.slot.key})
+func (p *Part) wakeClient(client *ownerClient, at int64) {
+	if at < client.checkAt {
+		client.checkAt = at
+		heap.Push(&p.dueClients, dueTime{at, client.entry.key})
 	}
 }
 
-// tell puts what this process keeps and sees into its entry.
-func (p *Part) tell(now int64, out *fleet.Out) {
-	if now-p.toldAt < tellEvery && p.toldAt != 0 {
+// publish puts the numbers that this process owns or sees in contention into its entry.
+func (p *Part) publish(now int64, out *fleet.Out) {
+	if now-p.publishedAt < publishInterval && p.publishedAt != 0 {
 		return
 	}
-	if b := p.saying(now).bytes(); !bytes.Equal(b, p.told) {
-		p.told, p.toldAt = b, now
-		out.Tell(fleet.Keeper, b)
-		p.tells(p.cfg.Self, b)
-		p.news = p.news[:0]
+	if encoded := p.entryPart(now).encode(); !bytes.Equal(encoded, p.published) {
+		p.published, p.publishedAt = encoded, now
+		out.Tell(fleet.Keeper, encoded)
+		p.readEntry(p.cfg.Self, encoded)
+		p.announcedOwners = p.announcedOwners[:0]
 	}
 }
 
-// Drain begins a planned end: what is kept here is handed over, and nothing more is claimed.
+// Drain begins a planned shutdown: numbers owned here are handed over, and no more are claimed.
 func (p *Part) Drain(now int64, out *fleet.Out) {
 	p.now, p.draining = now, true
 	for _, key := range sortedKeys(p.claims) {
 		delete(p.claims, key)
-		p.cfg.Lessor.Release(now, thing(key), out)
+		p.cfg.Lessor.Release(now, leaseName(key), out)
 	}
-	p.tickBooks(now, out)
+	p.tickLedgers(now, out)
 	p.flush(now, out)
 }
 
-// Drained tells whether all that was kept here has been handed over.
-func (p *Part) Drained() bool { return p.draining && len(p.books) == 0 }
+// Drained tells whether all numbers owned here have been handed over.
+func (p *Part) Drained() bool { return p.draining && len(p.ledgers) == 0 }
 
-// emit has an item sent to a process, or taken at once if it is this one.
-func (p *Part) emit(to string, it item) {
+// emit queues an operation for a process, this one included.
+func (p *Part) emit(to string, op operation) {
 	if to == p.cfg.Self {
-		p.local = append(p.local, it)
+		p.localOperations = append(p.localOperations, op)
 	} else {
-		p.letters[to] = append(p.letters[to], it)
+		p.outgoing[to] = append(p.outgoing[to], op)
 	}
 }
 
-// flush takes what this process tells itself, and sends the rest.
+// flush handles the operations addressed to this process, and sends the others.
 func (p *Part) flush(now int64, out *fleet.Out) {
-	for len(p.local) > 0 {
-		it := p.local[0]
-		p.local = p.local[1:]
-		p.item(now, p.cfg.Self, it, out)
-	}
-	p.local = nil
-	if p.reshelve {
-		p.reshelve = false
-		slots := make(map[uint64]*slot, len(p.hands))
-		for _, h := range p.hands {
-			slots[h.slot.hash] = h.slot
+	for len(p.localOperations) > 0 {
+		op := p.localOperations[0]
+		p.localOperations = p.localOperations[1:]
+		p.handleOperation(now, p.cfg.Self, op, out)
+	}
+	p.localOperations = nil
+	if p.tableStale {
+		p.tableStale = false
+		entries := make(map[uint64]*tableEntry, len(p.clients))
+		for _, client := range p.clients {
+			entries[client.entry.hash] = client.entry
 		}
-		p.table.replace(slots)
+		p.table.replace(entries)
 	}
-	if len(p.letters) == 0 {
+	if len(p.outgoing) == 0 {
 		return
 	}
-	n := len(out.Send)
-	for _, to := range sortedKeys(p.letters) {
-		letters(p.cfg.Self, to, p.letters[to], out)
+	queued := len(out.Send)
+	for _, to := range sortedKeys(p.outgoing) {
+		appendMessages(p.cfg.Self, to, p.outgoing[to], out)
 	}
-	clear(p.letters)
-	p.counts.sent += uint64(len(out.Send) - n)
+	clear(p.outgoing)
+	p.counts.sent += uint64(len(out.Send) - queued)
 }
 
-// item takes one thing that a process tells.
-func (p *Part) item(now int64, from string, it item, out *fleet.Out) {
-	switch it.Op {
+// handleOperation handles one operation of a message.
+func (p *Part) handleOperation(now int64, from string, op operation, out *fleet.Out) {
+	switch op.Op {
 	case opReport:
-		p.reported(now, from, it, out)
+		p.handleReport(now, from, op, out)
 	case opAnswer:
-		p.answered(now, from, it, out)
+		p.handleAnswer(now, from, op, out)
 	case opOver:
-		if h := p.hands[it.Key]; h != nil && it.Fence >= h.slot.fence.Load() && p.books[it.Key] == nil {
-			p.drop(h)
+		if client := p.clients[op.Key]; client != nil && op.Fence >= client.entry.fence.Load() &&
+			p.ledgers[op.Key] == nil {
+			p.dropClient(client)
 		}
 	case opTake:
-		if p.books[it.Key] == nil && p.claims[it.Key].at == 0 && p.fit(p.cfg.Self) {
-			p.claim(now, it.Key, out)
+		if p.ledgers[op.Key] == nil && p.claims[op.Key].claimedAt == 0 && p.eligible(p.cfg.Self) {
+			p.claimNumber(now, op.Key, out)
 		}
 	}
 }
 
-// reported takes a report for a number that this process keeps, or says who does.
-func (p *Part) reported(now int64, from string, it item, out *fleet.Out) {
-	b := p.books[it.Key]
-	if b == nil {
-		if h := p.hands[it.Key]; h != nil && h.slot.fence.Load() > it.Fence && h.keeper != p.cfg.Self {
-			p.emit(from, item{Op: opAnswer, Key: it.Key, Fence: h.slot.fence.Load(), Keeper: h.keeper})
+// handleReport takes a report for a number that this process owns, or answers who owns it.
+func (p *Part) handleReport(now int64, from string, op operation, out *fleet.Out) {
+	ledger := p.ledgers[op.Key]
+	if ledger == nil {
+		if client := p.clients[op.Key]; client != nil && client.entry.fence.Load() > op.Fence &&
+			client.owner != p.cfg.Self {
+			p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: client.entry.fence.Load(), Owner: client.owner})
 		}
 		return
 	}
-	g, held := p.cfg.Lessor.Held(now, b.thing)
+	grant, held := p.cfg.Lessor.Held(now, ledger.leaseName)
 	switch {
-	case !held || g.Fence != b.fence || it.Fence > b.fence:
-		return // it is over, which the next look at the books takes up
-	case it.Fence < b.fence:
-		p.emit(from, item{Op: opAnswer, Key: it.Key, Fence: b.fence})
+	case !held || grant.Fence != ledger.fence || op.Fence > ledger.fence:
+		return // the lease has ended, which the next check of the ledgers handles
+	case op.Fence < ledger.fence:
+		p.emit(from, operation{Op: opAnswer, Key: op.Key, Fence: ledger.fence})
 		return
 	}
-	q := b.report(now, from, it)
-	if q == nil {
-		p.counts.late++
+	peer := ledger.applyReport(now, from, op)
+	if peer == nil {
+		p.counts.outdated++
 		return
 	}
-	if it.Want > 0 && !q.due {
-		if b.answer(now, q, g); q.due {
-			p.booked = min(p.booked, now-bookEvery+writeSoon)
+	if op.Wanted > 0 && !peer.answerPending {
+		if ledger.answerReport(now, peer, grant); peer.answerPending {
+			p.ledgersCheckedAt = min(p.ledgersCheckedAt, now-ledgerInterval+pendingWriteDelay)
 		} else {
-			p.reply(now, b, q, out)
+			p.reply(now, ledger, peer, out)
 		}
 	}
-	p.early(now, b, out)
+	p.grantAhead(now, ledger, out)
 }
 
-// owed gives the answers that waited for the record.
-func (p *Part) owed(now int64, b *book, g lease.Grant, out *fleet.Out) {
-	for _, q := range b.peers {
-		if q.due {
-			b.answer(now, q, g)
-			p.reply(now, b, q, out)
+// replyPending sends the answers that waited for the record.
+func (p *Part) replyPending(now int64, ledger *numberLedger, grant lease.Grant, out *fleet.Out) {
+	for _, peer := range ledger.peers {
+		if peer.answerPending {
+			ledger.answerReport(now, peer, grant)
+			p.reply(now, ledger, peer, out)
 		}
 	}
 }
 
-// reply tells a process what it has been given for its newest report.
-func (p *Part) reply(now int64, b *book, q *peer, out *fleet.Out) {
-	again, stay, share := b.times(now, q)
-	if q.granted >= q.it.Want {
-		again = 0
+// reply tells a process what it was granted for its newest report.
+func (p *Part) reply(now int64, ledger *numberLedger, peer *peerState, out *fleet.Out) {
+	retryAfter, callerRetryAfter, share := ledger.retryTimes(now, peer)
+	if peer.granted >= peer.report.Wanted {
+		retryAfter = 0
 	} else {
-		p.counts.none++
+		p.counts.withoutPermit++
 	}
-	p.emit(q.name, item{Op: opAnswer, Key: b.key, Fence: b.fence, N: q.n, Life: q.life, Permits: q.granted, Lasts: q.lasts,
-		Again: again, Stay: stay, Share: share})
-	if q.granted > 0 {
+	p.emit(peer.name, operation{Op: opAnswer, Key: ledger.key, Fence: ledger.fence, ReportNumber: peer.reportNumber,
+		Incarnation: peer.incarnation, Permits: peer.granted, Lifetime: peer.lifetime,
+		RetryAfter: retryAfter, CallerRetryAfter: callerRetryAfter, TurnoverShare: share})
+	if peer.granted > 0 {
 		p.counts.granted++
 	}
 }
 
-// notes hands out what is to be noted of a record.
-func (p *Part) notes(b *book, out *fleet.Out) {
-	out.Notes = append(out.Notes, b.notes...)
-	b.notes = b.notes[:0]
+// passNotes passes on the notes of a ledger.
+func (p *Part) passNotes(ledger *numberLedger, out *fleet.Out) {
+	out.Notes = append(out.Notes, ledger.notes...)
+	ledger.notes = ledger.notes[:0]
 }
 
-// early gives what may be given ahead, and hands out the notes.
-func (p *Part) early(now int64, b *book, out *fleet.Out) {
-	defer p.notes(b, out)
-	g, held := p.cfg.Lessor.Held(now, b.thing)
-	if !held || g.Fence != b.fence {
+// grantAhead grants what may be granted in advance, and passes on the notes.
+func (p *Part) grantAhead(now int64, ledger *numberLedger, out *fleet.Out) {
+	defer p.passNotes(ledger, out)
+	grant, held := p.cfg.Lessor.Held(now, ledger.leaseName)
+	if !held || grant.Fence != ledger.fence {
 		return
 	}
-	for q := b.early(now, g); q != nil; q = b.early(now, g) {
-		p.reply(now, b, q, out)
+	for peer := ledger.grantAhead(now, grant); peer != nil; peer = ledger.grantAhead(now, grant) {
+		p.reply(now, ledger, peer, out)
 	}
 }
 
-// tickBooks looks at what is claimed and kept: leases that came or ended, records to be written, numbers to be handed over
-// or given up.
-func (p *Part) tickBooks(now int64, out *fleet.Out) {
+// tickLedgers checks claimed and owned numbers: leases that were granted or have ended, records to be written, numbers
+// to be handed over or given up.
+func (p *Part) tickLedgers(now int64, out *fleet.Out) {
 	for _, key := range sortedKeys(p.claims) {
-		if g, ok := p.cfg.Lessor.Held(now, thing(key)); ok {
+		if grant, ok := p.cfg.Lessor.Held(now, leaseName(key)); ok {
 			delete(p.claims, key)
-			p.open(now, key, g, out)
+			p.startOwnership(now, key, grant, out)
 			continue
 		}
-		// An other process that keeps it by now, or nobody to grant it.
-		if c := p.claims[key]; now-c.at > claimFor || p.keptElsewhere(key) && uint64(p.keeperOf(key).n) > c.fence {
+		// Another process owns it by now, or the lease was not granted in time.
+		if pending := p.claims[key]; now-pending.claimedAt > claimTimeout ||
+			p.ownedElsewhere(key) && uint64(p.ownerOf(key).value) > pending.knownFence {
 			delete(p.claims, key)
-			p.cfg.Lessor.Release(now, thing(key), out)
+			p.cfg.Lessor.Release(now, leaseName(key), out)
 		}
 	}
-	for _, key := range sortedKeys(p.books) {
-		p.tickBook(now, p.books[key], out)
+	for _, key := range sortedKeys(p.ledgers) {
+		p.tickLedger(now, p.ledgers[key], out)
 	}
 }
 
-// open begins a record with what the last keeper stored, and asks those who may hold lines what they hold.
-func (p *Part) open(now int64, key string, g lease.Grant, out *fleet.Out) {
-	b, err := newBook(&p.cfg, key, thing(key), now, g)
+// startOwnership creates the ledger from the previous owner's record, and asks the processes that may hold lines to
+// report what they hold.
+func (p *Part) startOwnership(now int64, key string, grant lease.Grant, out *fleet.Out) {
+	ledger, err := newLedger(&p.cfg, key, leaseName(key), now, grant)
 	if err != nil {
-		p.counts.badStore++
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "record", Thing: key, Fence: g.Fence, Text: err.Error()})
-	}
-	p.books[key] = b
-	p.counts.kept++
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "kept", Thing: key, Fence: g.Fence, Until: g.Until, N: b.lines})
-	hello := item{Op: opAnswer, Key: key, Fence: g.Fence}
-	p.emit(p.cfg.Self, hello)
-	ask := map[string]bool{p.cfg.Self: true}
-	if x := p.sights[key]; x != nil {
-		for _, t := range x.seen {
-			ask[t.name] = true
+		p.counts.badRecords++
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "record", Thing: key, Fence: grant.Fence,
+			Text: err.Error()})
+	}
+	p.ledgers[key] = ledger
+	p.counts.acquired++
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "kept", Thing: key, Fence: grant.Fence,
+		Until: grant.Until, N: ledger.lines})
+	notice := operation{Op: opAnswer, Key: key, Fence: grant.Fence}
+	p.emit(p.cfg.Self, notice)
+	recipients := map[string]bool{p.cfg.Self: true}
+	if state := p.numbers[key]; state != nil {
+		for _, reporter := range state.reporters {
+			recipients[reporter.name] = true
 		}
 	}
-	for _, h := range b.holders {
-		for _, m := range p.members() {
-			if nameHash(m.Name) == h.name {
-				ask[m.Name] = true
+	for _, holder := range ledger.previousHolders {
+		for _, member := range p.members() {
+			if nameHash(member.Name) == holder.name {
+				recipients[member.Name] = true
 			}
 		}
 	}
-	for _, name := range sortedKeys(ask) {
+	for _, name := range sortedKeys(recipients) {
 		if name != p.cfg.Self {
-			p.emit(name, hello)
+			p.emit(name, notice)
 		}
 	}
-	p.toldAt = 0
-	p.tell(now, out)
+	p.publishedAt = 0
+	p.publish(now, out)
 }
 
-func (p *Part) tickBook(now int64, b *book, out *fleet.Out) {
-	g, ok := p.cfg.Lessor.Held(now, b.thing)
-	if !ok || g.Fence != b.fence {
-		delete(p.books, b.key)
+func (p *Part) tickLedger(now int64, ledger *numberLedger, out *fleet.Out) {
+	grant, ok := p.cfg.Lessor.Held(now, ledger.leaseName)
+	if !ok || grant.Fence != ledger.fence {
+		delete(p.ledgers, ledger.key)
 		p.counts.lost++
-		p.cfg.Lessor.Release(now, b.thing, out)
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "lost", Thing: b.key, Fence: b.fence, Text: (&LostError{b.key}).Error()})
-		p.toldAt = 0
+		p.cfg.Lessor.Release(now, ledger.leaseName, out)
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "lost", Thing: ledger.key,
+			Fence: ledger.fence, Text: (&LostError{ledger.key}).Error()})
+		p.publishedAt = 0
 		return
 	}
-	if b.write != 0 && g.Write >= b.write {
-		b.stored()
-		p.owed(now, b, g, out)
-		p.notes(b, out)
+	if ledger.pendingWrite != 0 && grant.Write >= ledger.pendingWrite {
+		ledger.recordStored()
+		p.replyPending(now, ledger, grant, out)
+		p.passNotes(ledger, out)
 	}
-	if b.leave != 0 {
-		if b.write == 0 || now >= b.leave {
-			p.give(now, b, out)
+	if ledger.handOverBy != 0 {
+		if ledger.pendingWrite == 0 || now >= ledger.handOverBy {
+			p.handOver(now, ledger, out)
 		}
 		return
 	}
-	b.forget(now)
-	p.notes(b, out)
-	b.seek(now)
-	next := p.follower(now, b)
-	if calm := now-b.unmet > p.cfg.Calm; calm || next != "" || p.leaves() {
-		b.leave, b.leaving = now+leaveTime, next
+	ledger.forgetSilent(now)
+	p.passNotes(ledger, out)
+	ledger.probeLines(now)
+	successor := p.successor(now, ledger)
+	if calm := now-ledger.refusedAt > p.cfg.CalmTime; calm || successor != "" || p.mustHandOver() {
+		ledger.handOverBy, ledger.successor = now+handOverTimeout, successor
 		if calm {
-			b.leaving = ""
+			ledger.successor = ""
 		}
-		p.store(now, b, out)
+		p.storeRecord(now, ledger, out)
 		return
 	}
-	soon := slices.ContainsFunc(b.peers, func(q *peer) bool { return q.due })
-	if soon {
-		p.booked = min(p.booked, now-bookEvery+writeSoon)
+	urgent := slices.ContainsFunc(ledger.peers, func(peer *peerState) bool { return peer.answerPending })
+	if urgent {
+		p.ledgersCheckedAt = min(p.ledgersCheckedAt, now-ledgerInterval+pendingWriteDelay)
 	}
-	if b.dirty && b.write == 0 && (now-b.wrote >= writeGap || soon) || now-b.wrote >= 10*bookEvery && b.write == 0 {
-		p.store(now, b, out)
+	if ledger.dirty && ledger.pendingWrite == 0 && (now-ledger.writtenAt >= minWriteInterval || urgent) ||
+		now-ledger.writtenAt >= 10*ledgerInterval && ledger.pendingWrite == 0 {
+		p.storeRecord(now, ledger, out)
 	}
-	p.early(now, b, out)
+	p.grantAhead(now, ledger, out)
 }
 
-// store has the record written with the lease.
-func (p *Part) store(now int64, b *book, out *fleet.Out) {
-	r := b.stores(now)
-	n, err := p.cfg.Lessor.Write(now, b.thing, r.bytes(), out)
+// storeRecord writes the record with the lease.
+func (p *Part) storeRecord(now int64, ledger *numberLedger, out *fleet.Out) {
+	rec := ledger.prepareRecord(now)
+	write, err := p.cfg.Lessor.Write(now, ledger.leaseName, rec.encode(), out)
 	if err != nil {
-		p.counts.badStore++
+		p.counts.badRecords++
 		return
 	}
-	b.write, b.wrote, b.dirty = n, now, false
+	ledger.pendingWrite, ledger.writtenAt, ledger.dirty = write, now, false
 }
 
-// give gives a number up: to its next keeper, or to nobody.
-func (p *Part) give(now int64, b *book, out *fleet.Out) {
-	delete(p.books, b.key)
-	p.cfg.Lessor.Release(now, b.thing, out)
+// handOver releases the lease of a number and asks the next owner to claim it; without one, it tells the processes in
+// the ledger that the contention is over.
+func (p *Part) handOver(now int64, ledger *numberLedger, out *fleet.Out) {
+	delete(p.ledgers, ledger.key)
+	p.cfg.Lessor.Release(now, ledger.leaseName, out)
 	what := "moved"
-	if b.leaving == "" {
+	if ledger.successor == "" {
 		what = "over"
-		p.counts.calm++
-		for _, q := range b.peers {
-			p.emit(q.name, item{Op: opOver, Key: b.key, Fence: b.fence})
+		p.counts.over++
+		for _, peer := range ledger.peers {
+			p.emit(peer.name, operation{Op: opOver, Key: ledger.key, Fence: ledger.fence})
 		}
 	} else {
 		p.counts.moved++
-		p.emit(b.leaving, item{Op: opTake, Key: b.key, Fence: b.fence})
+		p.emit(ledger.successor, operation{Op: opTake, Key: ledger.key, Fence: ledger.fence})
 	}
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: b.key, Fence: b.fence, N: b.lines, Text: b.leaving})
-	p.toldAt = 0
-	p.tell(now, out)
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: what, Thing: ledger.key, Fence: ledger.fence,
+		N: ledger.lines, Text: ledger.successor})
+	p.publishedAt = 0
+	p.publish(now, out)
 }
 
-// Figures gives the part's counts and gauges.
+// Figures reports the counters and gauges of the Part.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
-	c := &p.counts
-	put("keeper_numbers", uint64(len(p.hands)), true)
-	put("keeper_kept_now", uint64(len(p.books)), true)
+	counts := &p.counts
+	put("keeper_numbers", uint64(len(p.clients)), true)
+	put("keeper_kept_now", uint64(len(p.ledgers)), true)
 	lines, held := int64(0), int64(0)
-	for _, b := range p.books {
-		n, _ := b.held(p.now)
-		lines, held = lines+b.lines, held+n
+	for _, ledger := range p.ledgers {
+		ledgerHeld, _ := ledger.held(p.now)
+		lines, held = lines+ledger.lines, held+ledgerHeld
 	}
 	put("keeper_lines", uint64(lines), true)
 	put("keeper_lines_held", uint64(held), true)
-	put("keeper_claims", c.claims, false)
-	put("keeper_kept", c.kept, false)
-	put("keeper_lost", c.lost, false)
-	put("keeper_moved", c.moved, false)
-	put("keeper_over", c.calm, false)
-	put("keeper_no_room", c.noRoom, false)
-	put("keeper_table_full", c.full, false)
-	put("keeper_reports", c.reports, false)
-	put("keeper_grants", c.granted, false)
-	put("keeper_none", c.none, false)
-	put("keeper_permits_taken", c.taken, false)
-	put("keeper_permits_back", c.back, false)
-	put("keeper_late", c.late, false)
-	put("keeper_low_fence", c.lowFence, false)
-	put("keeper_unanswered", c.unanswered, false)
-	put("keeper_unread", c.unread, false)
-	put("keeper_bad_record", c.badStore, false)
-	put("keeper_messages_in", c.messages, false)
-	put("keeper_messages_out", c.sent, false)
-}
-
-func thing(key string) string { return "number/" + key }
+	put("keeper_claims", counts.claims, false)
+	put("keeper_kept", counts.acquired, false)
+	put("keeper_lost", counts.lost, false)
+	put("keeper_moved", counts.moved, false)
+	put("keeper_over", counts.over, false)
+	put("keeper_no_room", counts.noRoom, false)
+	put("keeper_table_full", counts.tableFull, false)
+	put("keeper_reports", counts.reports, false)
+	put("keeper_grants", counts.granted, false)
+	put("keeper_none", counts.withoutPermit, false)
+	put("keeper_permits_taken", counts.permitsTaken, false)
+	put("keeper_permits_back", counts.permitsReturned, false)
+	put("keeper_late", counts.outdated, false)
+	put("keeper_low_fence", counts.lowFence, false)
+	put("keeper_unanswered", counts.unanswered, false)
+	put("keeper_unread", counts.undecodable, false)
+	put("keeper_bad_record", counts.badRecords, false)
+	put("keeper_messages_in", counts.received, false)
+	put("keeper_messages_out", counts.sent, false)
+}
+
+func leaseName(key string) string { return "number/" + key }
 
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
