--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -2,275 +2,284 @@
 
 import "slices"
 
-// Bounds on what tells that another process is there, in microseconds where they are times.
+// Bounds on the evidence of a new process of an office. Times are in microseconds.
 const (
-	// settleAfter is how long a new connection has to bring what refutes a restart: releases that could not be told before.
+	// settleAfter is how long a new connection may take to bring messages that refute a restart: releases that could
+	// not be delivered before.
 	settleAfter = 500_000
-	// lateDelivery is how long after the loss of one connection another may still bring what was written before it.
+	// lateDelivery is how long after the loss of one connection another may still bring messages written before the
+	// loss.
 	lateDelivery = 200_000
-	// reportDelay is how long a report of lines may be on its way behind the answers to calls that it does not count.
+	// reportDelay is how long a report of lines may be delayed behind answers to calls that it does not count.
 	reportDelay = 200_000
-	// listLag is how long the list may take to tell of a new start.
+	// listLag is how long the list may take to announce a new start.
 	listLag = 7_000_000
-	// leastEnds is how many ends must be expected of a group of calls for none to say that their process is gone: by
-	// chance none of so many comes in one case of some ten million.
-	leastEnds = 16
-	// maxGaps bounds what is kept of one office.
-	maxGaps = 16
+	// minExpectedEnds is the number of ends that must be expected of a group of calls before the absence of any shows
+	// that their process is gone. By chance none of that many ends comes in about one of ten million cases.
+	minExpectedEnds = 16
+	// maxOutages bounds the number of outages kept for one office.
+	maxOutages = 16
 )
 
-// Standing tells how many calls stand at an office that began to stand at a time from one to before another.
+// Standing returns the number of calls at an office that were established at or after from and before to.
 type Standing func(from, to int64) int
 
-// Evidence is what speaks for another process than that which held the calls of before a gap.
+// Evidence is the evidence that another process of the office has replaced the one that held the calls from before an
+// outage.
 type Evidence int
 
-// The evidence.
+// Kinds of evidence.
 const (
 	NoEvidence   Evidence = iota
-	RefusedBlind          // a connect was refused in between, and the list of offices, which tells of a new start, could not be heard
-	FewerLines            // the office reports fewer lines in use than such calls stand
-	NoEnds                // none of so many such calls has ended as ended in as much time before
+	RefusedBlind          // a connect was refused while the list of offices, which tells of new starts, was unreachable
+	FewerLines            // the office reports fewer lines in use than such calls are established
+	NoEnds                // none of these calls has ended, although as many ended in the same time before
 )
 
-// String names the evidence as the log does.
+// String returns the name used in the log.
 func (e Evidence) String() string {
 	return [...]string{"none", "refused-blind", "fewer-lines", "no-ends"}[e]
 }
 
-// gap is a time without a lasting main connection, after which another process of the office may be there.
-type gap struct {
-	lost    int64 // when it began; calls that stood before are in question
-	spoke   int64 // the last message before it, which proves that the process ran
-	served  int64 // the last message of a call before it, which proves that its processor worked
-	stalled bool  // set-ups had no answer between served and the loss
-	ends    int   // calls that the office ended in the last releaseAfter before spoke
-	trusted bool  // no report of lines before it spoke against the calls that stood
-	first   int64 // the first message on the main connection after it; 0: none yet
-	refused bool  // a connect was refused in it
-	blind   bool  // the list could not be heard while it had to tell of a new start
-	fewer   fewerLines
+// outage is a period without a lasting main connection, after which another process of the office may be running.
+type outage struct {
+	lost           int64 // when it began; calls established before are in question
+	lastMessage    int64 // the last message before it, which proves that the process ran
+	lastService    int64 // the last message of a call before it, which proves that the call processing worked
+	unanswered     bool  // set-ups were unanswered between lastService and the loss
+	endsBefore     int   // calls that the office ended in the last releaseAfter before lastMessage
+	reportsTrusted bool  // no report of lines before it contradicted the established calls
+	firstMessage   int64 // the first message on the main connection after it; 0: none yet
+	connectRefused bool  // a connect was refused during it
+	listUnheard    bool  // the list could not be received at the time when it had to announce a new start
+	deficit        lineDeficit
 }
 
-// fewerLines is a report after a gap of fewer lines in use than calls stood there from before a time.
-type fewerLines struct {
-	at        int64 // when it came; 0: none has
+// lineDeficit is a report, after an outage, of fewer lines in use than calls established before a given time.
+type lineDeficit struct {
+	at        int64 // when it was received; 0: none was
 	lines     int
-	from      int64 // the calls that it is held against stood from here on ...
-	before    int64 // ... and from before this
-	confirmed bool  // as many calls still stood once releases that were owed would have come
+	from      int64 // it is compared with the calls established from here on ...
+	before    int64 // ... and before this
+	confirmed bool  // more calls than lines were still established after pending releases had time to arrive
 }
 
-// incarnations is what is known of the processes that an office has been, one after the other.
-type incarnations struct {
-	gaps      []gap // those that calls still stand from before of, oldest first
-	ends      endsHistory
-	disagrees bool // the last report of lines spoke against the calls that stood
+// processHistory is what is known of the successive processes of an office.
+type processHistory struct {
+	outages           []outage // those before which calls were established that still exist, oldest first
+	endCounts         perSecondCounts
+	reportContradicts bool // the last report of lines contradicted the established calls
 }
 
-// Lost is what was seen of a connection as it was lost.
+// Lost describes a main connection at the time of its loss.
 type Lost struct {
-	Opened     int64 // when it had come up
-	Unanswered int   // set-ups that were out on it, sent after the last message of a call and out for LeastWait
+	Opened     int64 // when it was established
+	Unanswered int   // set-ups outstanding on it, sent after the last message of a call and outstanding for LeastWait
 }
 
-// LeastWait is the least time, in microseconds, that a set-up must have been out for its missing answer to tell anything.
-const LeastWait = leastWait
+// LeastWait is the shortest time, in microseconds, that a set-up must have been outstanding for its missing answer to
+// count as evidence.
+const LeastWait = minWait
 
-// inGap tells whether the main connection has brought nothing since its last loss.
-func (o *Office) inGap() bool {
-	last := len(o.gaps) - 1
-	return last >= 0 && o.gaps[last].first == 0
+// inOutage reports whether the main connection has brought nothing since its last loss.
+func (o *Office) inOutage() bool {
+	last := len(o.outages) - 1
+	return last >= 0 && o.outages[last].firstMessage == 0
 }
 
-// beginGap notes that the main connection does not last.
-func (o *Office) beginGap(now int64, unanswered int) {
-	if o.inGap() {
+// beginOutage records that the main connection does not last.
+func (o *Office) beginOutage(now int64, unanswered int) {
+	if o.inOutage() {
 		return
 	}
-	if len(o.gaps) == maxGaps {
-		o.gaps = slices.Delete(o.gaps, 0, 1)
+	if len(o.outages) == maxOutages {
+		o.outages = slices.Delete(o.outages, 0, 1)
 	}
-	o.gaps = append(o.gaps, gap{
-		lost:    now,
-		spoke:   o.lastWord(),
-		served:  o.lastService(),
-		stalled: unanswered > 0 || o.unanswered.Count > 0,
-		ends:    o.ends.since(o.spoke - releaseAfter),
-		trusted: !o.disagrees,
+	o.outages = append(o.outages, outage{
+		lost:           now,
+		lastMessage:    o.processedUntil(),
+		lastService:    o.servedUntil(),
+		unanswered:     unanswered > 0 || o.unanswered.Count > 0,
+		endsBefore:     o.endCounts.since(o.lastMessage - releaseAfter),
+		reportsTrusted: !o.reportContradicts,
 	})
 }
 
-// endGap notes the first message on the main connection after a gap.
-func (o *Office) endGap(at int64) {
-	if o.inGap() {
-		o.gaps[len(o.gaps)-1].first = at
+// endOutage records the first message on the main connection after an outage.
+func (o *Office) endOutage(at int64) {
+	if o.inOutage() {
+		o.outages[len(o.outages)-1].firstMessage = at
 	}
 }
 
-// proof is a message that only the process can have written which was there at a time.
-type proof struct {
+// processProof is a message that only the process running at a given time can have written.
+type processProof struct {
 	at     int64
-	since  int64 // when that process was there
-	opened int64 // when the connection came up on which the message came
+	since  int64 // when that process was running
+	opened int64 // when the connection that brought the message was established
 }
 
-// refutes tells whether the process was still there after a gap, so that what was lost was a connection. Guards against what
-// was written before the loss of one connection and is read late on another.
-func (p proof) refutes(g gap) bool {
+// refutes reports whether the process survived an outage, so that only a connection was lost. Guards against messages
+// that were written before the loss of one connection and read late on another.
+func (p processProof) refutes(g outage) bool {
 	return g.lost > p.since && (p.opened >= g.lost || p.at >= g.lost+lateDelivery)
 }
 
-// proven notes that a process of before some gaps is still there. In a gap that goes on, it may end yet.
-func (o *Office) proven(p proof) {
-	if o.inGap() {
-		if g := &o.gaps[len(o.gaps)-1]; p.refutes(*g) {
+// recordSameProcess records that a process from before some outages is still running. In an outage that continues it
+// may still end.
+func (o *Office) recordSameProcess(p processProof) {
+	if o.inOutage() {
+		if g := &o.outages[len(o.outages)-1]; p.refutes(*g) {
 			g.lost = p.at
-			g.spoke = p.at - o.lag
-			g.served = max(g.served, o.lastService())
-			g.ends = o.ends.since(p.at - releaseAfter)
+			g.lastMessage = p.at - o.queueDelay
+			g.lastService = max(g.lastService, o.servedUntil())
+			g.endsBefore = o.endCounts.since(p.at - releaseAfter)
 		}
 	}
-	o.gaps = slices.DeleteFunc(o.gaps, func(g gap) bool { return g.first != 0 && p.refutes(g) })
+	o.outages = slices.DeleteFunc(o.outages, func(g outage) bool { return g.firstMessage != 0 && p.refutes(g) })
 }
 
-// Ended notes that the office ended, on a connection that had come up at a time, a call that had stood there: the
-// process that set the call up is still there.
+// Ended records that the office ended an established call, on a connection established at the given time: the process
+// that set the call up is still running.
 func (o *Office) Ended(now int64, call Call, opened int64) {
-	o.ends.add(now)
-	o.endings.add(now, call)
-	o.proven(proof{at: now, since: call.Since, opened: opened})
+	o.endCounts.add(now)
+	o.ended.add(now, call)
+	o.recordSameProcess(processProof{at: now, since: call.Since, opened: opened})
 }
 
-// LinesInUse notes a report of how many lines are in use at the office, by calls of all senders.
-func (o *Office) LinesInUse(now int64, lines int, standing Standing) {
-	since := int64(0) // calls of before a gap are in question
-	if last := len(o.gaps) - 1; last >= 0 {
-		since = o.gaps[last].lost
+// LinesInUse records a report of the number of lines in use at the office, by calls of all senders.
+func (o *Office) LinesInUse(now int64, lines int, established Standing) {
+	since := int64(0) // calls from before an outage are in question
+	if last := len(o.outages) - 1; last >= 0 {
+		since = o.outages[last].lost
 	}
-	if own := standing(since, now+1); own > 0 {
-		o.disagrees = lines < own
+	if count := established(since, now+1); count > 0 {
+		o.reportContradicts = lines < count
 	}
 	from := int64(0)
-	for i := range o.gaps {
-		g := &o.gaps[i]
-		g.linesInUse(now, lines, from, standing)
-		from = g.lost // calls of before it are no evidence against the process of after it
+	for i := range o.outages {
+		g := &o.outages[i]
+		g.linesInUse(now, lines, from, established)
+		from = g.lost // calls from before it are no evidence against the process that runs after it
 	}
 }
 
-// linesInUse compares a report with all calls that stand from before the report can have left: those in question, and those
-// that stood since. What agrees soon after takes back what did not; later, new calls may hide that old ones are gone.
-func (g *gap) linesInUse(now int64, lines int, from int64, standing Standing) {
+// linesInUse compares a report with all calls established before the report can have been sent: those in question and
+// those established since. A report that agrees soon afterwards cancels one that did not; later, new calls may hide
+// that old ones are gone.
+func (g *outage) linesInUse(now int64, lines int, from int64, established Standing) {
 	before := max(g.lost, now-reportDelay)
 	switch {
-	case g.first == 0 || !g.trusted || g.fewer.confirmed:
-	case lines < standing(from, before):
-		if g.fewer.at == 0 {
-			g.fewer = fewerLines{at: now, lines: lines, from: from, before: before}
+	case g.firstMessage == 0 || !g.reportsTrusted || g.deficit.confirmed:
+	case lines < established(from, before):
+		if g.deficit.at == 0 {
+			g.deficit = lineDeficit{at: now, lines: lines, from: from, before: before}
 		}
-	case now-g.fewer.at < settleAfter:
-		g.fewer = fewerLines{}
+	case now-g.deficit.at < settleAfter:
+		g.deficit = lineDeficit{}
 	}
 }
 
-// confirm judges a report of fewer lines once releases that were owed would have come.
-func (f *fewerLines) confirm(now int64, standing Standing) {
+// confirm evaluates a report of fewer lines once pending releases have had time to arrive.
+func (f *lineDeficit) confirm(now int64, established Standing) {
 	if f.at == 0 || f.confirmed || now-f.at < settleAfter {
 		return
 	}
-	if f.confirmed = f.lines < standing(f.from, f.before); !f.confirmed {
+	if f.confirmed = f.lines < established(f.from, f.before); !f.confirmed {
 		f.at = 0
 	}
 }
 
-// List is what the caller knows of the list of offices.
+// List is what the caller knows about the reception of the list of offices.
 type List struct {
-	Heard int64 // when anything last came of it; 0: never, or it can't be lost
-	Lost  int64 // when it could last not be heard; 0: never
+	Heard int64 // when anything was last received of it; 0: never, or it cannot be lost
+	Lost  int64 // when it was last unreachable; 0: never
 }
 
-// Restart is a process that has ended. Calls that stood there before a time are over.
+// Restart describes a process that has ended. Calls established at the office before a given time are over.
 type Restart struct {
 	Before   int64
 	Evidence Evidence
 	Spoke    int64 // the last message of that process
 }
 
-// Restarted tells whether calls that stood before a time are over, as their process has ended, though the office speaks. The
-// time counts from the last word of that process. Where this process is departing, a refused connect is enough, at once.
-func (o *Office) Restarted(now int64, list List, standing Standing, departing bool) (Restart, bool) {
-	for i := len(o.gaps) - 1; i >= 0; i-- {
-		g := &o.gaps[i]
-		g.watchList(now, list)
-		g.fewer.confirm(now, standing)
-		evidence := g.evidence(now, standing)
-		if departing && evidence == NoEvidence && g.refused && g.first != 0 {
+// Restarted reports whether calls established before a given time are over because their process has ended, although
+// the office sends messages. The delay counts from the last message of that process. When this controller is
+// departing, a refused connect suffices, without delay.
+func (o *Office) Restarted(now int64, list List, established Standing, departing bool) (Restart, bool) {
+	for i := len(o.outages) - 1; i >= 0; i-- {
+		g := &o.outages[i]
+		g.updateListState(now, list)
+		g.deficit.confirm(now, established)
+		evidence := g.evidence(now, established)
+		if departing && evidence == NoEvidence && g.connectRefused && g.firstMessage != 0 {
 			evidence = RefusedBlind
 		}
-		if evidence == NoEvidence || !departing && now < g.due(evidence) {
+		if evidence == NoEvidence || !departing && now < g.releaseTime(evidence) {
 			continue
 		}
-		restart := Restart{Before: g.lost, Evidence: evidence, Spoke: g.spoke}
-		o.gaps = slices.Delete(o.gaps, 0, i+1) // what stood before earlier ones is among those calls
+		restart := Restart{Before: g.lost, Evidence: evidence, Spoke: g.lastMessage}
+		o.outages = slices.Delete(o.outages, 0, i+1) // calls from before earlier outages are included
 		return restart, true
 	}
-	if len(o.gaps) > 0 && o.gaps[0].first != 0 && standing(0, o.gaps[0].lost) == 0 {
-		o.gaps = slices.Delete(o.gaps, 0, 1)
+	if len(o.outages) > 0 && o.outages[0].firstMessage != 0 && established(0, o.outages[0].lost) == 0 {
+		o.outages = slices.Delete(o.outages, 0, 1)
 	}
 	return Restart{}, false
 }
 
-// watchList notes whether the list could be heard while it had to tell of a new start.
-func (g *gap) watchList(now int64, list List) {
+// updateListState records whether the list could be received at the time when it had to announce a new start.
+func (g *outage) updateListState(now int64, list List) {
 	if now > g.lost+listLag {
 		return
 	}
 	lost := list.Lost != 0 && list.Lost >= g.lost-listSilence
 	unheard := list.Heard != 0 && list.Heard < g.lost && now-g.lost >= listSilence/2
-	g.blind = g.blind || lost || unheard
+	g.listUnheard = g.listUnheard || lost || unheard
 }
 
-// evidence is what speaks for another process after a gap.
-func (g *gap) evidence(now int64, standing Standing) Evidence {
+// evidence returns the evidence for another process after an outage.
+func (g *outage) evidence(now int64, established Standing) Evidence {
 	switch {
-	case g.first == 0:
-		return NoEvidence // silence and failed connects are judged
-	case g.fewer.confirmed:
+	case g.firstMessage == 0:
+		return NoEvidence // silence and failed connects are judged by assess
+	case g.deficit.confirmed:
 		return FewerLines
-	case g.refused && g.blind:
+	case g.connectRefused && g.listUnheard:
 		return RefusedBlind
-	case now-g.spoke >= releaseAfter && g.ends >= leastEnds && standing(g.spoke-releaseAfter, g.lost) >= leastEnds:
+	case now-g.lastMessage >= releaseAfter && g.endsBefore >= minExpectedEnds &&
+		established(g.lastMessage-releaseAfter, g.lost) >= minExpectedEnds:
 		return NoEnds
 	}
 	return NoEvidence
 }
 
-// due is when calls of before a gap are over by the evidence. One that tells of a new process whatever the list and the old
-// process say counts from the last time at which the old one is known to have worked.
-func (g *gap) due(evidence Evidence) int64 {
-	word := g.spoke
-	if g.served > 0 && (g.stalled || evidence == FewerLines) {
-		word = g.served
+// releaseTime returns the time from which, by the evidence, calls from before an outage are over. Evidence that shows
+// a new process regardless of the list and of the old process counts from the last time at which the old process is
+// known to have worked.
+func (g *outage) releaseTime(evidence Evidence) int64 {
+	last := g.lastMessage
+	if g.lastService > 0 && (g.unanswered || evidence == FewerLines) {
+		last = g.lastService
 	}
-	return max(word+releaseAfter, g.first+settleAfter)
+	return max(last+releaseAfter, g.firstMessage+settleAfter)
 }
 
-// endsHistory counts the calls that an office ended, by the second, for the last few seconds.
-type endsHistory struct {
+// perSecondCounts counts the calls that an office ended in each of the last few seconds.
+type perSecondCounts struct {
 	counts [16]int
-	second int64 // the last that is counted
+	second int64 // the last second counted
 }
 
-const historyStep = 1_000_000
+const countInterval = 1_000_000
 
-func (h *endsHistory) add(now int64) {
-	h.advance(now / historyStep)
+func (h *perSecondCounts) add(now int64) {
+	h.advance(now / countInterval)
 	h.counts[h.second%int64(len(h.counts))]++
 }
 
 // advance clears the seconds in which nothing was counted.
-func (h *endsHistory) advance(second int64) {
+func (h *perSecondCounts) advance(second int64) {
 	for n := 0; h.second < second; n++ {
 		if n == len(h.counts) {
 			h.second = second
@@ -281,10 +290,10 @@
 	}
 }
 
-// since is how many calls were ended since a time, to the second.
-func (h *endsHistory) since(from int64) int {
+// since returns the number of calls ended since a time, to the second.
+func (h *perSecondCounts) since(from int64) int {
 	sum := 0
-	for second := max(from/historyStep+1, h.second-int64(len(h.counts))+1, 0); second <= h.second; second++ {
+	for second := max(from/countInterval+1, h.second-int64(len(h.counts))+1, 0); second <= h.second; second++ {
 		sum += h.counts[second%int64(len(h.counts))]
 	}
 	return sum
--- a/internal/liveness/incarnation_test.go
+++ b/internal/liveness/incarnation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// standingSince counts calls by the times from which they stand.
-func standingSince(times ...int64) Standing {
+// countEstablishedAt counts calls by the times at which they were established.
+func countEstablishedAt(times ...int64) Standing {
 	return func(from, to int64) int {
 		n := 0
 		for _, at := range times {
@@ -15,19 +15,19 @@
 	}
 }
 
-// Calls of a process that has ended are over 7 s after its last word, where connects were refused before the next connection
-// and the list was silent; what the next process says begins nothing anew.
+// Calls of a process that has ended are over 7 s after its last message, where connects were refused before the next
+// connection and the list could not be received; messages of the next process do not extend the time.
 func TestRestarted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		refused bool
-		lost    int64 // when the list could last not be heard
+		lost    int64 // when the list was last unreachable
 		want    bool
 	}{
-		{"the list could be heard", true, 0, false},
-		{"the list was silent long ago", true, 2 * second, false},
-		{"the list is silent", true, 12 * second, true},
-		{"connects did not come up", false, 12 * second, false},
+		{"list received", true, 0, false},
+		{"list unreachable long ago", true, 2 * second, false},
+		{"list unreachable", true, 12 * second, true},
+		{"connects not established", false, 12 * second, false},
 	} {
 		var o Office
 		o.Heard(message(9 * second))
@@ -36,22 +36,22 @@
 		o.Connected()
 		o.Heard(message(11 * second))
 		list := List{Lost: c.lost}
-		standing := standingSince(8 * second)
+		established := countEstablishedAt(8 * second)
 		o.Heard(message(16*second - 1))
-		if _, over := o.Restarted(16*second-1, list, standing, false); over {
-			t.Errorf("%s: over before the list could have told", c.name)
+		if _, over := o.Restarted(16*second-1, list, established, false); over {
+			t.Errorf("%s: over before the list could have announced it", c.name)
 		}
-		restart, over := o.Restarted(16*second, list, standing, false)
+		restart, over := o.Restarted(16*second, list, established, false)
 		if over != c.want || over && (restart.Before != 10*second || restart.Evidence != RefusedBlind) {
-			t.Errorf("%s: %+v over: %t, want %t from before 10 s", c.name, restart, over, c.want)
+			t.Errorf("%s: %+v over: %t, want %t for calls from before 10 s", c.name, restart, over, c.want)
 		}
-		if _, again := o.Restarted(18*second, list, standing, false); again {
-			t.Errorf("%s: told twice", c.name)
+		if _, again := o.Restarted(18*second, list, established, false); again {
+			t.Errorf("%s: reported twice", c.name)
 		}
 	}
 }
 
-// A process that was killed twice leaves calls of two earlier ones, each with a bound of its own.
+// A process that was killed twice leaves calls of two earlier processes, each with a time limit of its own.
 func TestRestartedTwice(t *testing.T) {
 	var o Office
 	for i := int64(0); i < 2; i++ {
@@ -60,17 +60,17 @@
 		o.ConnectFailed((11+2*i)*second+second/10, true)
 	}
 	o.Heard(message(14 * second))
-	standing := standingSince(9*second, 12*second+second/2)
+	established := countEstablishedAt(9*second, 12*second+second/2)
 	list := List{Lost: 14 * second}
 	want := []int64{11 * second, 13 * second}
 	for now := int64(14 * second); now <= 19*second; now += second / 10 {
 		o.Heard(message(now))
-		restart, over := o.Restarted(now, list, standing, false)
+		restart, over := o.Restarted(now, list, established, false)
 		if !over {
 			continue
 		}
 		if len(want) == 0 || restart.Before != want[0] || now > restart.Spoke+releaseAfter {
-			t.Fatalf("%+v over at %d us, want those from before %v 7 s after the last word", restart, now, want)
+			t.Fatalf("%+v over at %d us, want calls from before %v 7 s after the last message", restart, now, want)
 		}
 		want = want[1:]
 	}
@@ -79,7 +79,8 @@
 	}
 }
 
-// An office that ends a call of before a gap is the same process still, and one that ends a call of after it may be another.
+// An office that ends a call from before an outage is still the same process; one that ends a call from after it may
+// be another.
 func TestEndOfAnOlderCallRefutesARestart(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -87,10 +88,11 @@
 		at            int64
 		want          bool // restarted
 	}{
-		{"of before", 9 * second, 11 * second, 12 * second, false},
-		{"of before, at once on the next connection", 9 * second, 10*second + second/20, 10*second + second/10, false},
-		{"of after", 11*second + second/2, 11 * second, 12 * second, true},
-		{"of before, written before and read late on another connection", 9 * second, second, 10*second + second/10, true},
+		{"call from before", 9 * second, 11 * second, 12 * second, false},
+		{"call from before, at once on the next connection",
+			9 * second, 10*second + second/20, 10*second + second/10, false},
+		{"call from after", 11*second + second/2, 11 * second, 12 * second, true},
+		{"call from before, end read late on another connection", 9 * second, second, 10*second + second/10, true},
 	} {
 		var o Office
 		o.Heard(message(10 * second))
@@ -99,16 +101,17 @@
 		o.Heard(message(10*second + second/10))
 		o.Ended(c.at, Call{Since: c.since}, c.opened)
 		list := List{Lost: 10 * second}
-		if _, over := o.Restarted(13*second, list, standingSince(9*second), false); over {
-			t.Errorf("%s: restarted 3 s after the last word", c.name)
+		if _, over := o.Restarted(13*second, list, countEstablishedAt(9*second), false); over {
+			t.Errorf("%s: restarted 3 s after the last message", c.name)
 		}
-		if _, over := o.Restarted(17*second, list, standingSince(9*second), false); over != c.want {
+		if _, over := o.Restarted(17*second, list, countEstablishedAt(9*second), false); over != c.want {
 			t.Errorf("%s: restarted %t, want %t", c.name, over, c.want)
 		}
 	}
 }
 
-// A report of fewer lines in use than calls stand tells of another process, unless the office's reports disagreed before.
+// A report of fewer lines in use than calls are established shows another process, unless the office's reports
+// already contradicted the established calls before.
 func TestFewerLinesInUse(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -117,102 +120,106 @@
 	}{
 		{"fewer", []int{5}, []int{1}, true},
 		{"as many", []int{5}, []int{3}, false},
-		{"more, by calls of others", []int{5}, []int{9}, false},
+		{"more, by calls of other senders", []int{5}, []int{9}, false},
 		{"fewer at first", []int{5}, []int{1, 3}, false},
 		{"fewer always", []int{0}, []int{0}, false},
 		{"none before", nil, []int{0}, true},
 	} {
 		var o Office
-		standing := standingSince(8*second, 8*second+1, 8*second+2)
+		established := countEstablishedAt(8*second, 8*second+1, 8*second+2)
 		o.Heard(message(9 * second))
 		for _, lines := range c.before {
-			o.LinesInUse(9*second, lines, standing)
+			o.LinesInUse(9*second, lines, established)
 		}
 		o.ConnectionLost(10*second, Lost{Opened: second})
 		for i, lines := range c.after {
 			at := 10*second + int64(i+1)*second/5
 			o.Heard(message(at))
-			o.LinesInUse(at, lines, standing)
+			o.LinesInUse(at, lines, established)
 		}
-		restart, over := o.Restarted(17*second, List{}, standing, false)
+		restart, over := o.Restarted(17*second, List{}, established, false)
 		if over != c.want || over && restart.Evidence != FewerLines {
 			t.Errorf("%s: %+v %t, want %t", c.name, restart, over, c.want)
 		}
 	}
 }
 
-// New calls of all senders soon take as many lines as the old ones did, before the time of those has come.
+// Guards against forgetting a report of fewer lines: new calls of all senders soon take as many lines as the old ones
+// did, before the old calls are due to be released.
 func TestFewerLinesInUseAreRemembered(t *testing.T) {
-	for _, second2 := range []int64{second, 5 * second} {
+	for _, secondReport := range []int64{second, 5 * second} {
 		var o Office
-		standing := standingSince(8*second, 8*second+1, 8*second+2)
+		established := countEstablishedAt(8*second, 8*second+1, 8*second+2)
 		o.Heard(message(10 * second))
 		o.ConnectionLost(10*second, Lost{Opened: second})
 		over := false
 		for now := int64(10*second + second/10); now <= 17*second; now += second / 10 {
 			o.Heard(message(now))
 			if now == 10*second+second/10 {
-				o.LinesInUse(now, 0, standing)
-			} else if now >= 10*second+second2 {
-				o.LinesInUse(now, 9, standing)
+				o.LinesInUse(now, 0, established)
+			} else if now >= 10*second+secondReport {
+				o.LinesInUse(now, 9, established)
 			}
-			if _, told := o.Restarted(now, List{}, standing, false); told && now == 17*second {
+			if _, restarted := o.Restarted(now, List{}, established, false); restarted && now == 17*second {
 				over = true
 			}
 		}
 		if !over {
-			t.Errorf("second report after %d us: the calls of before are not over 7 s after the last word", second2)
+			t.Errorf("second report after %d us: the calls from before are not over 7 s after the last message",
+				secondReport)
 		}
 	}
 }
 
-// An office whose process lives reports first on a new connection, and releases there at once what ended meanwhile.
+// An office whose process survives first reports on a new connection, and then sends the releases that became due
+// meanwhile.
 func TestFewerLinesInUseUntilReleasesCome(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
 	o.ConnectionLost(10*second, Lost{Opened: second})
 	o.Heard(message(14 * second))
-	o.LinesInUse(14*second, 1, standingSince(8*second, 8*second+1, 8*second+2))
-	left := standingSince(8 * second)
+	o.LinesInUse(14*second, 1, countEstablishedAt(8*second, 8*second+1, 8*second+2))
+	left := countEstablishedAt(8 * second)
 	for now := int64(14 * second); now <= 20*second; now += second / 10 {
 		o.Heard(message(now))
 		if restart, over := o.Restarted(now, List{}, left, false); over {
-			t.Fatalf("%+v at %d us, though as many calls stand as lines are in use", restart, now)
+			t.Fatalf("%+v at %d us, although as many calls are established as lines are in use", restart, now)
 		}
 	}
 }
 
-// A process that is replaced by a third one before its second report is told from it by the first report of that.
+// A process that is replaced by a third one before its second report is detected by the first report of the third.
 func TestFewerLinesInUseTwice(t *testing.T) {
 	var o Office
-	standing := standingSince(8*second, 8*second+1, 10*second+second/2, 10*second+second/2+1)
+	established := countEstablishedAt(8*second, 8*second+1, 10*second+second/2, 10*second+second/2+1)
 	o.Heard(message(9 * second))
 	for _, at := range []int64{10 * second, 12 * second} {
 		o.ConnectionLost(at, Lost{Opened: at - second})
 		o.Heard(message(at + second/5))
-		o.LinesInUse(at+second/5, 0, standing)
+		o.LinesInUse(at+second/5, 0, established)
 	}
 	for _, c := range []struct{ now, before int64 }{{16 * second, 10 * second}, {17*second + second/5, 12 * second}} {
 		o.Heard(message(c.now))
-		if restart, over := o.Restarted(c.now, List{}, standing, false); !over || restart.Before != c.before {
-			t.Errorf("%+v %t at %d us, want calls of before %d us over", restart, over, c.now, c.before)
+		if restart, over := o.Restarted(c.now, List{}, established, false); !over || restart.Before != c.before {
+			t.Errorf("%+v %t at %d us, want calls from before %d us over", restart, over, c.now, c.before)
 		}
 	}
 }
 
-// Where many calls ended each second before a loss and none of as many of before ends after it, their process is gone.
-func TestNoEndsAfterALoss(t *testing.T) {
+// If many calls ended each second before a loss and none of as many earlier calls ends after it, their process is
+// gone.
+func TestNoEndsAfterConnectionLoss(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		ended    int
-		standing int
-		age      int64 // of the calls, at the loss
-		want     bool
+		name        string
+		ended       int
+		established int
+		age         int64 // of the calls, at the loss
+		want        bool
 	}{
-		{"many ended, many young stand", 40, 40, second, true},
+		{"many ended, many young calls established", 40, 40, second, true},
 		{"few ended", 5, 40, second, false},
-		{"few stand", 40, 5, second, false},
-		{"old ones stand", 40, 40, 20 * second, false},
+		{"few established", 40, 5, second, false},
+		{"old calls established", 40, 40, 20 * second, false},
 	} {
 		var o Office
 		o.Heard(message(10 * second))
@@ -222,54 +229,54 @@
 		o.Heard(message(30 * second))
 		o.ConnectionLost(30*second+second/10, Lost{Opened: second})
 		var times []int64
-		for range c.standing {
+		for range c.established {
 			times = append(times, 30*second-c.age)
 		}
 		o.Heard(message(30*second + second/5))
-		if _, over := o.Restarted(37*second-1, List{}, standingSince(times...), false); over {
+		if _, over := o.Restarted(37*second-1, List{}, countEstablishedAt(times...), false); over {
 			t.Errorf("%s: over before 7 s", c.name)
 		}
-		restart, over := o.Restarted(37*second, List{}, standingSince(times...), false)
+		restart, over := o.Restarted(37*second, List{}, countEstablishedAt(times...), false)
 		if over != c.want || over && restart.Evidence != NoEnds {
 			t.Errorf("%s: %+v %t, want %t", c.name, restart, over, c.want)
 		}
 	}
 }
 
-// A process that ends leaves nobody who could learn more: a refused connect is enough.
-func TestRestartedAsThisProcessEnds(t *testing.T) {
+// When this process shuts down, nobody can gather more evidence: a refused connect suffices.
+func TestRestartedAtShutdown(t *testing.T) {
 	for _, refused := range []bool{true, false} {
 		var o Office
 		o.Heard(message(10 * second))
 		o.ConnectionLost(10*second, Lost{Opened: second})
 		o.ConnectFailed(10*second+second/10, refused)
 		o.Heard(message(11 * second))
-		if _, over := o.Restarted(12*second, List{}, standingSince(9*second), true); over != refused {
+		if _, over := o.Restarted(12*second, List{}, countEstablishedAt(9*second), true); over != refused {
 			t.Errorf("refused %t: restarted %t", refused, over)
 		}
 	}
 }
 
-// What is kept of losses is bounded, however often connections are lost.
-func TestGapsAreBounded(t *testing.T) {
+// The number of outages kept is bounded, however often connections are lost.
+func TestOutagesAreBounded(t *testing.T) {
 	var o Office
 	for at := int64(second); at < 200*second; at += second {
 		o.Heard(message(at))
 		o.ConnectionLost(at+second/2, Lost{Opened: at})
 	}
-	if len(o.gaps) > maxGaps {
-		t.Errorf("%d gaps are kept, want %d at most", len(o.gaps), maxGaps)
+	if len(o.outages) > maxOutages {
+		t.Errorf("%d outages are kept, want %d at most", len(o.outages), maxOutages)
 	}
 }
 
-// A process that took the place of a killed one loses its connection before the calls of that one are released: its own calls
-// were cut with them, for the lines that those do not take.
-func TestFewerLinesInUseOfTheProcessBefore(t *testing.T) {
+// A process that replaced a killed one loses its connection before the calls of the killed one are released. Guards
+// against cutting the calls of the new process with them, because they do not take the lines of the old ones.
+func TestFewerLinesInUseByPreviousProcess(t *testing.T) {
 	var o Office
 	killed, reset := int64(10*second), int64(12*second)
 	of := func(now int64) Standing {
-		first := standingSince(8*second, 8*second+1, 8*second+2)
-		own := standingSince(11*second, 11*second+1)
+		first := countEstablishedAt(8*second, 8*second+1, 8*second+2)
+		own := countEstablishedAt(11*second, 11*second+1)
 		return func(from, to int64) int {
 			n := own(from, min(to, now))
 			if now < 17*second+second/10 {
@@ -291,7 +298,7 @@
 			o.LinesInUse(now+1, 2, of(now))
 		}
 		if restart, over := o.Restarted(now+2, List{}, of(now), false); over && restart.Before != killed {
-			t.Fatalf("%+v at %d us, though the process of these calls lives and reports both", restart, now)
+			t.Fatalf("%+v at %d us, although the process of these calls runs and reports both", restart, now)
 		}
 	}
 }
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,88 +1,97 @@
-// Package liveness decides whether an office can still end the calls that stand there, from what it says, what it leaves
-// unanswered and how connects to it end. It has no clock, goroutine or socket: times come in, in microseconds, and
-// transitions go out. The evidence, its bounds and what they cost are in docs/design/liveness.md.
+// Package liveness decides whether an office can still end its established calls. It uses the messages that the
+// office sends, the set-ups that it leaves unanswered and the outcome of connects to it. It has no clock, goroutine
+// or socket: the caller passes times, in microseconds, and receives state transitions. docs/design/liveness.md
+// describes the evidence, its bounds and their cost.
 package liveness
 
-// Bounds on the evidence, in microseconds. The protocol wants the end of a call told 8 s after it at the latest where the
-// office can send no release; an end may follow the last message at once.
+// Bounds on the evidence, in microseconds. The protocol requires that the caller is told of the end of a call within
+// 8 s where the office cannot send a release; the end may directly follow the office's last message.
 const (
-	// releaseAfter is how long the process that holds calls may say nothing, or end none of many, before they are over.
+	// releaseAfter is how long the process that holds calls may send nothing, or end none of many calls, before its
+	// calls are considered over.
 	releaseAfter = 7_000_000
-	// silentAfter is how long an office may say nothing, or leave set-ups unanswered: a part of it that answers or greets
-	// may have gone on for a while after it could end calls no more.
+	// silentAfter is how long an office may send nothing, or leave set-ups unanswered. It is shorter than
+	// releaseAfter because the part of an office that answers or greets may have continued for a while after it could
+	// no longer end calls.
 	silentAfter = 6_500_000
-	// maxLag bounds the time that an office's words are taken to have waited for its processor.
-	maxLag = 2_500_000
-	// tellWithin is the latest time after its last word at which such calls are released, whatever else there is to wait for.
-	tellWithin = 7_900_000
-	// inspectAfter is how long it may say nothing before a new connection is to show whether it still does.
-	inspectAfter = 3_500_000
-	// refusedFor and unreachableFor are how long connects may be refused, and may not come up. A refused one proves that
-	// the process has ended; one that does not come up may be a cut of the network.
+	// maxQueueDelay bounds the assumed queueing delay of an office's messages behind its other work.
+	maxQueueDelay = 2_500_000
+	// releaseWithin is the latest time after an office's last message at which such calls are released, whatever other
+	// evidence is pending.
+	releaseWithin = 7_900_000
+	// probeAfter is how long an office may send nothing before a new connection is opened to test whether it still
+	// does.
+	probeAfter = 3_500_000
+	// refusedFor and unreachableFor are how long connects may be refused, and how long they may fail to be
+	// established. A refused connect proves that the process has ended; one that is not established may be due to a
+	// network partition.
 	refusedFor     = 2_500_000
 	unreachableFor = 4_500_000
-	// lastingFor is how long a connection must have been up for its end to begin a new series of failures.
+	// lastingFor is how long a connection must have been up for its loss to begin a new series of failures.
 	lastingFor = refusedFor
 	// suspectAfter is how long a series of failures lasts before the office is suspected.
 	suspectAfter = 1_000_000
-	// leastWait is the least time that a set-up without an answer must have been out to tell anything, leastCutWait that of
-	// one whose connection was lost. leastUnanswered such set-ups, that waited for stalledWait together, tell that the
-	// office answers none: one alone may have got lost.
-	leastWait       = 300_000
-	leastCutWait    = 100_000
-	leastUnanswered = 2
-	stalledWait     = 500_000
-	// stalledFor is how long the first of them must have had no answer, however long ago the last service was: one that is
-	// sent then and answered shows that the first got lost.
+	// minWait is the shortest time that an unanswered set-up must have been outstanding to count as evidence,
+	// minCutWait the same for a set-up whose connection was lost. At least minUnanswered such set-ups,
+	// outstanding for a total of stalledWait, show that the office answers none: a single one may have been lost.
+	minWait       = 300_000
+	minCutWait    = 100_000
+	minUnanswered = 2
+	stalledWait   = 500_000
+	// stalledFor is how long the first of them must have been unanswered, however long ago the last service was: a
+	// set-up that is sent in that time and answered shows that the first one was lost.
 	stalledFor = 3_000_000
-	// trialAfter is how long after a set-up without an answer another one is asked for, where the first is not enough.
+	// trialAfter is how long after an unanswered set-up another one is requested, where the first is not sufficient
+	// evidence.
 	trialAfter = 500_000
-	// trialAgain and mostTrials are how long after that, and how often in all, it is asked for.
+	// trialAgain is the interval between such requests, maxTrials their maximum number.
 	trialAgain = 1_500_000
-	mostTrials = 3
-	// listSilence is how long the list may already have been silent when that is noticed.
+	maxTrials  = 3
+	// listSilence is how long the list may already have been silent when that is detected.
 	listSilence = 3_000_000
-	// departingAfter is the silence that counts when this process ends, and cannot wait for more evidence.
+	// departingAfter is the silence that suffices when this process shuts down and cannot wait for more evidence.
 	departingAfter = 1_000_000
-	// departingStalled is how long no message of a call may have come then, with set-ups unanswered, though reports go on.
+	// departingStalled is how long, at shutdown, no message of a call may have been received while set-ups are
+	// unanswered and reports continue.
 	departingStalled = 1_500_000
 )
 
-// State is what is believed of an office.
+// State is the assumed state of an office.
 type State int
 
-// The states.
+// Office states.
 const (
 	Responsive   State = iota
-	Suspected          // some evidence says that it can't end its calls any more
-	Unresponsive       // calls that stand there are over
+	Suspected          // some evidence indicates that it cannot end its calls any more
+	Unresponsive       // its established calls are over
 )
 
-// String names the state as the log does.
+// String returns the name used in the log.
 func (s State) String() string { return [...]string{"responsive", "suspected", "unresponsive"}[s] }
 
 // Reason is the evidence for a transition.
 type Reason int
 
-// The reasons.
+// Reasons for a transition.
 const (
-	Spoke       Reason = iota // a message came
-	Silent                    // no whole message came on any connection
-	Stalled                   // messages come, but none of a call, though set-ups wait for an answer
-	Refused                   // connects are refused
-	Unreachable               // connects do not come up
-	Departing                 // this process ends, and evidence is not complete
-	Restarted                 // another process of it speaks than that which held the calls
-	NoneEnded                 // none of many calls ends any more, whatever else it says
+	MessageReceived Reason = iota // a message was received
+	Silent                        // no complete message was received on any connection
+	Stalled                       // messages are received, but none of a call, although set-ups are unanswered
+	Refused                       // connects are refused
+	Unreachable                   // connects are not established
+	Departing                     // this process shuts down before the evidence is complete
+	Restarted                     // the messages come from another process than the one that held the calls
+	NoneEnded                     // none of many calls ends any more, whatever messages are received
 	reasons
 )
 
-// Reasons is how many there are.
+// Reasons is the number of reasons.
 const Reasons = int(reasons)
 
-// String names the reason as the log does.
+// String returns the name used in the log.
 func (r Reason) String() string {
-	return [...]string{"spoke", "silent", "stalled", "refused", "unreachable", "departing", "restarted", "none-ended"}[r]
+	return [...]string{"spoke", "silent", "stalled", "refused", "unreachable", "departing", "restarted",
+		"none-ended"}[r]
 }
 
 // Transition is a change of an office's state.
@@ -91,52 +100,53 @@
 	Reason   Reason
 }
 
-// failure is how the last connect ended.
-type failure int
+// connectFailure is the result of the last connect, if it failed.
+type connectFailure int
 
 const (
-	none failure = iota
-	refused
-	unreachable
+	noFailure connectFailure = iota
+	connectRefused
+	connectUnreachable
 )
 
-// Office is the evidence of one office. The zero value is one of which nothing is known.
+// Office is the evidence about one office. The zero value represents an office of which nothing is known.
 type Office struct {
-	state   State
-	reason  Reason
-	spoke   int64        // when the last whole message came, on any connection
-	served  int64        // when the last message of a call came
-	heard   [words]int64 // when the last message of each kind came
-	asked   int64        // when the latest set-up was sent that has been answered
-	lag     int64        // how long what it answered last had waited there
-	failing int64        // since when the main connection has not lasted; 0: it does
-	failed  int64        // when the last connect of this series failed
-	last    failure
-	endings endings
-	incarnations
-
-	unanswered Unanswered // set-ups given up, or cut, without an answer since served
-	doubted    int64      // when the last of them was
-	trials     int        // how often another set-up was asked for since served
-	trial      int64      // when it last was
+	state            State
+	reason           Reason
+	lastMessage      int64        // when the last complete message was received, on any connection
+	lastService      int64        // when the last message of a call was received
+	lastOfKind       [kinds]int64 // when the last message of each kind was received
+	lastAnsweredSent int64        // when the latest of the answered set-ups was sent
+	queueDelay       int64        // queueing delay of its last answer at the office
+	failingSince     int64        // since when the main connection has not lasted; 0: it does
+	lastFailure      int64        // when the last connect of this series failed
+	lastConnect      connectFailure
+	ended            endRecord
+	processHistory
+
+	unanswered     Unanswered // set-ups given up, or cut, without an answer since lastService
+	lastUnanswered int64      // when the last of them was
+	trialCount     int        // number of further set-ups requested since lastService
+	lastTrial      int64      // when the last one was requested
 }
 
-// Unanswered is set-ups without an answer: how many, how long they have been out together, and since when one is. Microseconds.
+// Unanswered summarizes unanswered set-ups: their number, the total time that they have been outstanding, and since
+// when the oldest is. Times are in microseconds.
 type Unanswered struct {
 	Count  int
 	Waited int64
 	First  int64
 }
 
-// Add counts a set-up that has been out for so long; 0: it tells nothing.
-func (u *Unanswered) Add(now, out int64) {
-	if out > 0 {
-		u.join(Unanswered{Count: 1, Waited: out, First: now - out})
+// Add counts a set-up that has been outstanding for the given time; 0: it is no evidence.
+func (u *Unanswered) Add(now, duration int64) {
+	if duration > 0 {
+		u.merge(Unanswered{Count: 1, Waited: duration, First: now - duration})
 	}
 }
 
-// join counts others too.
-func (u *Unanswered) join(other Unanswered) {
+// merge adds the set-ups of another summary.
+func (u *Unanswered) merge(other Unanswered) {
 	if u.Count == 0 || other.Count > 0 && other.First < u.First {
 		u.First = other.First
 	}
@@ -144,81 +154,82 @@
 	u.Waited += other.Waited
 }
 
-// enough tells whether an office that leaves these unanswered answers none, where work waits so long for its processor.
-func (u Unanswered) enough(lag int64) bool {
-	return u.Count >= leastUnanswered && u.Waited >= stalledWait+leastUnanswered*lag
+// sufficient reports whether an office that leaves these set-ups unanswered answers none, given the queueing delay at
+// the office.
+func (u Unanswered) sufficient(queueDelay int64) bool {
+	return u.Count >= minUnanswered && u.Waited >= stalledWait+minUnanswered*queueDelay
 }
 
-// State is what is believed now.
+// State returns the current state.
 func (o *Office) State() State { return o.state }
 
-// Spoke is when the last whole message came; 0: none has.
-func (o *Office) Spoke() int64 { return o.spoke }
+// Spoke returns when the last complete message was received; 0: none was.
+func (o *Office) Spoke() int64 { return o.lastMessage }
 
-// Last is when the last message of a kind came; 0: none has.
-func (o *Office) Last(word Word) int64 { return o.heard[word] }
+// Last returns when the last message of a kind was received; 0: none was.
+func (o *Office) Last(word Word) int64 { return o.lastOfKind[word] }
 
-// Lag is how long work waits for the office's processor, by what it answered last.
-func (o *Office) Lag() int64 { return o.lag }
+// Lag returns the queueing delay at the office, as measured by its last answer.
+func (o *Office) Lag() int64 { return o.queueDelay }
 
-// Served is when the last message of a call came, which only a processor that works can write; 0: none has.
-func (o *Office) Served() int64 { return o.served }
+// Served returns when the last message of a call was received, which only a working process can write; 0: none was.
+func (o *Office) Served() int64 { return o.lastService }
 
-// Message is what counts of a whole message from an office.
+// Message is the part of a complete message from an office that counts as evidence.
 type Message struct {
 	At     int64
 	Word   Word
-	Main   bool  // it came on the office's main connection, and not on a pooled one beside it
-	Opened int64 // when that connection came up
-	Asked  int64 // when the set-up was sent that it answers; 0: it answers none
+	Main   bool  // it was received on the office's main connection, not on a pooled one
+	Opened int64 // when that connection was established
+	Asked  int64 // when the set-up that it answers was sent; 0: it answers none
 }
 
-// lastWord is the earliest time at which the office may have stopped ending calls, by its last message: releases wait in line
-// behind what it answers.
-func (o *Office) lastWord() int64 { return o.spoke - o.lag }
+// processedUntil returns the earliest time at which the office may have stopped ending calls, by its last message:
+// releases are queued behind the messages that it writes.
+func (o *Office) processedUntil() int64 { return o.lastMessage - o.queueDelay }
 
-// lastService is the same by its last message of a call.
-func (o *Office) lastService() int64 { return o.served - o.lag }
+// servedUntil returns the same time by its last message of a call.
+func (o *Office) servedUntil() int64 { return o.lastService - o.queueDelay }
 
-// waits learns how long work waits for the office's processor from an answer to a set-up. Guards against a late answer, which
-// later set-ups have overtaken.
-func (o *Office) waits(m Message) {
-	if m.Asked > o.asked {
-		o.asked = m.Asked
-		o.lag = min(max(m.At-m.Asked, 0), maxLag)
+// learnQueueDelay measures the queueing delay at the office by an answer to a set-up. Guards against a late answer
+// that answers to later set-ups have overtaken.
+func (o *Office) learnQueueDelay(m Message) {
+	if m.Asked > o.lastAnsweredSent {
+		o.lastAnsweredSent = m.Asked
+		o.queueDelay = min(max(m.At-m.Asked, 0), maxQueueDelay)
 	}
 }
 
-// Heard notes a message.
+// Heard records a message.
 func (o *Office) Heard(m Message) (Transition, bool) {
-	o.spoke = max(o.spoke, m.At)
-	o.heard[m.Word] = max(o.heard[m.Word], m.At)
+	o.lastMessage = max(o.lastMessage, m.At)
+	o.lastOfKind[m.Word] = max(o.lastOfKind[m.Word], m.At)
 	if m.Main {
-		o.endSeries()
-		o.endGap(m.At)
+		o.endFailureSeries()
+		o.endOutage(m.At)
 	} else {
-		o.proven(proof{at: m.At, since: m.Opened, opened: m.Opened})
+		o.recordSameProcess(processProof{at: m.At, since: m.Opened, opened: m.Opened})
 	}
 	if proves[m.Word].service {
-		o.served = max(o.served, m.At)
-		o.waits(m)
+		o.lastService = max(o.lastService, m.At)
+		o.learnQueueDelay(m)
 		o.unanswered = Unanswered{}
-		o.trials = 0
+		o.trialCount = 0
 	}
-	if o.state == Responsive || !o.refuted(m) {
+	if o.state == Responsive || !o.contradicted(m) {
 		return Transition{}, false
 	}
-	return o.become(Responsive, Spoke), true
+	return o.transition(Responsive, MessageReceived), true
 }
 
-// endSeries notes that the main connection brings messages.
-func (o *Office) endSeries() {
-	o.failing = 0
-	o.last = none
+// endFailureSeries records that the main connection brings messages.
+func (o *Office) endFailureSeries() {
+	o.failingSince = 0
+	o.lastConnect = noFailure
 }
 
-// refuted tells whether a message speaks against the evidence for the present state.
-func (o *Office) refuted(m Message) bool {
+// contradicted reports whether a message contradicts the evidence for the present state.
+func (o *Office) contradicted(m Message) bool {
 	switch o.reason {
 	case Stalled:
 		return proves[m.Word].service
@@ -228,149 +239,159 @@
 	return true
 }
 
-// Waited is how long a set-up that was sent at a time has been out without an answer; 0: that tells nothing. One that others
-// overtook, which were answered long after it was sent, got lost on its way, and tells nothing of the office.
-func (o *Office) Waited(now, sent int64) int64 { return o.waitedFor(now, sent, leastWait) }
+// Waited returns how long a set-up that was sent at the given time has been outstanding; 0: that is no evidence. A
+// set-up that others overtook, which were answered long after it was sent, was lost on its way and is no evidence
+// about the office.
+func (o *Office) Waited(now, sent int64) int64 { return o.outstandingFor(now, sent, minWait) }
 
-func (o *Office) waitedFor(now, sent, least int64) int64 {
-	out := now - max(sent, o.served)
-	if overtaken := o.served-sent > leastWait; overtaken || out < least {
+func (o *Office) outstandingFor(now, sent, least int64) int64 {
+	duration := now - max(sent, o.lastService)
+	if overtaken := o.lastService-sent > minWait; overtaken || duration < least {
 		return 0
 	}
-	return out
+	return duration
 }
 
-// GivenUp notes a set-up that was sent at a time and is given up without an answer.
-func (o *Office) GivenUp(now, sent int64) { o.unansweredFor(now, o.waitedFor(now, sent, leastWait)) }
+// GivenUp records that a set-up sent at the given time is given up unanswered.
+func (o *Office) GivenUp(now, sent int64) {
+	o.addUnanswered(now, o.outstandingFor(now, sent, minWait))
+}
 
-// Cut notes a set-up that was sent at a time and had no answer when its connection was lost.
-func (o *Office) Cut(now, sent int64) { o.unansweredFor(now, o.waitedFor(now, sent, leastCutWait)) }
+// Cut records that a set-up sent at the given time was unanswered when its connection was lost.
+func (o *Office) Cut(now, sent int64) {
+	o.addUnanswered(now, o.outstandingFor(now, sent, minCutWait))
+}
 
-func (o *Office) unansweredFor(now, out int64) {
-	o.unanswered.Add(now, out)
-	if out > 0 {
-		o.doubted = now
+func (o *Office) addUnanswered(now, duration int64) {
+	o.unanswered.Add(now, duration)
+	if duration > 0 {
+		o.lastUnanswered = now
 	}
 }
 
-// WantsTrial tells that another set-up is wanted at an office which has left one unanswered: whether it can still end its calls
-// would not be known in time if none went there.
+// WantsTrial reports whether another set-up should be sent to an office that has left one unanswered: without one it
+// would not be known in time whether the office can still end its calls.
 func (o *Office) WantsTrial(now int64) bool {
-	doubted := o.unanswered.Count > 0 && !o.unanswered.enough(o.lag) && now-o.doubted >= trialAfter
-	if !doubted || o.trials == mostTrials || o.trials > 0 && now-o.trial < trialAgain {
+	doubted := o.unanswered.Count > 0 && !o.unanswered.sufficient(o.queueDelay) && now-o.lastUnanswered >= trialAfter
+	if !doubted || o.trialCount == maxTrials || o.trialCount > 0 && now-o.lastTrial < trialAgain {
 		return false
 	}
-	o.trials++
-	o.trial = now
+	o.trialCount++
+	o.lastTrial = now
 	return true
 }
 
-// Connected notes that a connection came up. That alone says nothing: the system accepts for a process that stands still.
-func (o *Office) Connected() { o.last = none }
+// Connected records that a connection was established. That alone is no evidence: the system accepts connections for
+// a process that hangs.
+func (o *Office) Connected() { o.lastConnect = noFailure }
 
-// ConnectionLost notes the end of a main connection.
+// ConnectionLost records the loss of a main connection.
 func (o *Office) ConnectionLost(now int64, lost Lost) {
-	if o.failing == 0 || now-lost.Opened >= lastingFor {
-		o.failing = now
+	if o.failingSince == 0 || now-lost.Opened >= lastingFor {
+		o.failingSince = now
 	}
-	o.beginGap(now, lost.Unanswered)
+	o.beginOutage(now, lost.Unanswered)
 }
 
-// ConnectFailed notes a connect that was refused, or did not come up.
+// ConnectFailed records a connect that was refused or was not established.
 func (o *Office) ConnectFailed(now int64, isRefused bool) {
-	if o.failing == 0 {
-		o.failing = now
+	if o.failingSince == 0 {
+		o.failingSince = now
 	}
-	o.beginGap(now, 0)
-	o.failed = now
-	o.last = unreachable
+	o.beginOutage(now, 0)
+	o.lastFailure = now
+	o.lastConnect = connectUnreachable
 	if isRefused {
-		o.last = refused
-		o.gaps[len(o.gaps)-1].refused = true
+		o.lastConnect = connectRefused
+		o.outages[len(o.outages)-1].connectRefused = true
 	}
 }
 
-// CanWait tells whether judging the office may wait for so long: no bound of calls that stand there passes meanwhile.
+// CanWait reports whether the judgement of the office may be delayed by the given time without passing a bound for
+// its established calls.
 func (o *Office) CanWait(now, wait int64) bool {
-	word := o.lastWord()
-	for _, g := range o.gaps {
-		word = min(word, g.spoke)
+	last := o.processedUntil()
+	for _, g := range o.outages {
+		last = min(last, g.lastMessage)
 	}
-	return now+wait <= word+tellWithin
+	return now+wait <= last+releaseWithin
 }
 
-// Judge decides on an office at which calls stand and these set-ups are out. It tells of an unresponsive one each time, for the calls that are still to
-// be released. Not to be asked while this process has just stood still: what came meanwhile may not have been read yet.
-func (o *Office) Judge(now int64, out Unanswered) (Transition, bool) {
-	state, reason := o.believed(now, out)
+// Judge decides on an office that has established calls and the given outstanding set-ups. It returns an unresponsive
+// office at each call, for the calls that are still to be released. It must not be called directly after a pause of
+// this process: messages received during the pause may not have been read yet.
+func (o *Office) Judge(now int64, outstanding Unanswered) (Transition, bool) {
+	state, reason := o.assess(now, outstanding)
 	if state < o.state || state == o.state && state != Unresponsive {
-		return Transition{}, false // only a message brings it back
+		return Transition{}, false // only a message restores the office
 	}
-	return o.become(state, reason), true
+	return o.transition(state, reason), true
 }
 
-// LastObservation is what is seen of an office as this process is about to end.
+// LastObservation is what is known of an office when this process is about to shut down.
 type LastObservation struct {
-	Usual      Rhythm // the usual time between two reports
+	Usual      Rhythm // the usual interval between two reports
 	Connected  bool
-	Unanswered int // set-ups that are out and should have been answered, as in Lost
+	Unanswered int // outstanding set-ups that should have been answered, as in Lost
 }
 
-// JudgeDeparting decides on an office at which calls stand when this process is about to end. A later one knows nothing of
-// them, so doubt is enough: a report overdue by the usual time between two, no connection, a set-up without an answer, or a
-// silence that has been inspected. Where reports go on, the silence of its processor counts.
-func (o *Office) JudgeDeparting(now int64, seen LastObservation) (Transition, bool) {
-	silent := now - o.spoke
-	overdue := seen.Usual != 0 && silent >= int64(seen.Usual+seen.Usual/2)
-	doubted := overdue || !seen.Connected || o.unanswered.Count > 0 || silent >= inspectAfter
-	unanswered := o.unanswered.Count > 0 || seen.Unanswered >= leastUnanswered
-	stalled := unanswered && now-o.served >= departingStalled
+// JudgeDeparting decides on an office that has established calls when this process is about to shut down. The next
+// process knows nothing of them, so doubt suffices: a report overdue by its usual interval, no connection, an
+// unanswered set-up, or silence for which a probe is due. Where reports continue, the time without a message of a
+// call counts.
+func (o *Office) JudgeDeparting(now int64, observation LastObservation) (Transition, bool) {
+	silent := now - o.lastMessage
+	overdue := observation.Usual != 0 && silent >= int64(observation.Usual+observation.Usual/2)
+	doubted := overdue || !observation.Connected || o.unanswered.Count > 0 || silent >= probeAfter
+	unanswered := o.unanswered.Count > 0 || observation.Unanswered >= minUnanswered
+	stalled := unanswered && now-o.lastService >= departingStalled
 	if !stalled && (!doubted || silent < departingAfter) {
 		return Transition{}, false
 	}
-	return o.become(Unresponsive, Departing), true
+	return o.transition(Unresponsive, Departing), true
 }
 
-// Inspect tells whether a new connection is to show that the office still speaks: an office tells on it first of all what it
-// could not tell before. One that has come up at a time after its last message has shown what it can.
+// Inspect reports whether a new connection should be opened to test whether the office still sends messages: an
+// office first sends on it what it could not deliver before. A connection established after the office's last message
+// has already been such a test.
 func (o *Office) Inspect(now, opened int64) bool {
-	return now-o.spoke >= inspectAfter && opened <= o.spoke
+	return now-o.lastMessage >= probeAfter && opened <= o.lastMessage
 }
 
-// believed is what the evidence says now.
-func (o *Office) believed(now int64, out Unanswered) (State, Reason) {
-	silent := now - o.lastWord()
+// assess returns the state and the reason that follow from the evidence now.
+func (o *Office) assess(now int64, outstanding Unanswered) (State, Reason) {
+	silent := now - o.processedUntil()
 	stalled := int64(0)
-	out.join(o.unanswered)
-	if out.enough(o.lag) {
-		stalled = min(now-o.lastService(), now-out.First+silentAfter-stalledFor)
+	outstanding.merge(o.unanswered)
+	if outstanding.sufficient(o.queueDelay) {
+		stalled = min(now-o.servedUntil(), now-outstanding.First+silentAfter-stalledFor)
 	}
 	failing := int64(0)
-	if o.last != none {
-		failing = o.failed - o.failing
+	if o.lastConnect != noFailure {
+		failing = o.lastFailure - o.failingSince
 	}
 	switch {
-	case silent >= silentAfter: // first: it holds for calls on pooled connections, too
+	case silent >= silentAfter: // first, as it also holds for calls on pooled connections
 		return Unresponsive, Silent
-	case o.last == refused && failing >= refusedFor:
+	case o.lastConnect == connectRefused && failing >= refusedFor:
 		return Unresponsive, Refused
-	case o.last == unreachable && failing >= unreachableFor:
+	case o.lastConnect == connectUnreachable && failing >= unreachableFor:
 		return Unresponsive, Unreachable
 	case stalled >= silentAfter:
 		return Unresponsive, Stalled
-	case o.last == refused && failing >= suspectAfter:
+	case o.lastConnect == connectRefused && failing >= suspectAfter:
 		return Suspected, Refused
-	case o.last == unreachable && failing >= suspectAfter:
+	case o.lastConnect == connectUnreachable && failing >= suspectAfter:
 		return Suspected, Unreachable
-	case silent >= inspectAfter:
+	case silent >= probeAfter:
 		return Suspected, Silent
-	case stalled >= inspectAfter:
+	case stalled >= probeAfter:
 		return Suspected, Stalled
 	}
-	return Responsive, Spoke
+	return Responsive, MessageReceived
 }
 
-func (o *Office) become(to State, reason Reason) Transition {
+func (o *Office) transition(to State, reason Reason) Transition {
 	t := Transition{From: o.state, To: to, Reason: reason}
 	o.state = to
 	o.reason = reason
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -4,18 +4,19 @@
 
 const second = 1_000_000
 
-// message is one on the main connection.
+// message returns a message on the main connection.
 func message(at int64) Message { return Message{At: at, Main: true} }
 
-// An office that says nothing is suspected after half the time and unresponsive after all of it, whatever connects do.
+// An office that sends nothing is suspected after half of the time limit and unresponsive after all of it, whatever
+// the result of connects.
 func TestSilenceIsBounded(t *testing.T) {
 	for name, connects := range map[string]func(o *Office, now int64){
-		"nothing else is seen": func(*Office, int64) {},
-		"connections come up and end": func(o *Office, now int64) {
+		"no other events": func(*Office, int64) {},
+		"connections are established and lost": func(o *Office, now int64) {
 			o.Connected()
 			o.ConnectionLost(now, Lost{Opened: now - second/2})
 		},
-		"connects fail and come up by turns": func(o *Office, now int64) {
+		"connects fail and succeed alternately": func(o *Office, now int64) {
 			o.ConnectFailed(now, now%2 == 0)
 			o.Connected()
 		},
@@ -25,9 +26,9 @@
 		suspected, unresponsive := int64(0), int64(0)
 		for now := int64(10 * second); now < 30*second && unresponsive == 0; now += second / 10 {
 			connects(&o, now)
-			if change, told := o.Judge(now, Unanswered{}); told && change.To == Unresponsive {
+			if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
 				unresponsive = now
-			} else if told && suspected == 0 {
+			} else if changed && suspected == 0 {
 				suspected = now
 			}
 		}
@@ -45,33 +46,34 @@
 	for _, c := range []struct {
 		name    string
 		refused bool
-		after   int64 // from the loss to the verdict
-	}{{"refused", true, refusedFor}, {"not up", false, unreachableFor}} {
+		after   int64 // from the loss to the transition
+	}{{"refused", true, refusedFor}, {"not established", false, unreachableFor}} {
 		var o Office
 		o.Heard(message(10 * second))
 		o.ConnectionLost(10*second, Lost{Opened: second})
 		at := int64(0)
 		for now := int64(10*second + second/2); at == 0 && now < 30*second; now += second / 2 {
 			o.ConnectFailed(now, c.refused)
-			if change, told := o.Judge(now, Unanswered{}); told && change.To == Unresponsive {
+			if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
 				at = now
 			}
 		}
 		if at != 10*second+c.after {
 			t.Errorf("%s: unresponsive %d us after the loss, want %d", c.name, at-10*second, c.after)
 		}
-		if change, told := o.Heard(message(at)); !told || change.To != Responsive || change.Reason != Spoke {
-			t.Errorf("%s: %+v %t by a message, want responsive", c.name, change, told)
+		if transition, changed := o.Heard(message(at)); !changed ||
+			transition.To != Responsive || transition.Reason != MessageReceived {
+			t.Errorf("%s: %+v %t by a message, want responsive", c.name, transition, changed)
 		}
 		o.ConnectFailed(at+1, c.refused)
-		if change, told := o.Judge(at+1, Unanswered{}); told {
-			t.Errorf("%s: %+v by the first failure after a message", c.name, change)
+		if transition, changed := o.Judge(at+1, Unanswered{}); changed {
+			t.Errorf("%s: %+v by the first failure after a message", c.name, transition)
 		}
 	}
 }
 
-// What comes on a pooled connection says that the office lives, and not that it can be connected to.
-func TestPooledConnectionsSayNothingOfTheMainOne(t *testing.T) {
+// A message on a pooled connection shows that the office runs, not that it can be connected to.
+func TestPooledConnectionsDoNotProveMainConnection(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
 	o.ConnectionLost(10*second, Lost{Opened: second})
@@ -79,16 +81,16 @@
 	for now := int64(10 * second); now <= 20*second; now += second / 2 {
 		o.ConnectFailed(now, true)
 		o.Heard(Message{At: now})
-		if change, told := o.Judge(now, Unanswered{}); told {
-			verdict = change
+		if transition, changed := o.Judge(now, Unanswered{}); changed {
+			verdict = transition
 		}
 	}
 	if verdict.To != Unresponsive || verdict.Reason != Refused {
-		t.Errorf("%+v, want unresponsive for refused connects", verdict)
+		t.Errorf("%+v, want unresponsive because of refused connects", verdict)
 	}
 }
 
-// Refused connects leave what stands on a pooled connection; silence on all connections does not.
+// Refused connects do not affect calls on pooled connections; silence on all connections does.
 func TestSilenceHoldsBesideRefusedConnects(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
@@ -96,17 +98,17 @@
 	var last Transition
 	for now := int64(10 * second); now <= 17*second; now += second / 2 {
 		o.ConnectFailed(now, true)
-		if change, told := o.Judge(now, Unanswered{}); told {
-			last = change
+		if transition, changed := o.Judge(now, Unanswered{}); changed {
+			last = transition
 		}
 	}
 	if last.To != Unresponsive || last.Reason != Silent {
-		t.Errorf("%+v after 7 s, want unresponsive for silence", last)
+		t.Errorf("%+v after 7 s, want unresponsive because of silence", last)
 	}
 }
 
-// An office that speaks now and then is never unresponsive, also where connections to it end.
-func TestWhoSpeaksIsResponsive(t *testing.T) {
+// An office that sends a message now and then is never unresponsive, even if connections to it are lost.
+func TestSendingOfficeIsResponsive(t *testing.T) {
 	var o Office
 	for now := int64(second); now < 120*second; now += second / 10 {
 		if now%(6*second) == 0 {
@@ -117,14 +119,14 @@
 			o.ConnectFailed(now, true)
 			o.Connected()
 		}
-		if change, told := o.Judge(now, Unanswered{}); told && change.To == Unresponsive {
-			t.Fatalf("%+v at %d us", change, now)
+		if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
+			t.Fatalf("%+v at %d us", transition, now)
 		}
 	}
 }
 
-// Only a connection that was there before the last message is inspected, once half the time has passed.
-func TestInspect(t *testing.T) {
+// A probe is due only after half of the time limit, and only if the connection predates the last message.
+func TestProbe(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
 	for _, c := range []struct {
@@ -137,13 +139,13 @@
 	}
 }
 
-// A connection is mute when a report is overdue by the usual time between two, and never where nobody reports.
-func TestRhythm(t *testing.T) {
+// A connection is mute when a report is overdue by the usual interval, and never where no office reports.
+func TestReportInterval(t *testing.T) {
 	var all Rhythm
 	var c Connection
 	c.Up(second)
 	if c.Mute(100*second, all) {
-		t.Error("mute, though no office reports")
+		t.Error("mute, although no office reports")
 	}
 	for at := int64(2 * second); at <= 6*second; at += second / 2 {
 		c.Report(at, &all)
@@ -164,27 +166,27 @@
 		all.Observe(1000) // a burst
 	}
 	if all != second/2 {
-		t.Errorf("a burst makes the usual time %d us", all)
+		t.Errorf("a burst makes the usual interval %d us", all)
 	}
 	all.Observe(60 * second) // several were missed
 	if all > second {
-		t.Errorf("one late report makes the usual time %d us", all)
+		t.Errorf("one late report makes the usual interval %d us", all)
 	}
 }
 
-// An office that reports, and leaves set-ups without an answer, can't end its calls; one set-up that was lost while others
-// were answered, or a caller who gave up at once, says nothing of it.
-func TestReportsAloneAreNoSignOfService(t *testing.T) {
+// An office that reports but leaves set-ups unanswered cannot end its calls. A single set-up that was lost while
+// others were answered, or a caller who gave up at once, is no evidence of that.
+func TestReportsDoNotProveService(t *testing.T) {
 	for _, c := range []struct {
 		name             string
-		every, out       int64 // a set-up so often, given up after so long
-		servedEvery      int64 // another one is answered so often; 0: never
+		every, out       int64 // interval of the set-ups, and the time after which each is given up
+		servedEvery      int64 // interval of other set-ups that are answered; 0: never
 		wantUnresponsive bool
 	}{
 		{"no set-ups", 0, 0, 0, false},
 		{"one set-up unanswered", 30 * second, second, 0, false},
-		{"one set-up after the other unanswered", 2 * second, second, 0, true},
-		{"short ones unanswered", second, second / 2, 0, true},
+		{"set-ups unanswered one after the other", 2 * second, second, 0, true},
+		{"set-ups briefly unanswered", second, second / 2, 0, true},
 		{"callers give up at once", second / 10, second / 100, 0, false},
 		{"some unanswered", 2 * second, second, 3 * second, false},
 	} {
@@ -201,9 +203,9 @@
 			if c.servedEvery != 0 && now%c.servedEvery == 0 {
 				o.Heard(Message{At: now, Word: Answer, Main: true})
 			}
-			if change, told := o.Judge(now, Unanswered{}); told && change.To == Unresponsive {
-				if at = now; change.Reason != Stalled {
-					t.Errorf("%s: %+v, want stalled", c.name, change)
+			if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
+				if at = now; transition.Reason != Stalled {
+					t.Errorf("%s: %+v, want stalled", c.name, transition)
 				}
 			}
 		}
@@ -213,53 +215,54 @@
 	}
 }
 
-// When this process ends doubt is enough, and an office that has nothing to say is in none.
+// At shutdown of this process doubt suffices, and an office that has no reason to send anything is not in doubt.
 func TestDeparting(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		silent    int64
 		usual     Rhythm
 		connected bool
-		lost      bool // a set-up has had no answer
+		lost      bool // a set-up is unanswered
 		want      bool
 	}{
 		{"reports in time", second / 2, second / 2, true, false, false},
 		{"report overdue", second, second / 2, true, false, true},
-		{"reports seldom", 2 * second, 3 * second, true, false, false},
-		{"never reports, quiet", 3 * second, 0, true, false, false},
-		{"never reports, quiet for longer", 4 * second, 0, true, false, true},
+		{"reports rarely", 2 * second, 3 * second, true, false, false},
+		{"never reports, silent", 3 * second, 0, true, false, false},
+		{"never reports, silent for longer", 4 * second, 0, true, false, true},
 		{"never reports, no connection", 2 * second, 0, false, false, true},
-		{"connection lost just now", second / 2, 0, false, false, false},
-		{"a set-up has had no answer", 2 * second, 0, true, true, true},
+		{"connection just lost", second / 2, 0, false, false, false},
+		{"a set-up is unanswered", 2 * second, 0, true, true, true},
 	} {
 		var o Office
 		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
 		if c.lost {
 			o.GivenUp(11*second, 10*second+second/10)
 		}
-		change, told := o.JudgeDeparting(10*second+c.silent, LastObservation{Usual: c.usual, Connected: c.connected})
-		if told != c.want || told && (change.To != Unresponsive || change.Reason != Departing) {
-			t.Errorf("%s: %+v %t, want %t", c.name, change, told, c.want)
+		transition, changed := o.JudgeDeparting(10*second+c.silent,
+			LastObservation{Usual: c.usual, Connected: c.connected})
+		if changed != c.want || changed && (transition.To != Unresponsive || transition.Reason != Departing) {
+			t.Errorf("%s: %+v %t, want %t", c.name, transition, changed, c.want)
 		}
 	}
 }
 
-// An office whose reports go on, and whose processor has done nothing for a while, is in doubt when this process ends; a slow
-// one is not.
-func TestDepartingFromAnOfficeThatReportsOn(t *testing.T) {
+// At shutdown of this process, an office whose reports continue but whose call processing has sent nothing for a
+// while is in doubt; a slow one is not.
+func TestDepartingWhileOfficeReports(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		lost    int // set-ups given up without an answer
-		out     int // set-ups out for long
+		lost    int // set-ups given up unanswered
+		out     int // set-ups outstanding for long
 		served  int64
 		stalled bool
 	}{
 		{"answers", 0, 0, second / 2, false},
 		{"slow", 0, 2, second, false},
-		{"one out", 0, 1, 2 * second, false},
-		{"two out", 0, 2, 2 * second, true},
+		{"one outstanding", 0, 1, 2 * second, false},
+		{"two outstanding", 0, 2, 2 * second, true},
 		{"one lost", 1, 0, 2 * second, true},
-		{"nothing asked", 0, 0, 5 * second, false},
+		{"no set-ups", 0, 0, 5 * second, false},
 	} {
 		var o Office
 		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
@@ -269,37 +272,37 @@
 		}
 		o.Heard(message(now - second/10))
 		seen := LastObservation{Usual: second / 2, Connected: true, Unanswered: c.out}
-		if change, told := o.JudgeDeparting(now, seen); told != c.stalled {
-			t.Errorf("%s: %+v %t, want %t", c.name, change, told, c.stalled)
+		if transition, changed := o.JudgeDeparting(now, seen); changed != c.stalled {
+			t.Errorf("%s: %+v %t, want %t", c.name, transition, changed, c.stalled)
 		}
 	}
 }
 
-// A set-up that was on its way as the office said its last word is without an answer as much as one sent after it.
-func TestSetUpOnItsWayAtTheLastWordCounts(t *testing.T) {
+// A set-up that was on its way when the office sent its last message counts as unanswered, like one sent after it.
+func TestSetUpSentBeforeLastMessageCounts(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		sent int64 // before the last word
+		sent int64 // time before the last message
 		want bool
-	}{{"just before", second / 10, true}, {"long before, and others were answered", second, false}} {
+	}{{"just before", second / 10, true}, {"long before, others answered", second, false}} {
 		var o Office
 		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
 		o.GivenUp(11*second, 10*second-c.sent)
 		o.GivenUp(12*second, 11*second)
 		o.Heard(message(17 * second))
-		change, told := o.Judge(17*second, Unanswered{})
-		if judged := told && change.To == Unresponsive && change.Reason == Stalled; judged != c.want {
-			t.Errorf("%s: %+v, want unresponsive %t", c.name, change, c.want)
+		transition, changed := o.Judge(17*second, Unanswered{})
+		if judged := changed && transition.To == Unresponsive && transition.Reason == Stalled; judged != c.want {
+			t.Errorf("%s: %+v, want unresponsive %t", c.name, transition, c.want)
 		}
 	}
 }
 
-// One set-up without an answer was all that was asked of an office that hung, as nothing more was sent there.
-func TestUnansweredSetUpWantsAnother(t *testing.T) {
+// Guards against too little evidence on an office that hangs: one set-up was unanswered, and no other was sent there.
+func TestUnansweredSetUpRequestsTrial(t *testing.T) {
 	var o Office
 	o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
 	if o.WantsTrial(12 * second) {
-		t.Error("a trial is wanted though nothing was left unanswered")
+		t.Error("a trial is requested although nothing was left unanswered")
 	}
 	o.GivenUp(12*second, 11*second)
 	asked := 0
@@ -308,21 +311,21 @@
 			asked++
 		}
 	}
-	if asked != mostTrials {
-		t.Errorf("%d trials were wanted, want %d", asked, mostTrials)
+	if asked != maxTrials {
+		t.Errorf("%d trials were requested, want %d", asked, maxTrials)
 	}
 	o.Heard(Message{At: 30 * second, Word: Answer, Main: true})
 	if o.WantsTrial(31 * second) {
-		t.Error("a trial is wanted though the office answered")
+		t.Error("a trial is requested although the office answered")
 	}
 }
 
-// A set-up that is out counts while it is out, and an office that lives has some seconds to answer one.
-func TestSetUpsCountWhileTheyAreOut(t *testing.T) {
+// An outstanding set-up counts while it is outstanding, and an office that works has some seconds to answer one.
+func TestOutstandingSetUpsCount(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		served, sent int64
-		want         int64 // when it is unresponsive
+		want         int64 // when it becomes unresponsive
 	}{
 		{"served just before", 10 * second, 10*second + second/10, 10*second + silentAfter},
 		{"served long before", 10 * second, 30 * second, 30*second + stalledFor},
@@ -335,7 +338,7 @@
 			var out Unanswered
 			out.Add(now, o.Waited(now, c.sent))
 			out.Add(now, o.Waited(now, c.sent))
-			if change, told := o.Judge(now, out); told && change.To == Unresponsive {
+			if transition, changed := o.Judge(now, out); changed && transition.To == Unresponsive {
 				at = now
 			}
 		}
@@ -345,18 +348,20 @@
 	}
 }
 
-// The ends of calls wait in line behind what an office answers: a caller's time counts from when that was taken up.
-func TestWordsWaitForTheProcessor(t *testing.T) {
+// Ends of calls are queued behind the messages that an office answers: the time limit counts from when the last
+// answered set-up was queued.
+func TestQueueDelayCounts(t *testing.T) {
 	for _, waited := range []int64{second / 100, second, 2 * second, 60 * second} {
 		var o Office
 		o.Heard(Message{At: 70 * second, Word: Answer, Main: true, Asked: 70*second - waited})
 		o.Heard(Message{At: 70*second + second/2, Word: End, Main: true})
-		last := 70*second + second/2 - min(waited, maxLag)
-		if change, told := o.Judge(last+silentAfter-1, Unanswered{}); told && change.To == Unresponsive {
-			t.Errorf("waited %d us: %+v before its time", waited, change)
+		last := 70*second + second/2 - min(waited, maxQueueDelay)
+		if transition, changed := o.Judge(last+silentAfter-1, Unanswered{}); changed && transition.To == Unresponsive {
+			t.Errorf("delay %d us: %+v too early", waited, transition)
 		}
-		if change, told := o.Judge(last+silentAfter, Unanswered{}); !told || change.To != Unresponsive {
-			t.Errorf("waited %d us: %+v %t, want unresponsive %d us after the earliest end that may be untold", waited, change, told, int64(silentAfter))
+		if transition, changed := o.Judge(last+silentAfter, Unanswered{}); !changed || transition.To != Unresponsive {
+			t.Errorf("delay %d us: %+v %t, want unresponsive %d us after the earliest end that may be undelivered",
+				waited, transition, changed, int64(silentAfter))
 		}
 	}
 }
--- a/internal/liveness/unended.go
+++ b/internal/liveness/unended.go
@@ -2,91 +2,97 @@
 
 import "iter"
 
-// Bounds on the evidence of ends that do not come.
+// Bounds on the evidence from missing ends of calls.
 const (
-	// overdueEnds is how many ends must be expected for none to say that the office ends none any more: by chance none of so
-	// many comes in one case of some ten million. leastCalls is of how many calls.
+	// overdueEnds is the number of ends that must be expected before the absence of any shows that the office ends no
+	// more calls. By chance none of that many ends comes in about one of ten million cases. minCalls is the number
+	// of calls that must be involved.
 	overdueEnds = 16
-	leastCalls  = 4
-	// youngWithin is how long after the last end, in microseconds, calls began that count with those that stood then.
+	minCalls    = 4
+	// youngWithin is how long after the last end, in microseconds, a call may have begun to count with those
+	// established then.
 	youngWithin = 1_000_000
-	// overdueUnanswered is how many where no set-up was answered meanwhile either.
+	// overdueUnanswered replaces overdueEnds where no set-up was answered in the meantime either.
 	overdueUnanswered = 8
-	// shownEnds and leastShown are how many ends are to be expected of the latest calls until the last one came, for what was
-	// learned to be held against what came: one part in shownPart at least.
-	shownEnds  = 16
-	leastShown = 8
-	shownPart  = 3
-	// ageMargin parts less one in ageMargin of its age is what a call is taken for after the last end: what is learned is
-	// as coarse as its steps.
+	// The learned rates are applied only if they agree with the ends of the latest calls before the last end: they are
+	// checked on calls of which confirmingEnds ends are expected, and minConfirmingEnds at least, and 1/confirmingPart
+	// of the expected ends at least must have come.
+	confirmingEnds    = 16
+	minConfirmingEnds = 8
+	confirmingPart    = 3
+	// At the last end a call's age is taken to be less by 1/ageMargin: the learned rates are only as precise as their
+	// steps.
 	ageMargin = 5
-	// recentEnds bounds what is kept of one office's ends.
+	// recentEnds bounds the number of ends kept for one office.
 	recentEnds = 64
-	// unendedLook is how long, in microseconds, passes between two looks at calls of which none ends.
-	unendedLook = 250_000
+	// noEndsCheckInterval is the time, in microseconds, between two checks of calls of which none ends.
+	noEndsCheckInterval = 250_000
 )
 
-// shownWithin are the times before the last end within which calls began of which so many ends may have been expected, in
-// microseconds.
-var shownWithin = [...]int64{500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000, 32_000_000}
+// confirmingPeriods are the periods before the last end, in microseconds; the calls begun within the shortest period of
+// which confirmingEnds ends are expected are compared with the learned rates.
+var confirmingPeriods = [...]int64{500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000, 32_000_000}
 
-// ending is a call that an office ended.
-type ending struct {
+// endedCall is a call that an office ended.
+type endedCall struct {
 	Call
 	at int64
 }
 
-// endings is what is known of the ends that an office told of.
-type endings struct {
-	last   int64 // when the last one came; 0: none has
-	looked int64 // when calls were last held against it
-	none   bool  // none came of so many that were expected
-	recent [recentEnds]ending
-	count  int // that came, in all
+// endRecord is what is known of the ends that an office reported.
+type endRecord struct {
+	last    int64 // when the last one was received; 0: none was
+	checked int64 // when calls were last checked against it
+	missing bool  // none came of as many as were expected
+	recent  [recentEnds]endedCall
+	count   int // total number received
 }
 
-func (e *endings) add(at int64, call Call) {
-	e.recent[e.count%recentEnds] = ending{call, at}
+func (e *endRecord) add(at int64, call Call) {
+	e.recent[e.count%recentEnds] = endedCall{call, at}
 	e.count++
 	e.last = max(e.last, at)
-	e.none = false
+	e.missing = false
 }
 
-// EndSeen notes the end of a call that was released already: the office ends calls.
+// EndSeen records the end of a call that was already released: the office ends calls.
 func (o *Office) EndSeen(at int64) {
-	o.endings.last = max(o.endings.last, at)
-	o.endings.none = false
+	o.ended.last = max(o.ended.last, at)
+	o.ended.missing = false
 }
 
-// LastEnd is when the office last ended a call; 0: it has ended none.
-func (o *Office) LastEnd() int64 { return o.endings.last }
+// LastEnd returns when the office last ended a call; 0: it has ended none.
+func (o *Office) LastEnd() int64 { return o.ended.last }
 
-// UnendedDue tells whether calls that stand are to be held against the ends that came: for so long none has.
+// UnendedDue reports whether established calls should be checked against the ends received: none has been for long
+// enough.
 func (o *Office) UnendedDue(now int64) bool {
-	e := &o.endings
-	return e.last != 0 && now-(e.last-o.lag) >= releaseAfter && now-e.looked >= unendedLook
+	e := &o.ended
+	return e.last != 0 && now-(e.last-o.queueDelay) >= releaseAfter && now-e.checked >= noEndsCheckInterval
 }
 
-// Unended tells whether calls that stood before a time are over, as the office ends none any more whatever else it says. Where
-// holding times change at once, or calls of another kind take the place of those that end, what was learned no longer holds;
-// but then it did not hold either for the latest calls before the last end, which was that of an older one.
+// Unended reports whether calls established before a given time are over because the office ends no calls any more,
+// whatever else it sends. If holding times change suddenly, or calls of another kind replace those that end, the
+// learned rates no longer apply. In that case they did not apply to the latest calls before the last end either,
+// which was the end of an older call.
 func (o *Office) Unended(now int64, calls iter.Seq[Call], rates Rates) (before int64, over bool) {
-	e := &o.endings
-	e.looked = now
-	if !e.none {
+	e := &o.ended
+	e.checked = now
+	if !e.missing {
 		needed := float64(overdueEnds)
-		refused := o.heard[Refusal] > o.heard[Answer] || o.unanswered.Count > 0
-		if refused && now-(o.heard[Answer]-o.lag) >= silentAfter {
+		refused := o.lastOfKind[Refusal] > o.lastOfKind[Answer] || o.unanswered.Count > 0
+		if refused && now-(o.lastOfKind[Answer]-o.queueDelay) >= silentAfter {
 			needed = overdueUnanswered
 		}
-		e.none = e.overdue(now, calls, rates, needed) && e.shown(calls, rates)
+		e.missing = e.overdue(now, calls, rates, needed) && e.ratesConfirmed(calls, rates)
 	}
-	return now - releaseAfter, e.none
+	return now - releaseAfter, e.missing
 }
 
-// overdue tells whether so many ends should have come since the last one, half of them of calls that stood at it. Guards against
-// calls of another kind that begin after a lull: those alone show nothing.
-func (e *endings) overdue(now int64, calls iter.Seq[Call], rates Rates, needed float64) bool {
+// overdue reports whether the needed number of ends should have come since the last one, half of them of calls
+// established at that time. Guards against calls of another kind that begin after a lull: those alone are no
+// evidence.
+func (e *endRecord) overdue(now int64, calls iter.Seq[Call], rates Rates, needed float64) bool {
 	count := 0
 	old, young := 0.0, 0.0
 	for call := range calls {
@@ -101,25 +107,26 @@
 			young += expected
 		}
 	}
-	return count >= leastCalls && old >= needed/2 && old+young >= needed
+	return count >= minCalls && old >= needed/2 && old+young >= needed
 }
 
-// shown tells whether about as many ends came, until the last one, of the calls that had begun shortly before it as were expected
-// of them.
-func (e *endings) shown(calls iter.Seq[Call], rates Rates) bool {
+// ratesConfirmed reports whether, up to the last end, about as many ends came of the calls begun shortly before it as
+// were expected.
+func (e *endRecord) ratesConfirmed(calls iter.Seq[Call], rates Rates) bool {
 	expected, came := 0.0, 0.0
-	for _, within := range shownWithin {
-		expected, came = e.ofLatest(within, calls, rates)
-		if expected >= shownEnds {
+	for _, period := range confirmingPeriods {
+		expected, came = e.endsOfLatest(period, calls, rates)
+		if expected >= confirmingEnds {
 			break
 		}
 	}
-	return expected >= leastShown && came*shownPart >= expected
+	return expected >= minConfirmingEnds && came*confirmingPart >= expected
 }
 
-// ofLatest is how many ends were expected until the last one of the calls that began within a time before it, and how many came.
-func (e *endings) ofLatest(within int64, calls iter.Seq[Call], rates Rates) (expected, came float64) {
-	begin := e.last - within
+// endsOfLatest returns how many ends, up to the last one, were expected of the calls that began within a period
+// before it, and how many came.
+func (e *endRecord) endsOfLatest(period int64, calls iter.Seq[Call], rates Rates) (expected, came float64) {
+	begin := e.last - period
 	for call := range calls {
 		if call.Since >= begin && call.Since < e.last {
 			expected += rates.expected(call.Class, 0, e.last-call.Since)
--- a/internal/liveness/words.go
+++ b/internal/liveness/words.go
@@ -1,23 +1,23 @@
 package liveness
 
-// Word is what kind of message an office sent.
+// Word is the kind of a message from an office.
 type Word int
 
-// The kinds.
+// Kinds of messages.
 const (
-	Report       Word = iota // the state of its lines, unasked; also the first on a new connection
-	Confirmation             // it has heard a release
+	Report       Word = iota // the state of its lines, unsolicited; also the first message on a new connection
+	Confirmation             // a release was received
 	Progress                 // progress of a set-up, or the result of a test
-	Answer                   // a call stands
+	Answer                   // a call is established
 	Refusal                  // a set-up is over
-	End                      // a call that stood is over
-	words
+	End                      // an established call is over
+	kinds
 )
 
-// proves is what a message of each kind proves beside that the process runs and its network reaches us. That ends come is
-// proven by an end alone, whatever else works.
-var proves = [words]struct {
-	service bool // the processor worked: one that stands still can't have written it
+// proves is what a message of each kind proves beyond the fact that the process runs and can reach this one over the
+// network. That calls end is proven only by an end, whatever else works.
+var proves = [kinds]struct {
+	service bool // call processing worked: a process that hangs cannot have written it
 }{
 	Report:       {service: false},
 	Confirmation: {service: false},
