--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Counter names one of the counters.
+// Counter identifies one of the counters.
 type Counter int
 
-// The counters, by what they count.
+// Counters, by what they count.
 const (
-	CallersIn Counter = iota // connections taken in
+	CallersIn Counter = iota // connections accepted
 	SetUpsIn
 	GiveUpsIn
 	ReleasesIn
 	TestsIn
-	TurnedOut // callers' connections that were ended for what they sent, or did not send
-	BadIn     // messages or connections that could not be read, or named what is not known
+	TurnedOut // callers' connections closed because of what they sent, or did not send
+	BadIn     // messages or connections that could not be parsed, or that named unknown objects
 	AnswersOut
 	RefusalsOut
 	FailuresOut
@@ -32,17 +32,17 @@
 	Moot
 	JournalEvents
 	JournalLost
-	AskedIn // lines on the second address
+	AskedIn // lines on the control address
 	Reloads
 	ReloadErrors
-	Reads        // times that something came on a connection
-	Writes       // writes to connections, each of all that a round had for one
-	Rounds       // steps in which anything arrived
+	Reads        // times that data was received on a connection
+	Writes       // writes to connections, each of all data that a round had for one
+	Rounds       // steps in which anything was received
 	Timers       // timers set
-	Copied       // bytes that were copied on their way in
-	DoorRefusals // of RefusalsOut: set-ups that a crowded round had no room for
+	Copied       // bytes copied on their way in
+	DoorRefusals // of RefusalsOut: set-ups refused because too many came in one round
 
-	// Transitions of offices by the liveness module, and of ReleasesOut the calls that were released by them.
+	// Transitions of offices by the liveness module, and the calls of ReleasesOut that were released because of them.
 	OfficesSuspected
 	OfficesUnresponsive
 	OfficesBack
@@ -57,17 +57,19 @@
 	counters
 )
 
-var counterNames = [counters]string{"callers_in", "setups_in", "giveups_in", "releases_in", "tests_in", "turned_out", "bad_in",
+var counterNames = [counters]string{"callers_in", "setups_in", "giveups_in", "releases_in", "tests_in", "turned_out",
+	"bad_in",
 	"answers_out", "refusals_out", "failures_out", "releases_out", "attempts_out", "cancels_out", "answers_back",
 	"full_back", "errors_back", "timeouts", "unreached", "resets", "moot", "journal_events", "journal_lost",
 	"asked_in", "reloads", "reload_errors", "reads", "writes", "rounds", "timers", "copied", "refused_at_door",
-	"offices_suspected", "offices_unresponsive", "offices_back", "released_silent", "released_stalled", "released_refused",
-	"released_unreachable", "released_departing", "released_restarted", "released_none_ended", "released_early"}
+	"offices_suspected", "offices_unresponsive", "offices_back", "released_silent", "released_stalled",
+	"released_refused", "released_unreachable", "released_departing", "released_restarted",
+	"released_none_ended", "released_early"}
 
-// Counters count what the program takes in, sends and answers.
+// Counters count what the program receives, sends and answers.
 type Counters [counters]uint64
 
-// String lists all counters in one line.
+// String returns all counters in one line.
 func (c *Counters) String() string {
 	var b strings.Builder
 	for i, n := range c {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -8,175 +8,178 @@
 	"pewterwheel/internal/wire"
 )
 
-// Conn is a connection as the session needs it; Write queues what cannot go at once, and Close loses what is still queued.
+// Conn is a connection as used by the session. Write queues data that cannot be sent at once; Close discards queued
+// data.
 type Conn interface {
 	Write([]byte) (int, error)
 	Close() error
-	// Waiting tells whether something has come that the session has not been through, or some that was written has not left.
+	// Waiting reports whether there is received data that the session has not processed, or written data that has not
+	// been sent.
 	Waiting() bool
-	// Unread tells whether something has come that the session was not told of yet.
+	// Unread reports whether data was received of which the session was not notified yet.
 	Unread() bool
-	// Unsent tells whether some of what was written has not left.
+	// Unsent reports whether written data has not been sent.
 	Unsent() bool
-	// Gone tells whether the peer has ended the connection, also where that was not told yet.
+	// Gone reports whether the peer has closed the connection, even if the session was not notified yet.
 	Gone() bool
-	// Trust tells that the peer is a usual one: where much comes on the connection it is slowed, and not given up.
+	// Trust marks the peer as a regular caller: if it sends too much, the connection is throttled instead of closed.
 	Trust()
 }
 
-// Outbox holds what is to be written to a connection at the end of the round, in one write.
+// Outbox collects the data that is written to a connection at the end of the round, in one write.
 type Outbox struct {
 	Bytes []byte
-	Sent  []Batched // attempts in it; a write that fails has written nothing
+	Sent  []Batched // attempts in it; a write that fails has written none of it
 	Told  []uint64  // calls whose answers are in it
-	Dirty bool      // it is among those that are written at the end of the round
+	Dirty bool      // it is among those written at the end of the round
 }
 
-// Batched names an attempt: its call may be another one by the time it is asked after.
+// Batched identifies an attempt. The call's ID may be in use by another call when the attempt is looked up.
 type Batched struct {
 	Call uint64
 	N    int
 }
 
-// Clear empties the box; what it has room for stays, within bounds.
+// Clear empties the outbox; its buffers are kept up to a bound.
 func (b *Outbox) Clear() {
-	const most = 64 << 10
-	if b.Bytes = b.Bytes[:0]; cap(b.Bytes) > most {
+	const maxCapacity = 64 << 10
+	if b.Bytes = b.Bytes[:0]; cap(b.Bytes) > maxCapacity {
 		b.Bytes = nil
 	}
 	b.Sent, b.Told, b.Dirty = b.Sent[:0], b.Told[:0], false
 }
 
-// Call is a call that was taken and has no final answer yet, or whose attempt is still out.
+// Call is a call that was accepted and has no final answer yet, or whose attempt is still outstanding.
 type Call struct {
-	ID       uint64
-	From     *Caller
-	SetUp    wire.SetUp
-	Deadline int64 // the caller gives up then
-	Answered bool  // the caller has its final answer, or is gone
-	Sends    int   // attempts made
-	Attempt  *Attempt
-	attempt  Attempt // what Attempt points to
+	ID             uint64
+	From           *Caller
+	SetUp          wire.SetUp
+	Deadline       int64 // the caller gives up at this time
+	Answered       bool  // the caller has its final answer, or has disconnected
+	Sends          int   // number of attempts made
+	Attempt        *Attempt
+	currentAttempt Attempt // storage that Attempt points to
 }
 
-// Try begins the call's next attempt. There is never more than one.
+// Try begins the call's next attempt. A call never has more than one.
 func (c *Call) Try(on *Lane, now int64) *Attempt {
-	c.attempt = Attempt{Call: c, N: c.Sends, On: on, Since: now}
+	c.currentAttempt = Attempt{Call: c, N: c.Sends, On: on, Since: now}
 	c.Sends++
-	return &c.attempt
+	return &c.currentAttempt
 }
 
-// Calls hands out calls and standing calls, and takes back those that are over. What was taken back is handed out again
-// only after Settle, which comes where nobody holds one any more. Guards against a call that changes under somebody's hands.
+// Calls is a free list of calls and established calls. What was returned to it is handed out again only after Settle,
+// which is called when nobody refers to it any more. Guards against a call that changes while it is in use.
 type Calls struct {
-	spare, over     []*Call
-	spareSt, overSt []*Standing
-	used            bool // since the last Trim
+	freeCalls, returnedCalls             []*Call
+	freeEstablished, returnedEstablished []*Standing
+	usedSinceTrim                        bool
 }
 
-// Bounds of what is kept for later: calls, and of each the room for its description.
-const maxSpare, maxRoom = 512, 1 << 10
+// Bounds of the free list: the number of calls, and the buffer size for the description of each.
+const maxFree, maxDescription = 512, 1 << 10
 
-// Call hands out a call, empty but for the room for its description.
+// Call returns a call, empty except for the capacity of its description.
 func (l *Calls) Call() *Call {
-	l.used = true
-	if n := len(l.spare); n > 0 {
-		c := l.spare[n-1]
-		l.spare = l.spare[:n-1]
+	l.usedSinceTrim = true
+	if n := len(l.freeCalls); n > 0 {
+		c := l.freeCalls[n-1]
+		l.freeCalls = l.freeCalls[:n-1]
 		return c
 	}
 	return &Call{}
 }
 
-// Over takes back a call.
-func (l *Calls) Over(c *Call) { l.over = append(l.over, c) }
+// Over returns a call to the free list.
+func (l *Calls) Over(c *Call) { l.returnedCalls = append(l.returnedCalls, c) }
 
-// Standing hands out a standing call.
+// Standing returns an empty established call.
 func (l *Calls) Standing() *Standing {
-	if n := len(l.spareSt); n > 0 {
-		st := l.spareSt[n-1]
-		l.spareSt = l.spareSt[:n-1]
+	if n := len(l.freeEstablished); n > 0 {
+		st := l.freeEstablished[n-1]
+		l.freeEstablished = l.freeEstablished[:n-1]
 		return st
 	}
 	return &Standing{}
 }
 
-// Ended takes back a standing call.
-func (l *Calls) Ended(st *Standing) { l.overSt = append(l.overSt, st) }
+// Ended returns an established call to the free list.
+func (l *Calls) Ended(st *Standing) { l.returnedEstablished = append(l.returnedEstablished, st) }
 
-// Trim lets go of what nobody has asked for since the last one.
+// Trim empties the free list if nothing was taken from it since the last Trim.
 func (l *Calls) Trim() {
-	if !l.used {
-		l.spare, l.spareSt = nil, nil
+	if !l.usedSinceTrim {
+		l.freeCalls, l.freeEstablished = nil, nil
 	}
-	l.used = false
+	l.usedSinceTrim = false
 }
 
-// Settle lets what was taken back be handed out again.
+// Settle makes the returned calls available again.
 func (l *Calls) Settle() {
-	for i, c := range l.over {
-		room := c.SetUp.Description[:0]
-		if *c = (Call{}); cap(room) <= maxRoom {
-			c.SetUp.Description = room
+	for i, c := range l.returnedCalls {
+		description := c.SetUp.Description[:0]
+		if *c = (Call{}); cap(description) <= maxDescription {
+			c.SetUp.Description = description
 		}
-		if l.over[i] = nil; len(l.spare) < maxSpare {
-			l.spare = append(l.spare, c)
+		if l.returnedCalls[i] = nil; len(l.freeCalls) < maxFree {
+			l.freeCalls = append(l.freeCalls, c)
 		}
 	}
-	for i, st := range l.overSt {
+	for i, st := range l.returnedEstablished {
 		*st = Standing{}
-		if l.overSt[i] = nil; len(l.spareSt) < maxSpare {
-			l.spareSt = append(l.spareSt, st)
+		if l.returnedEstablished[i] = nil; len(l.freeEstablished) < maxFree {
+			l.freeEstablished = append(l.freeEstablished, st)
 		}
 	}
-	l.over, l.overSt = l.over[:0], l.overSt[:0]
+	l.returnedCalls, l.returnedEstablished = l.returnedCalls[:0], l.returnedEstablished[:0]
 }
 
-// Attempt is a set-up that is out to an office, or waits for its connection.
+// Attempt is a set-up that is outstanding at an office, or waits for its connection.
 type Attempt struct {
 	Call   *Call
 	N      int
-	On     *Lane // the connection that it is out on, or waits for
+	On     *Lane // the connection on which it was sent, or for which it waits
 	Since  int64 // when it was sent, or queued
-	Queued bool  // waits for a connection: nothing of it has reached the office
-	Failed bool  // could not be written: nothing of it has left
-	Until  int64 // nothing of it may leave from then on; 0: no such time
-	Stuck  bool  // not all that was written with it had left then
-	// An earlier attempt at the same office was called off, and had not been heard when this one was put to it.
+	Queued bool  // it waits for a connection: nothing of it has reached the office
+	Failed bool  // it could not be written: nothing of it was sent
+	Until  int64 // it must not be sent from this time on; 0: no limit
+	Stuck  bool  // not all data written with it had been sent at that time
+	// An earlier attempt at the same office was cancelled, and its release was not acknowledged when this one was
+	// made.
 	Unheard bool
-	Over    Ending // of the earlier one
+	Over    Ending // release of the earlier attempt
 }
 
-// Standing is a call that stands.
+// Standing is an established call.
 type Standing struct {
 	ID    uint64
-	On    *Lane // the connection that it was set up on; it may have ended
+	On    *Lane // the connection on which it was set up; it may have been closed
 	From  *Caller
 	Since int64
-	Class int // its place in the settings
+	Class int // index of the class in the settings
 }
 
 // Caller is a connection from callers.
 type Caller struct {
 	Conn   Conn
 	Box    Outbox
-	Since  int64            // when it was taken in
-	In     []byte           // part of a message
-	Part   int64            // since when In holds part of a message
+	Since  int64            // when it was accepted
+	In     []byte           // incomplete message
+	Part   int64            // since when In holds an incomplete message
 	Open   map[uint64]*Call // set-ups without a final answer
 	Quiet  int64            // since when no set-up is open
-	Stands int              // calls set up on it that stand
-	Asked  int64            // when its last set-up came
-	Told   bool             // it has had an answer, a refusal or a test's result
-	Good   bool             // a call of it stood, or it has heard of the end of one: no bad client gets so far
-	Odd    int              // set-ups and releases that nothing could be made of
+	Stands int              // number of established calls that were set up on it
+	Asked  int64            // when its last set-up was received
+	Told   bool             // it was sent an answer, a refusal or the result of a test
+	Good   bool             // a call of it was established, or it acknowledged an end; abusive clients do neither
+	Odd    int              // number of set-ups and releases that could not be interpreted
 	Unsure map[uint64]Ending
 
-	Session uint64 // number of the connection, never given anew; 0: calls are given no lanes
-	Client  uint32 // who it is, for the verdict on its lanes
+	Session uint64 // number of the connection, never reused; 0: calls are not assigned to lanes
+	Client  uint32 // identity of the client, for the decision on its lanes
 }
 
-// Asker is a connection of the second address.
+// Asker is a connection on the control address.
 type Asker struct {
 	Conn  Conn
 	Since int64
@@ -186,125 +189,127 @@
 // Ends counts the final answers given to a class's calls.
 type Ends struct{ Completed, Rejected, Failed uint64 }
 
-// Ending is a release that was sent, or is to be sent, and that nobody has heard yet.
+// Ending is a release that was sent, or is to be sent, and is not acknowledged yet.
 type Ending struct {
 	Cause byte
 	At    int64
-	Sent  bool   // to a caller of whom it is not known whether it is a usual one
+	Sent  bool   // it was sent to a caller that is not known to be a regular one
 	On    uint32 // number of the lane on which it was sent to an office
-	Again int64  // when it is told an office once more, though it was heard; 0: it is not
-	// Unresponsive: it was sent because the office was believed to be unable to end the call.
+	Again int64  // when it is sent to the office once more although it was acknowledged; 0: it is not
+	// Unresponsive: it was sent because the office was assumed to be unable to end the call.
 	Unresponsive bool
-	Asked        int64 // when its set-up was sent to an office, where that was given up; else 0
+	Asked        int64 // when its set-up was sent to an office, if it was given up there; otherwise 0
 }
 
-// Lane is a connection to an office, or one that is to be, and what is open on it.
+// Lane is an existing or planned connection to an office and what is open on it.
 type Lane struct {
 	To       *Office
-	Number   uint32 // 0: the office's main one; further ones have numbers of their own, never given anew
+	Number   uint32 // 0: the office's main connection; additional lanes have numbers that are never reused
 	Conn     Conn
 	Box      Outbox
-	Spoken   liveness.Connection // what came on it, and when
-	Dialling uint64              // the dial that is under way; 0: none
+	Spoken   liveness.Connection // what was received on it, and when
+	Dialling uint64              // the current dial; 0: none
 	In       []byte
-	Partial  int64               // since when In holds part of a message
-	Out      map[uint64]*Attempt // attempts sent and not ended
+	Partial  int64               // since when In holds an incomplete message
+	Out      map[uint64]*Attempt // attempts that were sent and have not ended
 	Queue    []*Attempt          // attempts that wait for the connection
 
-	// Of further lanes alone.
-	Owner  *Caller // it is this caller's own; nil: one of the pool
+	// Only for additional lanes.
+	Owner  *Caller // the caller whose own lane it is; nil: it belongs to the pool
 	Holder uint64  // the call that has taken it from the pool; 0: none has
-	Stands int     // calls that stand and were set up on it
-	Idle   int64   // since when nothing is open on it, where nothing is
+	Stands int     // number of established calls that were set up on it
+	Idle   int64   // since when nothing is open on it
 }
 
-// Quiet tells whether nothing is open on a further lane, waits for it or stands on it.
+// Quiet reports whether an additional lane has no open set-ups, waiting attempts or established calls.
 func (l *Lane) Quiet() bool { return l.Holder == 0 && l.Stands == 0 && len(l.Out)+len(l.Queue) == 0 }
 
-// Loose tells whether a further lane is nobody's any more: its caller has left, or no call has taken it from the pool.
+// Loose reports whether an additional lane is unused: its caller has disconnected, or no call has taken it from the
+// pool.
 func (l *Lane) Loose() bool { return l.Quiet() && (l.Owner == nil || l.Owner.Conn == nil) }
 
-// Office is a call server and our main connection to it.
+// Office is a call server and the main connection to it.
 type Office struct {
 	wire.Office
 	Lane
-	Unreached bool                 // the last connect was refused or did not come up
+	Unreached bool                 // the last connect was refused or not established
 	Backoff   int64                // next pause between dials
-	NotUntil  int64                // no dial before this
+	NotUntil  int64                // no dial before this time
 	Liveness  liveness.Office      // whether it can still end its calls
-	Standing  map[uint64]*Standing // calls that stand there
-	Ended     map[uint64]Ending    // releases that the office has not been heard to take
-	Strays    int                  // releases of calls that nobody knows, which it has sent since the last sweep
-
-	// Nothing of this is made where no calls are given lanes.
-	Serial uint64           // number of the office, for the verdict on its lanes
-	Lanes  []*Lane          // further ones, in the order in which they were asked for
-	Own    map[uint64]*Lane // of them, those of callers that are connected or have just left, by session
-	Free   []*Lane          // of them, those of the pool that no call has taken; the last one given back comes last
-	Room   *Lane            // no connection: where attempts wait for which there is no room for a lane
+	Standing  map[uint64]*Standing // calls established there
+	Ended     map[uint64]Ending    // releases that the office has not acknowledged
+	Strays    int                  // number of releases of unknown calls that it has sent since the last sweep
+
+	// The following fields are used only where calls are assigned to lanes.
+	Serial uint64           // number of the office, for the decision on its lanes
+	Lanes  []*Lane          // additional lanes, in the order in which they were requested
+	Own    map[uint64]*Lane // of these, the lanes of callers that are connected or just disconnected, by session
+	Free   []*Lane          // of these, the lanes of the pool that no call has taken; the last one returned is last
+	Room   *Lane            // not a connection: attempts wait here when there is no room for another lane
 }
 
 // Offices is the list of offices.
 type Offices struct {
-	byID  map[decide.ServerID]*Office
-	order []*Office
+	byID    map[decide.ServerID]*Office
+	inOrder []*Office
 }
 
-// Get returns an office that the list has named, even if it has gone.
+// Get returns an office that the list has named, even if it was removed since.
 func (l *Offices) Get(id decide.ServerID) *Office { return l.byID[id] }
 
 // All returns the offices in the order in which they were first named.
-func (l *Offices) All() []*Office { return l.order }
+func (l *Offices) All() []*Office { return l.inOrder }
 
-// Gone is one office, or one life of it, that the list says is over; its connection and calls go with it.
+// Gone is an office, or one process of it, that has ended according to the list; its connection and calls end with
+// it.
 type Gone struct {
 	Office  *Office
-	Removed bool // also from its old address; false: it started anew where it was
+	Removed bool // also at its old address; false: it was restarted at the same one
 }
 
-// Apply takes a change of the list and tells which offices have ended by it, or have a new start or address.
+// Apply applies a change of the list and returns the offices that have ended by it, or have a new start or address.
 func (l *Offices) Apply(c wire.Change) []Gone {
-	var gone []Gone
+	var ended []Gone
 	if l.byID == nil {
 		l.byID = map[decide.ServerID]*Office{}
 	}
 	listed := map[decide.ServerID]bool{}
 	for _, o := range c.Offices {
 		listed[o.ID] = true
-		old := l.byID[o.ID]
-		if old == nil {
-			old = &Office{Office: o, Lane: Lane{Out: map[uint64]*Attempt{}}, Standing: map[uint64]*Standing{},
+		known := l.byID[o.ID]
+		if known == nil {
+			known = &Office{Office: o, Lane: Lane{Out: map[uint64]*Attempt{}}, Standing: map[uint64]*Standing{},
 				Ended: map[uint64]Ending{}}
-			old.To = old
-			l.byID[o.ID] = old
-			l.order = append(l.order, old)
+			known.To = known
+			l.byID[o.ID] = known
+			l.inOrder = append(l.inOrder, known)
 			continue
 		}
-		was := old.Office
-		old.Office = o
+		previous := known.Office
+		known.Office = o
 		switch {
-		case o.State == decide.Removed && was.State != decide.Removed:
-			gone = append(gone, Gone{old, true})
-		case o.Address != was.Address: // whatever answers at the old one is not this office
-			gone = append(gone, Gone{old, true})
-		case o.Started > was.Started:
-			gone = append(gone, Gone{old, false})
+		case o.State == decide.Removed && previous.State != decide.Removed:
+			ended = append(ended, Gone{known, true})
+		case o.Address != previous.Address: // whatever answers at the old address is not this office
+			ended = append(ended, Gone{known, true})
+		case o.Started > previous.Started:
+			ended = append(ended, Gone{known, false})
 		}
 	}
 	if c.Whole {
-		for _, o := range l.order {
+		for _, o := range l.inOrder {
 			if !listed[o.ID] && o.State != decide.Removed {
 				o.State = decide.Removed
-				gone = append(gone, Gone{o, true})
+				ended = append(ended, Gone{o, true})
 			}
 		}
 	}
-	return gone
+	return ended
 }
 
-// Forget drops gone offices of which nothing is kept, so that the list does not grow for ever.
+// Forget drops removed offices of which no state is left, so that the list does not grow without bound.
 func (l *Offices) Forget() {
-	l.order = slices.DeleteFunc(l.order, func(o *Office) bool {
+	l.inOrder = slices.DeleteFunc(l.inOrder, func(o *Office) bool {
 		empty := o.State == decide.Removed && o.Conn == nil && o.Dialling == 0 && len(o.Out) == 0 &&
 			len(o.Queue) == 0 && len(o.Standing) == 0 && len(o.Lanes) == 0 && (o.Room == nil || len(o.Room.Queue) == 0)
 		if empty {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -26,7 +26,7 @@
 	}
 	gone = l.Apply(wire.Change{Whole: true, Offices: []wire.Office{office("b", decide.Removed, 2, 9)}})
 	if len(gone) != 3 {
-		t.Errorf("a list without any: %+v", gone)
+		t.Errorf("a list without two of them: %+v", gone)
 	}
 	l.Get("a").Standing[1] = &Standing{}
 	l.Forget()
--- a/internal/state/wheel.go
+++ b/internal/state/wheel.go
@@ -1,23 +1,24 @@
-// Package state holds what a running session controller keeps in memory: calls and their attempts, standing
+// Package state holds the in-memory state of a running session controller: calls and their attempts, established
 // calls, connections, the list of offices, counters and timers. It owns no clock and no socket.
 package state
 
-// Timer kinds; what the other fields of a Timer mean depends on the kind.
+// Timer kinds. The meaning of the other fields of a Timer depends on the kind.
 const (
-	TimerModule  = iota + 1 // the module's: ID is its token
-	TimerAttempt            // an attempt's time is up: ID is the call, N the attempt
-	TimerDial               // a connect has taken too long: ID is the dial
-	TimerRedial             // an office may be dialled again: ID is the wait's
-	TimerJournal            // look after the journal connection
-	TimerPartial            // look for messages that do not end, and for callers that want nothing
-	TimerLeave              // no new callers are to come
-	TimerStop               // what is open must have its answer now
-	TimerSweep              // drop what is too old
-	TimerRoom               // an attempt has waited long enough for room for a lane: ID is the call, N the attempt
+	TimerModule  = iota + 1 // timer of the decision module: ID is its token
+	TimerAttempt            // the time limit of an attempt: ID is the call, N the attempt
+	TimerDial               // the time limit of a connect: ID is the dial
+	TimerRedial             // an office may be dialled again: ID is the number of the wait
+	TimerJournal            // check of the journal connection
+	TimerPartial            // check for incomplete messages, and for idle callers
+	TimerLeave              // new callers are no longer accepted
+	TimerStop               // all open calls must be answered now
+	TimerSweep              // removal of outdated state
+	TimerRoom               // the time limit of an attempt that waits for a lane: ID is the call, N the attempt
 )
 
-// Timer is one entry of the wheel. It cannot be taken back; whoever set it checks whether it still matters. It holds no
-// pointer: after a jump there are hundreds of thousands, and the garbage collector would look at each again and again.
+// Timer is one entry of the wheel. It cannot be cancelled; whoever set it checks whether it is still relevant. It
+// holds no pointer, because after a jump in load there are hundreds of thousands of timers, which the garbage
+// collector would scan again and again.
 type Timer struct {
 	Kind int32
 	N    int32
@@ -25,70 +26,71 @@
 	tick int64
 }
 
-// A slot that has room for more than slotRoom timers and was less than a quarter full gives the rest back. Guards against
-// giving back what the next turn asks for again.
-const wheelSlots, slotRoom = 1024, 64
+// minSlotCapacity is the capacity above which a slot that was less than a quarter full is shrunk. Guards against
+// releasing memory that the next turn of the wheel needs again.
+const wheelSlots, minSlotCapacity = 1024, 64
 
-// Wheel keeps timers by coarse ticks. A timer comes due at the first tick at or after its time, never before
-// it: what the rules count from a moment on must not start early.
+// Wheel keeps timers at the resolution of a tick. A timer comes due at the first tick at or after its time, never
+// before it: periods that the rules measure from a given moment must not start early.
 type Wheel struct {
-	tick  int64 // microseconds
-	done  int64 // last tick advanced to
-	slots [wheelSlots][]Timer
-	count int
+	tick     int64 // microseconds
+	lastTick int64 // last tick advanced to
+	slots    [wheelSlots][]Timer
+	count    int
 }
 
 // NewWheel returns an empty wheel at the given time.
-func NewWheel(tick, now int64) *Wheel { return &Wheel{tick: tick, done: now / tick} }
+func NewWheel(tick, now int64) *Wheel { return &Wheel{tick: tick, lastTick: now / tick} }
 
 // Set adds a timer that comes due at the given time.
 func (w *Wheel) Set(at int64, t Timer) {
-	t.tick = max((at+w.tick-1)/w.tick, w.done+1)
+	t.tick = max((at+w.tick-1)/w.tick, w.lastTick+1)
 	slot := &w.slots[t.tick%wheelSlots]
 	*slot = append(*slot, t)
 	w.count++
 }
 
-// Len is the number of timers set.
+// Len returns the number of timers set.
 func (w *Wheel) Len() int { return w.count }
 
 // Advance appends the timers that have come due to out, earlier ticks first.
 func (w *Wheel) Advance(now int64, out []Timer) []Timer {
 	last := now / w.tick
 	if w.count == 0 {
-		w.done = max(w.done, last)
+		w.lastTick = max(w.lastTick, last)
 	}
-	for w.done < last {
-		w.done++
-		slot := &w.slots[w.done%wheelSlots]
+	for w.lastTick < last {
+		w.lastTick++
+		slot := &w.slots[w.lastTick%wheelSlots]
 		keep := (*slot)[:0]
 		for _, t := range *slot {
-			if t.tick <= w.done {
+			if t.tick <= w.lastTick {
 				out = append(out, t)
 				w.count--
 			} else {
 				keep = append(keep, t)
 			}
 		}
-		if room := cap(*slot); room > slotRoom && len(*slot) < room/4 {
-			keep = append(make([]Timer, 0, max(slotRoom, len(keep))), keep...)
+		if capacity := cap(*slot); capacity > minSlotCapacity && len(*slot) < capacity/4 {
+			keep = append(make([]Timer, 0, max(minSlotCapacity, len(keep))), keep...)
 		}
 		*slot = keep
 	}
 	return out
 }
 
-// Next tells when the wheel should be advanced next, at the latest after one turn; false if it is empty.
+// Next returns the time at which the wheel should be advanced next, after one turn at the latest; false if it is
+// empty.
 func (w *Wheel) Next() (int64, bool) {
 	if w.count == 0 {
 		return 0, false
 	}
 	for i := int64(1); i < wheelSlots; i++ {
-		for _, t := range w.slots[(w.done+i)%wheelSlots] {
-			if t.tick == w.done+i {
+		for _, t := range w.slots[(w.lastTick+i)%wheelSlots] {
+			if t.tick == w.lastTick+i {
 				return t.tick * w.tick, true
 			}
 		}
 	}
-	return (w.done + wheelSlots) * w.tick, true
+	return (w.lastTick + wheelSlots) * w.tick, true
 }
--- a/internal/state/wheel_test.go
+++ b/internal/state/wheel_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A timer comes due at the first tick at or after its time: never early, and not a turn of the wheel late.
+// A timer comes due at the first tick at or after its time: never early, and less than one turn of the wheel late.
 func TestWheelIsNeverEarly(t *testing.T) {
 	const tick = 5_000
 	w := NewWheel(tick, 1_000_003)
@@ -14,7 +14,7 @@
 	for w.Len() > 0 {
 		at, ok := w.Next()
 		if !ok {
-			t.Fatal("timers set, but nothing is next")
+			t.Fatal("timers are set, but Next returns none")
 		}
 		for _, d := range w.Advance(at, nil) {
 			fired[d.ID] = at
@@ -22,15 +22,15 @@
 	}
 	for i, at := range times {
 		if got := fired[uint64(i)]; got < at || got >= max(at, 1_000_003)+2*tick {
-			t.Errorf("timer for %d came at %d", at, got)
+			t.Errorf("timer for %d came due at %d", at, got)
 		}
 	}
 	if _, ok := w.Next(); ok {
-		t.Error("an empty wheel has a next time")
+		t.Error("Next returns a time for an empty wheel")
 	}
 }
 
-func TestWheelAfterAStandstill(t *testing.T) {
+func TestWheelAfterAPause(t *testing.T) {
 	w := NewWheel(5_000, 0)
 	for i := range uint64(3) {
 		w.Set(int64(3-i)*1_000_000, Timer{ID: i})
@@ -40,32 +40,32 @@
 		order = append(order, d.ID)
 	}
 	if len(order) != 3 || order[0] != 2 || order[2] != 0 {
-		t.Errorf("came in the order %v", order)
+		t.Errorf("timers came due in the order %v", order)
 	}
 }
 
-// The room that a jump takes on the wheel is given back a turn after it.
-func TestWheelGivesRoomBack(t *testing.T) {
+// The memory that a jump in load takes on the wheel is released one turn after it.
+func TestWheelReleasesMemory(t *testing.T) {
 	w := NewWheel(5_000, 0)
 	const many = 200_000
 	for i := range uint64(many) {
 		w.Set(int64(i)*10, Timer{ID: i})
 	}
-	room := func() (n int) {
+	capacity := func() (n int) {
 		for _, s := range w.slots {
 			n += cap(s)
 		}
 		return n
 	}
-	if room() < many {
-		t.Fatalf("there is room for %d of %d timers", room(), many)
+	if capacity() < many {
+		t.Fatalf("there is capacity for %d of %d timers", capacity(), many)
 	}
 	came := 0
 	for now := int64(0); now < 3*wheelSlots*5_000; now += 5_000 {
-		w.Set(now+50_000, Timer{}) // the ordinary day after it
+		w.Set(now+50_000, Timer{}) // ordinary load afterwards
 		came += len(w.Advance(now, nil))
 	}
-	if came < many || room() > wheelSlots*slotRoom {
-		t.Errorf("%d of %d timers came, and there is room for %d still", came, many, room())
+	if came < many || capacity() > wheelSlots*minSlotCapacity {
+		t.Errorf("%d of %d timers came due, and there is still capacity for %d", came, many, capacity())
 	}
 }
