--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -6,43 +6,44 @@
 	"pewterwheel/decide"
 )
 
-// coldPart of the work that would push a cold host over is what all sidecars together may send it.
-const coldPart = 0.5
+// coldFraction of the work that overloads a cold host is what all sidecars together may send it.
+const coldFraction = 0.5
 
-// host is what the router knows of a listed server.
+// host is the router's state of a listed server.
 type host struct {
 	decide.Listed
-	id     decide.ServerID
-	place  int
-	state  decide.State // as the list has it
-	open   int
-	gated  bool    // among those that are shown only while they have room
-	hidden bool    // shown to the module as not up
-	tokens float64 // sends in hand, while it is cold
-	filled int64
+	id         decide.ServerID
+	poolIndex  int
+	state      decide.State // as given by the list
+	open       int
+	throttled  bool    // shown to the module only while it has tokens
+	hidden     bool    // shown to the module as not up
+	tokens     float64 // set-ups that may be sent to it now, while it is cold
+	lastRefill int64
 }
 
-// list takes the news of the list and passes it on, cold hosts as having no room yet.
-func (r *Router) list(e decide.Event) {
-	named := map[decide.ServerID]bool{}
+// handleList applies an update of the list and passes it on, with cold hosts shown as unavailable until they have
+// tokens.
+func (r *Router) handleList(e decide.Event) {
+	listed := map[decide.ServerID]bool{}
 	shown := slices.Clone(e.Servers)
 	for i, l := range e.Servers {
-		named[l.ID] = true
+		listed[l.ID] = true
 		h := r.hosts[l.ID]
-		fresh := h == nil || l.Started > h.Started
+		restarted := h == nil || l.Started > h.Started
 		if h == nil {
 			h = &host{id: l.ID}
 			r.hosts[l.ID] = h
-			r.order = append(r.order, h)
+			r.hostOrder = append(r.hostOrder, h)
 		}
-		if h.Listed, h.place, h.state = l, l.Place, l.State; fresh {
-			h.tokens, h.filled = r.rng.Float64(), r.now
+		if h.Listed, h.poolIndex, h.state = l, l.Place, l.State; restarted {
+			h.tokens, h.lastRefill = r.rng.Float64(), r.now
 		}
 		h.hidden = false
 		if l.State == decide.Up && r.isCold(h) {
-			if !h.gated {
-				h.gated = true
-				r.cold = append(r.cold, h)
+			if !h.throttled {
+				h.throttled = true
+				r.coldHosts = append(r.coldHosts, h)
 			}
 			if h.tokens < 1 {
 				h.hidden = true
@@ -51,13 +52,13 @@
 		}
 	}
 	if e.Form == decide.Whole || e.Form == decide.Copy {
-		for _, h := range r.order {
-			if !named[h.id] {
+		for _, h := range r.hostOrder {
+			if !listed[h.id] {
 				h.state = decide.Removed
 			}
 		}
 	}
-	r.order = slices.DeleteFunc(r.order, func(h *host) bool {
+	r.hostOrder = slices.DeleteFunc(r.hostOrder, func(h *host) bool {
 		if h.state != decide.Removed || h.open > 0 {
 			return false
 		}
@@ -66,64 +67,66 @@
 	})
 	e.Servers = shown
 	r.forward(e)
-	r.count()
+	r.countHosts()
 }
 
 func (r *Router) isCold(h *host) bool {
-	return h.Started != 0 && r.now-h.Started < r.set.Rules.Cold
+	return h.Started != 0 && r.now-h.Started < r.settings.Rules.Cold
 }
 
-// gates shows the module each cold host as up just while this sidecar has a send for it in hand: its part, one of
-// the site's sidecars, of what all may send without pushing the host over. Guards against a new host being filled by
-// everybody's first set-ups: sidecars learn nothing from each other, so each keeps to its part.
-func (r *Router) gates() {
-	var news []decide.Listed // told at once: each telling costs the module a look at its whole list
-	r.cold = slices.DeleteFunc(r.cold, func(h *host) bool {
-		h.gated = h.state == decide.Up && r.isCold(h)
-		if h.gated {
-			r.fill(h)
+// updateColdHosts shows the module each cold host as up only while this sidecar has a token for it. Tokens come at
+// this sidecar's share, one of the site's sidecars, of the rate that all may send without overloading the host.
+// Guards against a new host being filled by the first set-ups of all sidecars: sidecars learn nothing from each
+// other, so each keeps to its share.
+func (r *Router) updateColdHosts() {
+	var updates []decide.Listed // sent in one event: for each one the module goes through its whole list
+	r.coldHosts = slices.DeleteFunc(r.coldHosts, func(h *host) bool {
+		h.throttled = h.state == decide.Up && r.isCold(h)
+		if h.throttled {
+			r.refill(h)
 		}
 		if h.state == decide.Up {
-			news = r.turn(news, h, !h.gated || h.tokens >= 1)
+			updates = r.setVisible(updates, h, !h.throttled || h.tokens >= 1)
 		}
-		return !h.gated
+		return !h.throttled
 	})
-	r.show(news)
+	r.publish(updates)
 }
 
-// fill gives a cold host the sends that its rate has brought since.
-func (r *Router) fill(h *host) {
-	h.tokens = min(1, h.tokens+r.coldRate(h)*float64(r.now-h.filled)/1e6)
-	h.filled = r.now
+// refill adds the tokens that a cold host's rate has yielded since the last refill.
+func (r *Router) refill(h *host) {
+	h.tokens = min(1, h.tokens+r.coldRate(h)*float64(r.now-h.lastRefill)/1e6)
+	h.lastRefill = r.now
 }
 
-// coldRate is the sends a second that this sidecar may make to a cold host.
+// coldRate returns the number of set-ups per second that this sidecar may send to a cold host.
 func (r *Router) coldRate(h *host) float64 {
-	if h.place >= len(r.cfg.Pools) {
+	if h.poolIndex >= len(r.cfg.Pools) {
 		return 0
 	}
-	rules := &r.set.Rules
+	rules := &r.settings.Rules
 	age := float64(max(0, r.now-h.Started)) / float64(rules.Cold)
-	part := rules.StartCapacity + (1-rules.StartCapacity)*age
-	return coldPart * rules.FallMultiple * part * r.cfg.Pools[h.place].Whole * h.Share / max(h.Share, r.pools[h.place].size) / float64(r.cfg.Sidecars)
+	capacity := rules.StartCapacity + (1-rules.StartCapacity)*age
+	return coldFraction * rules.FallMultiple * capacity * r.cfg.Pools[h.poolIndex].Whole * h.Share /
+		max(h.Share, r.pools[h.poolIndex].totalShare) / float64(r.cfg.Sidecars)
 }
 
-// turn opens or shuts a host for the module; a change goes behind the news.
-func (r *Router) turn(news []decide.Listed, h *host, up bool) []decide.Listed {
-	if h.hidden == !up {
-		return news
+// setVisible shows or hides a host; a change is appended to updates.
+func (r *Router) setVisible(updates []decide.Listed, h *host, visible bool) []decide.Listed {
+	if h.hidden == !visible {
+		return updates
 	}
 	l := h.Listed
-	if h.hidden = !up; h.hidden {
+	if h.hidden = !visible; h.hidden {
 		l.State = decide.Draining
-		r.Counts.Shut++
+		r.Counts.HostsHidden++
 	}
-	return append(news, l)
+	return append(updates, l)
 }
 
-// show tells the module of hosts that were opened or shut.
-func (r *Router) show(news []decide.Listed) {
-	if len(news) > 0 {
-		r.forward(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: news})
+// publish sends the module the hosts that were shown or hidden.
+func (r *Router) publish(updates []decide.Listed) {
+	if len(updates) > 0 {
+		r.forward(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: updates})
 	}
 }
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -8,140 +8,142 @@
 )
 
 const (
-	// burstTime is for how long a class's unused rate is kept for itself, and at the most for others. At least one
-	// call is, or a low rate would let none in.
-	burstTime = 0.5
-	// reserveOver times its recent peak, and one, is what a class keeps free of its share of the open set-ups.
-	reserveOver = 1.25
-	// peakFade is the part of a peak that is forgotten each period.
-	peakFade = 0.1
-	// lookEvery is how often held calls are looked at, at the most; period is how often flows are set.
-	lookEvery = 50_000
-	period    = 1_000_000
-	// hostsALook hosts more, and looks are as much rarer: each look asks the module about every host.
-	hostsALook = 1_000
-	// strainPart of a period's calls, and one, may be moved on or lost without a reason to send fewer.
-	strainPart = 0.02
-	// underFlow times what a strained pool was seen to take is what it is sent next.
-	underFlow = 0.95
-	// nearCeiling: from so far below the flow at which a pool was last strained, to as far above, the flow grows
-	// slower, by slowly. Guards against swinging: past the point it would be strained again at once.
-	nearCeiling, slowly = 0.1, 0.2
-	// restPeriods pass after a strain before the flow grows: what was held there goes out first.
-	restPeriods = 2
-	// queueAhead calls at most may be held at the pool to which a held call moves.
-	queueAhead = 2
-	// maxSpare calls at most are kept to be used again.
-	maxSpare = 1024
+	// burstSeconds bounds, in seconds, the unused rate that is kept for a class, and likewise for other classes. At
+	// least one call is kept, because a low rate would otherwise admit none.
+	burstSeconds = 0.5
+	// A class keeps reserveFactor times its recent peak, plus one, free of its share of the open set-ups.
+	reserveFactor = 1.25
+	// peakDecay is the fraction of a peak that is forgotten each period.
+	peakDecay = 0.1
+	// updateInterval is the shortest interval between checks of held calls; period is the interval between updates of
+	// the flows.
+	updateInterval = 50_000
+	period         = 1_000_000
+	// The interval grows by another updateInterval for each hostsPerInterval hosts: each update asks the module about
+	// every host.
+	hostsPerInterval = 1_000
+	// overloadFraction of a period's calls, plus one, may be moved on or lost without reducing the flow.
+	overloadFraction = 0.02
+	// An overloaded pool is next sent flowReduction times what it was observed to take.
+	flowReduction = 0.95
+	// Within nearCeiling below and above the flow at which a pool was last overloaded, the flow grows slower, by
+	// slowFactor. Guards against oscillation: beyond that point the pool would be overloaded again at once.
+	nearCeiling, slowFactor = 0.1, 0.2
+	// pausePeriods is the number of periods after an overload before the flow grows: calls held there are sent first.
+	pausePeriods = 2
+	// maxHeldAtTarget is the maximum number of calls held at the pool to which a held call moves.
+	maxHeldAtTarget = 2
+	// maxFreeCalls is the maximum number of calls kept for reuse.
+	maxFreeCalls = 1024
 )
 
-// pool is what the router knows of a pool.
+// pool is the router's state of a pool.
 type pool struct {
-	// The limit, shared out among classes.
-	rate    float64
-	most    int
-	open    int // calls that have entered and have no final answer, or whose attempt is out
-	common  float64
-	filled  int64
-	classes []lot
+	// The limit, shared among classes.
+	rateLimit    float64
+	maxOpen      int
+	open         int // calls that were admitted and have no final answer, or whose attempt is outstanding
+	sharedTokens float64
+	lastRefill   int64
+	classes      []classQuota
 
-	// The flow: which part of the calls whose first choice it is go there.
-	flow    float64
-	carry   float64 // what the division of calls owes the pool
-	ceiling float64 // the flow at which it was last strained
-	rest    int     // periods before the flow may grow
-	up      int     // hosts that are up
-	size    float64 // what they make up together
-	live    int     // those of them that the module does not leave alone
+	// The flow: the fraction of the calls with this pool as first choice that is sent there.
+	flow        float64
+	carry       float64 // fraction of a call carried over to the next one by the division of calls
+	ceiling     float64 // the flow at which it was last overloaded
+	pauseLeft   int     // number of periods before the flow may grow
+	upHosts     int     // number of hosts that are up
+	totalShare  float64 // the sum of their shares
+	usableHosts int     // number of those that the module does not avoid
 
-	held    int // calls there without an attempt out
-	wanted  int // in this period: calls whose first choice it was
+	held    int // calls there without an outstanding attempt
+	wanted  int // in this period: calls with this pool as first choice
 	entered int
 	sent    int // first attempts there
-	moved   int // calls that moved on
+	moved   int // calls that moved to another pool
 	lost    int // calls that had their final answer without an attempt there
 }
 
-// lot is a class's part of a pool's limit.
-type lot struct {
-	share   float64
-	rate    float64
-	tokens  float64 // calls in hand; less than none after repeats
-	open    int
-	peak    float64 // most open of late, and what was refused for want of it
-	promise int64   // until when its rate is told away to callers that were refused
+// classQuota is a class's part of a pool's limit.
+type classQuota struct {
+	share         float64
+	rate          float64
+	tokens        float64 // calls that may be admitted now; negative after repeated attempts
+	open          int
+	peak          float64 // recent maximum of open set-ups, including those refused by the limit of open set-ups
+	promisedUntil int64   // until when its rate is assigned to refused callers that were told when to retry
 }
 
-func (l *lot) burst() float64 { return max(1, burstTime*l.rate) }
+func (q *classQuota) burst() float64 { return max(1, burstSeconds*q.rate) }
 
-// reserve is how many open set-ups are kept for a class beyond those it has.
-func (l *lot) reserve(most int) float64 {
-	return max(0, min(l.share*float64(most), reserveOver*l.peak+1)-float64(l.open))
+// reserve returns the number of open set-ups kept for a class beyond those it has.
+func (q *classQuota) reserve(maxOpen int) float64 {
+	return max(0, min(q.share*float64(maxOpen), reserveFactor*q.peak+1)-float64(q.open))
 }
 
-// fill gives each class what its rate has brought since, and to all in common what a class has no room for: that is
-// how rate is lent, and that a class uses its own again is how it is taken back.
-func (p *pool) fill(now int64) {
-	passed := float64(now-p.filled) / 1e6
-	p.filled = now
+// refill adds to each class the tokens that its rate has yielded, and to the shared tokens what exceeds a class's
+// burst. This is how unused rate is lent; a class takes it back by using its own rate again.
+func (p *pool) refill(now int64) {
+	seconds := float64(now-p.lastRefill) / 1e6
+	p.lastRefill = now
 	for i := range p.classes {
-		l := &p.classes[i]
-		l.tokens += l.rate * passed
-		if over := l.tokens - l.burst(); over > 0 && l.share > 0 {
-			l.tokens -= over
-			p.common += over
+		quota := &p.classes[i]
+		quota.tokens += quota.rate * seconds
+		if excess := quota.tokens - quota.burst(); excess > 0 && quota.share > 0 {
+			quota.tokens -= excess
+			p.sharedTokens += excess
 		}
 	}
-	p.common = min(p.common, max(1, burstTime*p.rate))
+	p.sharedTokens = min(p.sharedTokens, max(1, burstSeconds*p.rateLimit))
 }
 
-// admit takes a place for a class, if the limit has one; borrowed tells whether others' rate paid for it.
+// admit takes a slot for a class, if the limit has one; borrowed reports whether it used the rate of other classes.
 func (p *pool) admit(now int64, class int) (ok, borrowed bool) {
-	p.fill(now)
-	l := &p.classes[class]
-	if p.open >= p.most || float64(l.open) >= l.share*float64(p.most) && !p.spare(class) {
-		l.peak = min(l.peak+1, l.share*float64(p.most))
+	p.refill(now)
+	quota := &p.classes[class]
+	if p.open >= p.maxOpen || float64(quota.open) >= quota.share*float64(p.maxOpen) && !p.canLend(class) {
+		quota.peak = min(quota.peak+1, quota.share*float64(p.maxOpen))
 		return false, false
 	}
 	switch {
-	case l.tokens >= 1:
-		l.tokens--
-	case p.common >= 1:
-		p.common--
+	case quota.tokens >= 1:
+		quota.tokens--
+	case p.sharedTokens >= 1:
+		p.sharedTokens--
 		borrowed = true
 	default:
 		return false, false
 	}
 	p.open++
-	l.open++
-	l.peak = max(l.peak, float64(l.open))
+	quota.open++
+	quota.peak = max(quota.peak, float64(quota.open))
 	return true, borrowed
 }
 
-// spare tells whether there is an open set-up to be had beyond what is kept for other classes.
-func (p *pool) spare(class int) bool {
-	kept := 0.0
+// canLend reports whether an open set-up is available beyond those kept for other classes.
+func (p *pool) canLend(class int) bool {
+	reserved := 0.0
 	for i := range p.classes {
 		if i != class {
-			kept += p.classes[i].reserve(p.most)
+			reserved += p.classes[i].reserve(p.maxOpen)
 		}
 	}
-	return float64(p.most-p.open)-kept >= 1
+	return float64(p.maxOpen-p.open)-reserved >= 1
 }
 
-func (p *pool) leave(class int) {
+func (p *pool) release(class int) {
 	p.open--
 	p.classes[class].open--
 }
 
-// charge takes rate for a repeated attempt, down to a burst of debt.
+// charge takes a token for a repeated attempt, down to a debt of one burst.
 func (p *pool) charge(class int) {
-	l := &p.classes[class]
-	l.tokens = max(l.tokens-1, -l.burst())
+	quota := &p.classes[class]
+	quota.tokens = max(quota.tokens-1, -quota.burst())
 }
 
-// turn tells whether the next call goes to the pool. Calls are divided evenly and not by chance.
-func (p *pool) turn() bool {
+// takesNext reports whether the next call goes to the pool. Calls are divided evenly, not at random.
+func (p *pool) takesNext() bool {
 	if p.flow >= 1 {
 		return true
 	}
@@ -153,36 +155,36 @@
 	return false
 }
 
-// choose takes a place for a new call of a class in the first pool that can be used, whose turn it is and that has
-// room; or, if none has, in one that was only passed over. With no pool to be used at all, calls wait for the first.
-func (r *Router) choose(class int) (int, bool) {
+// choosePool takes a slot for a new call of a class in the first usable pool that takes the next call and has room,
+// otherwise in a pool that was only passed over. If no pool is usable, calls wait at the first one.
+func (r *Router) choosePool(class int) (int, bool) {
 	pools := r.cfg.Classes[class].Pools
 	first := true
 	for i, n := range pools {
 		p := &r.pools[n]
-		if p.live == 0 {
+		if p.usableHosts == 0 {
 			continue
 		}
-		last := !slices.ContainsFunc(pools[i+1:], func(n int) bool { return r.pools[n].live > 0 })
+		last := !slices.ContainsFunc(pools[i+1:], func(n int) bool { return r.pools[n].usableHosts > 0 })
 		if first {
 			p.wanted++
 			first = false
 		}
-		if last || p.turn() {
+		if last || p.takesNext() {
 			if r.admit(n, class) {
 				return n, true
 			}
 		}
 	}
 	for _, n := range pools {
-		if r.pools[n].live > 0 && r.admit(n, class) {
+		if r.pools[n].usableHosts > 0 && r.admit(n, class) {
 			return n, true
 		}
 	}
-	if first { // nothing can be used
+	if first { // no pool is usable
 		for _, up := range []bool{true, false} {
 			for _, n := range pools {
-				if (r.pools[n].up > 0) == up && r.admit(n, class) {
+				if (r.pools[n].upHosts > 0) == up && r.admit(n, class) {
 					return n, true
 				}
 			}
@@ -199,87 +201,88 @@
 	return ok
 }
 
-// comeBack is the time to stay away for a call that no limit has room for: until the rate of its class reaches it,
-// behind those who were told a time before. Guards against all of them coming back at once.
-func (r *Router) comeBack(class int) int64 {
-	if !r.set.RetryAdvice {
+// retryAfter returns the retry delay for a call that no limit has room for: the time until the rate of its class
+// admits it, after the callers that were given a time before. Guards against all of them returning at once.
+func (r *Router) retryAfter(class int) int64 {
+	if !r.settings.RetryAdvice {
 		return 0
 	}
-	l := &r.pools[r.cfg.Classes[class].Pools[0]].classes[class]
-	most := r.set.MaxRetryAfter
-	if l.rate <= 0 {
-		return most
+	quota := &r.pools[r.cfg.Classes[class].Pools[0]].classes[class]
+	maxDelay := r.settings.MaxRetryAfter
+	if quota.rate <= 0 {
+		return maxDelay
 	}
-	next := max(l.promise, r.now+int64(max(0, 1-l.tokens)/l.rate*1e6)) + int64(1e6/l.rate)
-	if next-r.now >= most {
-		return most
+	next := max(quota.promisedUntil, r.now+int64(max(0, 1-quota.tokens)/quota.rate*1e6)) + int64(1e6/quota.rate)
+	if next-r.now >= maxDelay {
+		return maxDelay
 	}
-	l.promise = next
+	quota.promisedUntil = next
 	return next - r.now
 }
 
-// look moves held calls on and sets the flows, several times a second.
-func (r *Router) look() {
-	if r.now-r.looked < lookEvery*int64(1+len(r.order)/hostsALook) {
+// update moves held calls and updates the flows, several times a second.
+func (r *Router) update() {
+	if r.now-r.lastUpdate < updateInterval*int64(1+len(r.hostOrder)/hostsPerInterval) {
 		return
 	}
-	r.looked = r.now
-	r.gates()
-	r.count()
-	r.held = slices.DeleteFunc(r.held, func(c *call) bool {
-		c.listed = !c.over && !c.out
-		if c.over && r.calls[c.id] != c && len(r.spare) < maxSpare {
-			r.spare = append(r.spare, c) // it was forgotten, and this list was the last to hold it
+	r.lastUpdate = r.now
+	r.updateColdHosts()
+	r.countHosts()
+	r.heldCalls = slices.DeleteFunc(r.heldCalls, func(c *call) bool {
+		c.inHeldCalls = !c.finished && !c.outstanding
+		if c.finished && r.calls[c.id] != c && len(r.freeCalls) < maxFreeCalls {
+			r.freeCalls = append(r.freeCalls, c) // it was removed from calls, and this list held the last reference
 		}
-		return !c.listed
+		return !c.inHeldCalls
 	})
-	r.looking = append(r.looking[:0], r.held...)
-	for _, c := range r.looking {
-		if !c.over && !c.out {
-			r.consider(c)
+	r.heldCopy = append(r.heldCopy[:0], r.heldCalls...)
+	for _, c := range r.heldCopy {
+		if !c.finished && !c.outstanding {
+			r.tryMove(c)
 		}
 	}
-	if r.now-r.periods >= period {
-		r.periods = r.now
-		if len(r.calls) == 0 { // after a burst
-			r.spare, r.looking = nil, nil
+	if r.now-r.lastPeriod >= period {
+		r.lastPeriod = r.now
+		if len(r.calls) == 0 { // release memory after a burst
+			r.freeCalls, r.heldCopy = nil, nil
 		}
 		for i := range r.pools {
-			r.setFlow(i)
+			r.updateFlow(i)
 		}
 	}
 }
 
-// count counts the hosts that can be used.
-func (r *Router) count() {
+// countHosts counts the hosts that are up and usable.
+func (r *Router) countHosts() {
 	for i := range r.pools {
-		r.pools[i].up, r.pools[i].live, r.pools[i].size = 0, 0, 0
+		r.pools[i].upHosts, r.pools[i].usableHosts, r.pools[i].totalShare = 0, 0, 0
 	}
-	for _, h := range r.order {
-		if h.state != decide.Up || h.place >= len(r.pools) {
+	for _, h := range r.hostOrder {
+		if h.state != decide.Up || h.poolIndex >= len(r.pools) {
 			continue
 		}
-		p := &r.pools[h.place]
-		p.up++
-		p.size += h.Share
-		if h.hidden || !r.inner.Avoids(h.id) {
-			p.live++
+		p := &r.pools[h.poolIndex]
+		p.upHosts++
+		p.totalShare += h.Share
+		if h.hidden || !r.module.Avoids(h.id) {
+			p.usableHosts++
 		}
 	}
 }
 
-// consider moves a held call to a later pool if it has waited long enough, or to any if its own has no host left to
-// it. It stays where a move could repeat what may have run, and while the guard lasts.
-func (r *Router) consider(c *call) {
+// tryMove moves a held call to a later pool if it has waited long enough, or to any pool if its own has no usable
+// host left. It does not move a call if that could repeat an attempt that may have run, or during the guard time.
+func (r *Router) tryMove(c *call) {
 	p := &r.pools[c.pool]
-	if p.live > 0 && r.now-c.entered < r.cfg.Wait || r.now < c.notBefore ||
-		c.ran && r.set.Classes[c.class].Effect != decide.Free {
+	if p.usableHosts > 0 && r.now-c.entered < r.cfg.Wait || r.now < c.notBefore ||
+		c.mayHaveRun && r.settings.Classes[c.class].Effect != decide.Free {
 		return
 	}
 	pools := r.cfg.Classes[c.class].Pools
 	for i, n := range pools {
-		t := &r.pools[n]
-		if n == c.pool || t.live == 0 || t.held >= queueAhead || p.live > 0 && i < slices.Index(pools, c.pool) {
+		target := &r.pools[n]
+		if n == c.pool || target.usableHosts == 0 || target.held >= maxHeldAtTarget ||
+			p.usableHosts > 0 && i < slices.Index(pools, c.pool) {
 			continue
 		}
 		if !r.admit(n, c.class) {
@@ -288,50 +291,50 @@
 		p.moved++
 		r.Counts.Moved++
 		p.held--
-		p.leave(c.class)
-		// The module forgets it: no attempt is out, and what earlier ones leave to be kept is kept here.
+		p.release(c.class)
+		// The module forgets the call: no attempt is outstanding, and the router keeps what is left of earlier ones.
 		r.forward(decide.Event{Kind: decide.Gone, Call: c.id})
-		c.base = c.sends
-		r.enter(c, n)
+		c.earlierAttempts = c.attempts
+		r.enterPool(c, n)
 		return
 	}
 }
 
-// setFlow sets which part of the calls that would go to a pool do so: what it was seen to take, while calls have to
-// move on from it or are lost there; else a step more than before.
-func (r *Router) setFlow(n int) {
+// updateFlow sets the fraction of a pool's calls that is sent there: what the pool was observed to take, while calls
+// have to move on from it or are lost there; otherwise one step more than before.
+func (r *Router) updateFlow(n int) {
 	p := &r.pools[n]
-	was := p.flow
-	seen := float64(p.sent) / float64(max(1, p.wanted))
-	strain := p.wanted > 0 && float64(p.moved+p.lost) > 1+strainPart*float64(p.entered)
+	previous := p.flow
+	observed := float64(p.sent) / float64(max(1, p.wanted))
+	overloaded := p.wanted > 0 && float64(p.moved+p.lost) > 1+overloadFraction*float64(p.entered)
 	switch {
-	// In the period after a cut, what was held before it still moves on: that is no reason for another one.
-	case strain && (p.rest < restPeriods || seen < p.flow/2):
-		p.ceiling = max(r.cfg.Least, min(p.flow, seen))
-		p.flow = max(r.cfg.Least, min(p.flow, underFlow*seen))
-		p.rest = restPeriods
-	case p.rest > 0:
-		p.rest--
+	// In the period after a reduction, calls held before it still move on: that is no reason for another reduction.
+	case overloaded && (p.pauseLeft < pausePeriods || observed < p.flow/2):
+		p.ceiling = max(r.cfg.Least, min(p.flow, observed))
+		p.flow = max(r.cfg.Least, min(p.flow, flowReduction*observed))
+		p.pauseLeft = pausePeriods
+	case p.pauseLeft > 0:
+		p.pauseLeft--
 	default:
 		step := r.cfg.Return * period / 1e6
 		if p.flow > p.ceiling*(1-nearCeiling) && p.flow < p.ceiling*(1+nearCeiling) {
-			step *= slowly
+			step *= slowFactor
 		}
 		p.flow = min(1, p.flow+step)
 	}
-	if (was >= 1) != (p.flow >= 1) {
-		text := fmt.Sprintf("spill from %s part %.2f", r.cfg.Pools[n].Name, 1-p.flow)
+	if (previous >= 1) != (p.flow >= 1) {
+		text := fmt.Sprintf("spill from pool %s, fraction %.2f of its calls", r.cfg.Pools[n].Name, 1-p.flow)
 		if p.flow >= 1 {
-			text = "spill ends at " + r.cfg.Pools[n].Name
+			text = "spill ended at pool " + r.cfg.Pools[n].Name
 		}
-		r.out = append(r.out, decide.Action{Kind: decide.Log, Text: text})
+		r.actions = append(r.actions, decide.Action{Kind: decide.Log, Text: text})
 	}
 	p.wanted, p.entered, p.sent, p.moved, p.lost = 0, 0, 0, 0, 0
 	for i := range p.classes {
-		l := &p.classes[i]
-		l.peak = max(float64(l.open), l.peak*(1-peakFade))
+		quota := &p.classes[i]
+		quota.peak = max(float64(quota.open), quota.peak*(1-peakDecay))
 	}
 }
 
-// Flow is the part of the calls whose first choice is a pool that go there now.
+// Flow returns the fraction of the calls with a pool as first choice that is sent there now.
 func (r *Router) Flow(pool int) float64 { return r.pools[pool].flow }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,7 @@
-// Package route decides in front of the decision module which pool a call goes to, whether it may enter at all, and
-// whether a further attempt is within the budget. It is driven like the module and drives it; the pick of a server, the
-// caps, holding and the guards stay there. It owns no clock, goroutine or connection; times are microseconds.
+// Package route chooses, in front of the decision module, the pool for each call, decides whether the call is
+// admitted at all, and limits further attempts to a budget. It has the interface of the module and drives the module;
+// the choice of a server, the caps, holding and the guards remain there. It owns no clock, goroutine or connection;
+// times are microseconds.
 package route
 
 import (
@@ -11,162 +12,163 @@
 	"pewterwheel/decide"
 )
 
-// Inner is the decision module as the router drives it.
-type Inner interface {
+// Module is the decision module as used by the router.
+type Module interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
 }
 
-// Config is what a router goes by. Rates are set-ups a second, parts are of one.
+// Config is the configuration of a router. Rates are set-ups per second; fractions are of one.
 type Config struct {
-	Sidecars int // that share the pools' hosts, this one included
+	Sidecars int // number of sidecars that share the pools' hosts, including this one
 	Pools    []Pool
 	Classes  []Class
-	Repeats  float64 // repeated attempts, as a part of first ones
-	Floor    float64 // repeated attempts that are allowed in any case, a second
-	Wait     int64   // a call that was held this long at a pool may move to the next
-	Return   float64 // part of a pool's calls that comes back to it, a second
-	Least    float64 // part of a pool's calls that goes there however capped it is
+	Repeats  float64 // ratio of repeated attempts to first ones
+	Floor    float64 // repeated attempts per second that are always allowed
+	Wait     int64   // a call held this long at a pool may move to the next
+	Return   float64 // fraction of a pool's calls, per second, by which its flow grows again
+	Least    float64 // smallest fraction of a pool's calls that is sent there, however limited it is
 }
 
-// Pool is one pool; its number is its place for the module.
+// Pool is the configuration of one pool; its index is the place that the module knows.
 type Pool struct {
 	Name  string
-	Rate  float64 // this sidecar's limit
+	Rate  float64 // this sidecar's limit of set-ups per second
 	Open  int     // this sidecar's limit of open set-ups
-	Whole float64 // what the whole pool takes when all its hosts are warm
+	Whole float64 // set-ups per second of the whole pool when all its hosts are warm
 }
 
-// Class is one class of call; its number is that of the settings.
+// Class is one class of calls; its index is that of the settings.
 type Class struct {
-	Pools []int   // in order of choice
-	Share float64 // its part of each limit, beside the other classes that may use the pool
+	Pools []int   // in order of preference
+	Share float64 // its part of each limit, relative to the other classes that may use the pool
 }
 
-// Check says what of a configuration cannot be gone by, for settings with so many classes.
+// Check returns an error if the configuration is invalid for settings with the given number of classes.
 func (c *Config) Check(classes int) error {
 	if len(c.Pools) == 0 || len(c.Classes) != classes || c.Sidecars < 1 {
-		return fmt.Errorf("route: %d pools, %d classes for %d of the settings, %d sidecars", len(c.Pools), len(c.Classes), classes, c.Sidecars)
+		return fmt.Errorf("route: invalid configuration: %d pools, %d classes (the settings have %d), %d sidecars",
+			len(c.Pools), len(c.Classes), classes, c.Sidecars)
 	}
 	for i, cl := range c.Classes {
 		if len(cl.Pools) == 0 || slices.ContainsFunc(cl.Pools, func(p int) bool { return p < 0 || p >= len(c.Pools) }) {
-			return fmt.Errorf("route: class %d has pools %v of %d", i, cl.Pools, len(c.Pools))
+			return fmt.Errorf("route: class %d has pools %v, but %d pools are defined", i, cl.Pools, len(c.Pools))
 		}
 	}
 	return nil
 }
 
-// Settings gives the module a class for each class and pool, whose one pool that is.
-func (c *Config) Settings(set decide.Settings) decide.Settings {
+// Settings returns settings for the module with one class for each class and pool, which may use only that pool.
+func (c *Config) Settings(settings decide.Settings) decide.Settings {
 	var classes []decide.Class
-	for _, cl := range set.Classes {
+	for _, cl := range settings.Classes {
 		for p := range c.Pools {
 			cl.Pools = []int{p}
 			classes = append(classes, cl)
 		}
 	}
-	set.Classes = classes
-	return set
+	settings.Classes = classes
+	return settings
 }
 
-// call is one call that has entered a pool and has no final answer, or whose attempt is still out.
+// call is a call that was admitted to a pool and has no final answer, or whose attempt is outstanding.
 type call struct {
-	id        decide.CallID
-	order     decide.Event // as it arrived
-	class     int
-	pool      int
-	entered   int64 // when it came to this pool, or back to it from an attempt
-	sends     int   // attempts made
-	base      int   // attempts made before it came to this pool
-	out       bool  // an attempt is out
-	host      *host // where
-	ran       bool  // an attempt may have run
-	notBefore int64 // the guard after the last attempt
-	paid      bool  // its next attempt is paid for from the budget
-	over      bool  // it has its final answer, or its caller has gone
-	listed    bool  // it is in held
+	id              decide.CallID
+	event           decide.Event // as it was received
+	class           int
+	pool            int
+	entered         int64 // when it came to this pool, or returned to it from an attempt
+	attempts        int   // number of attempts made
+	earlierAttempts int   // number of attempts made before it came to this pool
+	outstanding     bool  // an attempt is outstanding
+	host            *host // the host of that attempt
+	mayHaveRun      bool  // an attempt may have run
+	notBefore       int64 // end of the guard time after the last attempt
+	paid            bool  // its next attempt is paid for from the budget
+	finished        bool  // it has its final answer, or its caller has disconnected
+	inHeldCalls     bool  // it is in heldCalls
 }
 
-// Router decides for one sidecar. It is not safe for concurrent use.
+// Router routes the calls of one sidecar. It is not safe for concurrent use.
 type Router struct {
-	cfg     Config
-	set     decide.Settings // as they are without the router
-	inner   Inner
-	rng     *rand.Rand
-	now     int64
-	out     []decide.Action
-	bufs    [][]decide.Action // by depth of calls into the module
-	depth   int
-	calls   map[decide.CallID]*call
-	held    []*call // calls without an attempt out, and some that are over
-	looking []*call // held, while it is looked at
-	spare   []*call // calls that nobody holds any more
-	pools   []pool
-	hosts   map[decide.ServerID]*host
-	order   []*host // in order of first listing
-	cold    []*host // those that the module is shown as up only while they have room
-
-	budget  float64 // repeated attempts in hand
-	filled  int64   // when budget was last filled
-	looked  int64   // when held calls were last looked at
-	periods int64   // when the pools' flows were last set
-
-	// Counts of what was decided, for staff.
+	cfg           Config
+	settings      decide.Settings // as they are without the router
+	module        Module
+	rng           *rand.Rand
+	now           int64
+	actions       []decide.Action
+	actionBuffers [][]decide.Action // by depth of calls to the module
+	depth         int
+	calls         map[decide.CallID]*call
+	heldCalls     []*call // calls without an outstanding attempt, and some that are finished
+	heldCopy      []*call // copy of heldCalls for iteration
+	freeCalls     []*call // calls for reuse, without references
+	pools         []pool
+	hosts         map[decide.ServerID]*host
+	hostOrder     []*host // in the order of first listing
+	coldHosts     []*host // those shown to the module only while they have tokens
+
+	budget     float64 // repeated attempts that are allowed now
+	lastRefill int64   // when budget was last filled
+	lastUpdate int64   // when held calls were last checked
+	lastPeriod int64   // when the pools' flows were last updated
+
+	// Counts of routing decisions, for operators.
 	Counts Counts
 }
 
-// Counts are what a router has decided since its start.
+// Counts are the numbers of routing decisions since the router's start.
 type Counts struct {
-	Spilled  uint64 // calls that entered another pool than their first
-	Moved    uint64 // calls that moved on from a pool at which they were held
-	Borrowed uint64 // calls that used what other classes left
-	Limited  uint64 // calls refused by a limit
-	Repeats  uint64 // further attempts refused by the budget
-	Shut     uint64 // times a cold host was hidden from the module
+	Spilled        uint64 // calls admitted to another pool than their first
+	Moved          uint64 // calls that moved from a pool at which they were held
+	Borrowed       uint64 // calls that used the unused rate of other classes
+	Limited        uint64 // calls refused by a limit
+	RepeatsRefused uint64 // further attempts refused by the budget
+	HostsHidden    uint64 // times that a cold host was hidden from the module
 }
 
-// Figures gives the counts, and of each pool the part in a hundred of its calls that goes there now.
+// Figures reports the counts and, for each pool, the percentage of its calls that is sent there now.
 func (r *Router) Figures(put func(name string, n uint64, gauge bool)) {
 	c := &r.Counts
 	put("route_spilled", c.Spilled, false)
 	put("route_moved", c.Moved, false)
 	put("route_borrowed", c.Borrowed, false)
 	put("route_limited", c.Limited, false)
-	put("route_repeats_refused", c.Repeats, false)
-	put("route_cold_shut", c.Shut, false)
+	put("route_repeats_refused", c.RepeatsRefused, false)
+	put("route_cold_shut", c.HostsHidden, false)
 	for i := range r.pools {
 		put("route_flow."+r.cfg.Pools[i].Name, uint64(100*r.pools[i].flow), true)
 		put("route_open."+r.cfg.Pools[i].Name, uint64(r.pools[i].open), true)
 	}
 }
 
-// New returns a router before a module. The module is made by the caller from Config.Settings.
-func New(cfg Config, set decide.Settings, inner Inner, seed uint64) (*Router, error) {
-	if err := cfg.Check(len(set.Classes)); err != nil {
+// New returns a router in front of a module. The caller makes the module from Config.Settings.
+func New(cfg Config, settings decide.Settings, module Module, seed uint64) (*Router, error) {
+	if err := cfg.Check(len(settings.Classes)); err != nil {
 		return nil, err
 	}
-	r := &Router{set: set, inner: inner, rng: rand.New(rand.NewPCG(seed, 1)), calls: map[decide.CallID]*call{},
-		hosts: map[decide.ServerID]*host{}, pools: make([]pool, len(cfg.Pools))}
+	r := &Router{settings: settings, module: module, rng: rand.New(rand.NewPCG(seed, 1)),
+		calls: map[decide.CallID]*call{}, hosts: map[decide.ServerID]*host{}, pools: make([]pool, len(cfg.Pools))}
 	for i := range r.pools {
-		r.pools[i] = pool{flow: 1, ceiling: 1, classes: make([]lot, len(cfg.Classes))}
+		r.pools[i] = pool{flow: 1, ceiling: 1, classes: make([]classQuota, len(cfg.Classes))}
 	}
-	r.take(cfg)
-	for i := range r.pools { // what nobody has used yet is there
+	r.applyConfig(cfg)
+	for i := range r.pools { // unused rate is available at the start
 		p := &r.pools[i]
 		for j := range p.classes {
 			p.classes[j].tokens = p.classes[j].burst()
 		}
 	}
-	r.budget = r.budgetMost()
+	r.budget = r.maxBudget()
 	return r, nil
 }
 
-// take goes by a configuration from now on.
-func (r *Router) take(cfg Config) {
+// applyConfig makes a configuration effective.
+func (r *Router) applyConfig(cfg Config) {
 	r.cfg = cfg
 	for i := range r.pools {
 		p, c := &r.pools[i], &cfg.Pools[i]
-		p.rate, p.most = c.Rate, c.Open
+		p.rateLimit, p.maxOpen = c.Rate, c.Open
 		sum := 0.0
 		for _, cl := range cfg.Classes {
 			if slices.Contains(cl.Pools, i) {
@@ -178,245 +180,245 @@
 			if sum > 0 && slices.Contains(cl.Pools, i) {
 				p.classes[j].share = cl.Share / sum
 			}
-			p.classes[j].rate = p.rate * p.classes[j].share
+			p.classes[j].rate = p.rateLimit * p.classes[j].share
 		}
 	}
 }
 
-// Reload goes by a configuration that was read anew, if it has the same pools and classes; part is a Config. Calls,
-// flows and what is in hand go on.
-func (r *Router) Reload(now int64, part any, out []decide.Action) []decide.Action {
-	cfg, ok := part.(Config)
-	if !ok || len(cfg.Pools) != len(r.pools) || cfg.Check(len(r.set.Classes)) != nil {
-		return append(out, decide.Action{Kind: decide.Log, Text: "routes stay: pools or classes are others"})
+// Reload makes a new configuration effective if it has the same pools and classes; part must be a Config. Calls,
+// flows and tokens are kept.
+func (r *Router) Reload(now int64, config any, out []decide.Action) []decide.Action {
+	cfg, ok := config.(Config)
+	if !ok || len(cfg.Pools) != len(r.pools) || cfg.Check(len(r.settings.Classes)) != nil {
+		return append(out, decide.Action{Kind: decide.Log, Text: "routes not reloaded: the pools or classes differ"})
 	}
 	r.now = now
 	for i := range r.pools {
-		r.pools[i].fill(now)
+		r.pools[i].refill(now)
 	}
-	r.take(cfg)
+	r.applyConfig(cfg)
 	return out
 }
 
-// Avoids tells whether the module leaves a listed server alone now.
-func (r *Router) Avoids(id decide.ServerID) bool { return r.inner.Avoids(id) }
+// Avoids reports whether the module avoids a listed server now.
+func (r *Router) Avoids(id decide.ServerID) bool { return r.module.Avoids(id) }
 
-// Step takes one event at one time and appends what is to be done.
+// Step handles one event at a given time and appends the resulting actions.
 func (r *Router) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
-	r.now, r.out = now, out
+	r.now, r.actions = now, out
 	switch e.Kind {
 	case decide.Start:
-		r.filled, r.looked, r.periods = now, now, now
+		r.lastRefill, r.lastUpdate, r.lastPeriod = now, now, now
 		for i := range r.pools {
-			r.pools[i].filled = now
+			r.pools[i].lastRefill = now
 		}
 		r.forward(e)
 	case decide.List:
-		r.list(e)
+		r.handleList(e)
 	case decide.Order:
-		r.arrive(e)
+		r.handleOrder(e)
 	case decide.Begun:
-		r.begun(e)
+		r.handleBegun(e)
 	case decide.Ended:
-		r.ended(e)
+		r.handleEnded(e)
 	case decide.Gone:
-		r.gone(e)
+		r.handleGone(e)
 	default:
 		r.forward(e)
 	}
-	r.look()
-	out, r.out = r.out, nil
+	r.update()
+	out, r.actions = r.actions, nil
 	return out
 }
 
-// forward hands an event to the module and takes up what it wants done.
+// forward passes an event to the module and handles the resulting actions.
 func (r *Router) forward(e decide.Event) {
-	if r.depth == len(r.bufs) {
-		r.bufs = append(r.bufs, nil)
+	if r.depth == len(r.actionBuffers) {
+		r.actionBuffers = append(r.actionBuffers, nil)
 	}
-	acts := r.inner.Step(r.now, e, r.bufs[r.depth][:0])
-	r.bufs[r.depth] = acts
+	actions := r.module.Step(r.now, e, r.actionBuffers[r.depth][:0])
+	r.actionBuffers[r.depth] = actions
 	r.depth++
-	for _, a := range acts {
-		r.from(a)
+	for _, a := range actions {
+		r.handleAction(a)
 	}
 	r.depth--
 }
 
-// from takes up one action of the module.
-func (r *Router) from(a decide.Action) {
+// handleAction handles one action of the module.
+func (r *Router) handleAction(a decide.Action) {
 	c := r.calls[a.Call]
 	switch a.Kind {
 	case decide.Send:
 		if c != nil {
-			r.sent(c, a.Server)
+			r.handleSend(c, a.Server)
 		}
 	case decide.Refuse, decide.Fail:
 		if c == nil {
 			break
 		}
-		if c.sends == c.base && !c.out {
+		if c.attempts == c.earlierAttempts && !c.outstanding {
 			r.pools[c.pool].lost++
 		}
-		if c.sends > 0 { // earlier pools may have had attempts of which the module does not know
+		if c.attempts > 0 { // there may have been attempts at earlier pools, of which the module does not know
 			a.Kind = decide.Fail
 		}
-		r.end(c)
+		r.finish(c)
 	case decide.Cancel:
 		if c != nil {
-			a.Attempt += c.base
+			a.Attempt += c.earlierAttempts
 		}
 	}
-	r.out = append(r.out, a)
+	r.actions = append(r.actions, a)
 }
 
-// inside is the class that a class has for the module at a pool.
-func (r *Router) inside(class, pool int) int { return class*len(r.pools) + pool }
+// moduleClass returns the class that represents a class at a pool for the module.
+func (r *Router) moduleClass(class, pool int) int { return class*len(r.pools) + pool }
 
-// arrive takes a new call into a pool, or refuses it at once.
-func (r *Router) arrive(e decide.Event) {
+// handleOrder admits a new call to a pool, or refuses it at once.
+func (r *Router) handleOrder(e decide.Event) {
 	if e.Class < 0 || e.Class >= len(r.cfg.Classes) || r.calls[e.Call] != nil {
-		r.out = append(r.out, decide.Action{Kind: decide.Refuse, Call: e.Call})
+		r.actions = append(r.actions, decide.Action{Kind: decide.Refuse, Call: e.Call})
 		return
 	}
-	e.Dest, e.Transit = -1, false // places are pools here, and the router chooses
-	pool, ok := r.choose(e.Class)
+	e.Dest, e.Transit = -1, false // places are pools here, and the router chooses the pool
+	pool, ok := r.choosePool(e.Class)
 	if !ok {
 		r.Counts.Limited++
-		r.out = append(r.out, decide.Action{Kind: decide.Refuse, Call: e.Call, Wait: r.comeBack(e.Class)})
+		r.actions = append(r.actions, decide.Action{Kind: decide.Refuse, Call: e.Call, Wait: r.retryAfter(e.Class)})
 		return
 	}
 	c := &call{}
-	if n := len(r.spare); n > 0 {
-		c, r.spare = r.spare[n-1], r.spare[:n-1]
+	if n := len(r.freeCalls); n > 0 {
+		c, r.freeCalls = r.freeCalls[n-1], r.freeCalls[:n-1]
 	}
-	*c = call{id: e.Call, order: e, class: e.Class, entered: r.now}
+	*c = call{id: e.Call, event: e, class: e.Class, entered: r.now}
 	if pool != r.cfg.Classes[c.class].Pools[0] {
 		r.Counts.Spilled++
 	}
 	r.calls[c.id] = c
-	r.enter(c, pool)
+	r.enterPool(c, pool)
 }
 
-// enter hands a call to the module as one of a pool, in which it has its place already.
-func (r *Router) enter(c *call, pool int) {
+// enterPool passes a call to the module as a call of a pool that has already admitted it.
+func (r *Router) enterPool(c *call, pool int) {
 	c.pool, c.entered = pool, r.now
 	r.pools[pool].entered++
 	r.hold(c)
-	e := c.order
-	e.Class = r.inside(c.class, pool)
+	e := c.event
+	e.Class = r.moduleClass(c.class, pool)
 	r.forward(e)
 }
 
 func (r *Router) hold(c *call) {
 	r.pools[c.pool].held++
-	if !c.listed {
-		c.listed = true
-		r.held = append(r.held, c)
+	if !c.inHeldCalls {
+		c.inHeldCalls = true
+		r.heldCalls = append(r.heldCalls, c)
 	}
 }
 
-// end notes that a call needs no further answer; with no attempt out nothing is kept of it.
-func (r *Router) end(c *call) {
-	if c.over {
+// finish records that a call needs no further answer; if no attempt is outstanding, no state of it is kept.
+func (r *Router) finish(c *call) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	if c.paid { // for an attempt that was not made
+	c.finished = true
+	if c.paid { // paid for an attempt that was not made
 		c.paid = false
-		r.budget = min(r.budget+1, r.budgetMost())
+		r.budget = min(r.budget+1, r.maxBudget())
 	}
-	if !c.out {
+	if !c.outstanding {
 		r.pools[c.pool].held--
-		r.forget(c)
+		r.remove(c)
 	}
 }
 
-// forget gives a call's place in its pool back.
-func (r *Router) forget(c *call) {
+// remove removes a call and frees its slot in its pool.
+func (r *Router) remove(c *call) {
 	if r.calls[c.id] == c {
 		delete(r.calls, c.id)
-		r.pools[c.pool].leave(c.class)
+		r.pools[c.pool].release(c.class)
 	}
 }
 
-func (r *Router) sent(c *call, id decide.ServerID) {
+func (r *Router) handleSend(c *call, id decide.ServerID) {
 	p := &r.pools[c.pool]
-	c.out, c.host = true, r.hosts[id]
+	c.outstanding, c.host = true, r.hosts[id]
 	p.held--
-	if c.sends == c.base {
+	if c.attempts == c.earlierAttempts {
 		p.sent++
 	}
-	if c.sends == 0 {
-		r.budget = min(r.budget+r.cfg.Repeats, r.budgetMost())
-	} else { // what repeats take is charged, for the pool bears them, too
+	if c.attempts == 0 {
+		r.budget = min(r.budget+r.cfg.Repeats, r.maxBudget())
+	} else { // repeated attempts are charged, because they are load for the pool too
 		p.charge(c.class)
 	}
-	c.sends++
+	c.attempts++
 	c.paid = false
 	if h := c.host; h != nil {
 		h.open++
 		if r.isCold(h) {
-			r.fill(h)
+			r.refill(h)
 			h.tokens--
-			r.show(r.turn(nil, h, h.tokens >= 1))
+			r.publish(r.setVisible(nil, h, h.tokens >= 1))
 		}
 	}
 }
 
-// back notes that a call's attempt is over.
-func (r *Router) back(c *call) {
-	if c.out && c.host != nil {
+// attemptOver records that a call's attempt is over.
+func (r *Router) attemptOver(c *call) {
+	if c.outstanding && c.host != nil {
 		c.host.open--
 	}
-	c.out, c.host = false, nil
+	c.outstanding, c.host = false, nil
 }
 
-func (r *Router) begun(e decide.Event) {
-	if c := r.calls[e.Call]; c != nil && c.out {
-		e.Attempt -= c.base
-		r.back(c)
-		c.over = true
-		r.forget(c)
+func (r *Router) handleBegun(e decide.Event) {
+	if c := r.calls[e.Call]; c != nil && c.outstanding {
+		e.Attempt -= c.earlierAttempts
+		r.attemptOver(c)
+		c.finished = true
+		r.remove(c)
 	}
 	r.forward(e)
 }
 
-func (r *Router) gone(e decide.Event) {
+func (r *Router) handleGone(e decide.Event) {
 	if c := r.calls[e.Call]; c != nil {
-		r.end(c)
+		r.finish(c)
 	}
 	r.forward(e)
 }
 
-// ended takes the end of an attempt. A call that may not have another one has its final answer here, at once: the
-// module is told that it has it.
-func (r *Router) ended(e decide.Event) {
+// handleEnded handles the end of an attempt. A call that may not have another attempt gets its final answer here, at
+// once; the module is told so.
+func (r *Router) handleEnded(e decide.Event) {
 	c := r.calls[e.Call]
-	if c == nil || !c.out {
+	if c == nil || !c.outstanding {
 		r.forward(e)
 		return
 	}
-	e.Attempt -= c.base
-	r.back(c)
+	e.Attempt -= c.earlierAttempts
+	r.attemptOver(c)
 	switch e.Outcome {
 	case decide.TimedOut, decide.Cut, decide.Cancelled:
-		c.notBefore = r.now + r.set.Rules.Guard
+		c.notBefore = r.now + r.settings.Rules.Guard
 	}
-	never := e.Outcome == decide.Rejected || e.Outcome == decide.Unreached || e.Outcome == decide.Unsent
-	c.ran = c.ran || !never
-	if e.Final || c.over {
-		c.over = true
-		r.forget(c)
+	neverRan := e.Outcome == decide.Rejected || e.Outcome == decide.Unreached || e.Outcome == decide.Unsent
+	c.mayHaveRun = c.mayHaveRun || !neverRan
+	if e.Final || c.finished {
+		c.finished = true
+		r.remove(c)
 		r.forward(e)
 		return
 	}
-	if r.set.MaxTries > 0 && c.sends >= r.set.MaxTries || !r.affords(c, e.Outcome) {
-		c.over = true
-		r.forget(c)
+	if r.settings.MaxTries > 0 && c.attempts >= r.settings.MaxTries || !r.payRepeat(c, e.Outcome) {
+		c.finished = true
+		r.remove(c)
 		e.Final = true
 		r.forward(e)
-		r.out = append(r.out, decide.Action{Kind: decide.Fail, Call: c.id, Wait: r.stayAway(c.class)})
+		r.actions = append(r.actions, decide.Action{Kind: decide.Fail, Call: c.id, Wait: r.failureRetryAfter(c.class)})
 		return
 	}
 	c.entered = r.now
@@ -424,32 +426,32 @@
 	r.forward(e)
 }
 
-// stayAway is the time to stay away that the module would tell, for what is given up here.
-func (r *Router) stayAway(class int) int64 {
-	if !r.set.RetryAdvice {
+// failureRetryAfter returns the retry delay that the module would give, for a call that the router fails.
+func (r *Router) failureRetryAfter(class int) int64 {
+	if !r.settings.RetryAdvice {
 		return 0
 	}
-	return min(r.set.MaxRetryAfter, r.set.Classes[class].Aim)
+	return min(r.settings.MaxRetryAfter, r.settings.Classes[class].Aim)
 }
 
-// ---- the budget for repeats ----
+// Budget for repeated attempts
 
-// budgetSeconds of the floor, and budgetCalls beside them, is the most that is saved up: a quiet hour must not pay
-// for a storm.
+// At most budgetSeconds of the minimum rate, plus budgetCalls, are saved up: an hour of low load must not pay for a
+// storm of repeats.
 const budgetSeconds, budgetCalls = 5, 5
 
-func (r *Router) budgetMost() float64 { return budgetCalls + budgetSeconds*r.cfg.Floor }
+func (r *Router) maxBudget() float64 { return budgetCalls + budgetSeconds*r.cfg.Floor }
 
-// affords pays for a further attempt after one that ended so. What never left this machine costs nobody anything.
-// Guards against repeats that keep an overload alive after its cause has gone.
-func (r *Router) affords(c *call, o decide.Outcome) bool {
-	r.budget = min(r.budget+r.cfg.Floor*float64(r.now-r.filled)/1e6, r.budgetMost())
-	r.filled = r.now
+// payRepeat pays for a further attempt after one with the given outcome. An attempt that never left this machine
+// costs nothing. Guards against repeated attempts that prolong an overload after its cause has gone.
+func (r *Router) payRepeat(c *call, o decide.Outcome) bool {
+	r.budget = min(r.budget+r.cfg.Floor*float64(r.now-r.lastRefill)/1e6, r.maxBudget())
+	r.lastRefill = r.now
 	if o == decide.Unreached || o == decide.Unsent {
 		return true
 	}
 	if r.budget < 1 {
-		r.Counts.Repeats++
+		r.Counts.RepeatsRefused++
 		return false
 	}
 	r.budget--
--- a/internal/route/world_test.go
+++ b/internal/route/world_test.go
@@ -9,65 +9,65 @@
 	"pewterwheel/decide"
 )
 
-// A world is offices, callers and a network in virtual time, round a router or the module alone. It checks the rules
-// on every event: one final answer for each call, never two attempts out, no attempt within the guard, nothing to a host
-// that the list has ended, nothing behind the router's back.
-type world struct {
-	t     testing.TB
-	node  Inner
-	set   decide.Settings
-	rng   *rand.Rand
-	now   int64
-	queue events
-	n     uint64
-	calls map[decide.CallID]*worldCall
-	hosts map[decide.ServerID]*worldHost
-	tally tally
+// simulation simulates offices, callers and a network in virtual time around a router or the module alone. It checks
+// the rules on every event: one final answer for each call, never two outstanding attempts, no attempt within the
+// guard time, nothing sent to a host that the list has removed, and no action that bypasses the router.
+type simulation struct {
+	t        testing.TB
+	module   Module
+	set      decide.Settings
+	rng      *rand.Rand
+	now      int64
+	queue    events
+	sequence uint64
+	calls    map[decide.CallID]*simulatedCall
+	hosts    map[decide.ServerID]*simulatedHost
+	results  results
 }
 
-type tally struct {
+type results struct {
 	offered, onTime, late, refused, failed int
-	attempts, repeats, first               int // first: attempts at the pool of first choice
+	attempts, repeats, firstPool           int // firstPool: attempts at the pool of first choice
 	waits                                  []int64
 }
 
-type worldCall struct {
-	class    int
-	begun    int64
-	deadline int64
-	out      decide.ServerID
-	attempts int
-	guard    int64
-	ran      bool // an attempt may have run
-	ranAt    int  // at this pool
-	answered bool
-	ended    int // final answers
+type simulatedCall struct {
+	class         int
+	begun         int64
+	deadline      int64
+	outstandingAt decide.ServerID
+	attempts      int
+	guardUntil    int64
+	mayHaveRun    bool // an attempt may have run
+	ranAtPool     int  // pool of that attempt
+	answered      bool
+	finalAnswers  int // number of final answers
 }
 
-type worldHost struct {
+type simulatedHost struct {
 	decide.Listed
-	service int64 // work for a set-up, microseconds
-	free    int64 // when its line is worked off
-	most    int64 // past this much work in line it refuses
-	mute    bool
-	broken  bool
-	sends   []int64
+	serviceTime  int64 // processing time of a set-up, microseconds
+	idleFrom     int64 // when its queue is empty
+	maxQueue     int64 // refuses set-ups while its queue is longer, in microseconds of work
+	unresponsive bool
+	unreachable  bool
+	sends        []int64
 }
 
-type worldEvent struct {
-	at int64
-	n  uint64
-	do func()
+type simulatedEvent struct {
+	at       int64
+	sequence uint64
+	do       func()
 }
 
-type events []worldEvent
+type events []simulatedEvent
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(worldEvent)) }
+func (e *events) Push(x any)   { *e = append(*e, x.(simulatedEvent)) }
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -75,201 +75,204 @@
 	return x
 }
 
-func newWorld(t testing.TB, node Inner, set decide.Settings, seed uint64, hosts ...*worldHost) *world {
-	w := &world{t: t, node: node, set: set, rng: rand.New(rand.NewPCG(seed, 9)), now: 1_000_000_000,
-		calls: map[decide.CallID]*worldCall{}, hosts: map[decide.ServerID]*worldHost{}}
-	w.step(decide.Event{Kind: decide.Start})
+func newSimulation(t testing.TB, module Module, set decide.Settings, seed uint64, hosts ...*simulatedHost) *simulation {
+	sim := &simulation{t: t, module: module, set: set, rng: rand.New(rand.NewPCG(seed, 9)), now: 1_000_000_000,
+		calls: map[decide.CallID]*simulatedCall{}, hosts: map[decide.ServerID]*simulatedHost{}}
+	sim.step(decide.Event{Kind: decide.Start})
 	var list []decide.Listed
 	for _, h := range hosts {
-		w.hosts[h.ID] = h
+		sim.hosts[h.ID] = h
 		list = append(list, h.Listed)
 	}
-	w.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: list})
-	return w
+	sim.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: list})
+	return sim
 }
 
-func (w *world) after(wait int64, do func()) {
-	w.n++
-	heap.Push(&w.queue, worldEvent{w.now + max(0, wait), w.n, do})
+func (sim *simulation) after(delay int64, do func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, simulatedEvent{sim.now + max(0, delay), sim.sequence, do})
 }
 
-func (w *world) run(till int64) {
-	for len(w.queue) > 0 && w.queue[0].at <= till {
-		e := heap.Pop(&w.queue).(worldEvent)
-		w.now = e.at
+func (sim *simulation) run(until int64) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= until {
+		e := heap.Pop(&sim.queue).(simulatedEvent)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = max(w.now, till)
+	sim.now = max(sim.now, until)
 }
 
-func (w *world) step(e decide.Event) {
-	for _, a := range w.node.Step(w.now, e, nil) {
-		w.act(a)
+func (sim *simulation) step(e decide.Event) {
+	for _, a := range sim.module.Step(sim.now, e, nil) {
+		sim.handleAction(a)
 	}
 }
 
-// tell changes a host on the list.
-func (w *world) tell(h *worldHost, s decide.State) {
+// updateHost changes a host on the list.
+func (sim *simulation) updateHost(h *simulatedHost, s decide.State) {
 	h.State = s
-	w.hosts[h.ID] = h
-	w.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: []decide.Listed{h.Listed}})
+	sim.hosts[h.ID] = h
+	sim.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: []decide.Listed{h.Listed}})
 }
 
-func (w *world) act(a decide.Action) {
+func (sim *simulation) handleAction(a decide.Action) {
 	switch a.Kind {
 	case decide.Send:
-		w.send(a)
+		sim.send(a)
 	case decide.Refuse, decide.Fail:
-		c := w.calls[a.Call]
-		if c.ended++; c.ended > 1 || c.answered {
-			w.t.Fatalf("call %d has a second final answer", a.Call)
+		c := sim.calls[a.Call]
+		if c.finalAnswers++; c.finalAnswers > 1 || c.answered {
+			sim.t.Fatalf("call %d has a second final answer", a.Call)
 		}
 		if c.answered = true; a.Kind == decide.Refuse {
 			if c.attempts > 0 {
-				w.t.Fatalf("call %d was sent on and is answered as refused", a.Call)
+				sim.t.Fatalf("call %d was attempted and is answered as refused", a.Call)
 			}
-			w.tally.refused++
-			w.tally.waits = append(w.tally.waits, a.Wait)
+			sim.results.refused++
+			sim.results.waits = append(sim.results.waits, a.Wait)
 		} else {
-			w.tally.failed++
+			sim.results.failed++
 		}
 	case decide.Cancel:
-		if c := w.calls[a.Call]; c.out != "" && c.attempts-1 == a.Attempt {
-			w.end(a.Call, c.out, c.attempts-1, decide.Cancelled, false)
-		} else if c.out != "" {
-			w.t.Fatalf("call %d: attempt %d is called off, and %d is out", a.Call, a.Attempt, c.attempts-1)
+		if c := sim.calls[a.Call]; c.outstandingAt != "" && c.attempts-1 == a.Attempt {
+			sim.endAttempt(a.Call, c.outstandingAt, c.attempts-1, decide.Cancelled, false)
+		} else if c.outstandingAt != "" {
+			sim.t.Fatalf("call %d: attempt %d is cancelled, but %d is outstanding", a.Call, a.Attempt, c.attempts-1)
 		}
 	case decide.Timer:
 		token := a.Token
-		w.after(a.Wait, func() { w.step(decide.Event{Kind: decide.Fired, Token: token}) })
+		sim.after(a.Wait, func() { sim.step(decide.Event{Kind: decide.Fired, Token: token}) })
 	}
 }
 
-func (w *world) send(a decide.Action) {
-	c, h := w.calls[a.Call], w.hosts[a.Server]
+func (sim *simulation) send(a decide.Action) {
+	c, h := sim.calls[a.Call], sim.hosts[a.Server]
 	switch {
-	case c.out != "":
-		w.t.Fatalf("call %d has two attempts out, at %s and %s", a.Call, c.out, a.Server)
+	case c.outstandingAt != "":
+		sim.t.Fatalf("call %d has two outstanding attempts, at %s and %s", a.Call, c.outstandingAt, a.Server)
 	case c.answered:
-		w.t.Fatalf("call %d is sent after its final answer", a.Call)
-	case w.now < c.guard:
-		w.t.Fatalf("call %d is sent %d us before its guard is over", a.Call, c.guard-w.now)
-	case c.ran && w.set.Classes[c.class].Effect == decide.SingleShot:
-		w.t.Fatalf("call %d may have run, and is sent again", a.Call)
-	case c.ran && w.set.Classes[c.class].Scope == decide.ScopeCell && h.Place != c.ranAt:
-		w.t.Fatalf("call %d may have run at pool %d, which alone drops repeats, and is sent to %d", a.Call, c.ranAt, h.Place)
+		sim.t.Fatalf("call %d is sent after its final answer", a.Call)
+	case sim.now < c.guardUntil:
+		sim.t.Fatalf("call %d is sent %d us before its guard time is over", a.Call, c.guardUntil-sim.now)
+	case c.mayHaveRun && sim.set.Classes[c.class].Effect == decide.SingleShot:
+		sim.t.Fatalf("call %d may have run, and is sent again", a.Call)
+	case c.mayHaveRun && sim.set.Classes[c.class].Scope == decide.ScopeCell && h.Place != c.ranAtPool:
+		sim.t.Fatalf("call %d may have run at pool %d, which alone detects repeats, and is sent to %d",
+			a.Call, c.ranAtPool, h.Place)
 	case h.State != decide.Up:
-		w.t.Fatalf("call %d is sent to %s, which is not up", a.Call, a.Server)
-	case w.set.MaxTries > 0 && c.attempts >= w.set.MaxTries:
-		w.t.Fatalf("call %d is sent for the %dth time", a.Call, c.attempts+1)
+		sim.t.Fatalf("call %d is sent to %s, which is not up", a.Call, a.Server)
+	case sim.set.MaxTries > 0 && c.attempts >= sim.set.MaxTries:
+		sim.t.Fatalf("call %d is sent for the %dth time", a.Call, c.attempts+1)
 	}
 	n := c.attempts
-	c.out, c.attempts = a.Server, n+1
-	w.tally.attempts++
+	c.outstandingAt, c.attempts = a.Server, n+1
+	sim.results.attempts++
 	if n > 0 {
-		w.tally.repeats++
+		sim.results.repeats++
 	}
 	if h.Place == 0 {
-		w.tally.first++
+		sim.results.firstPool++
 	}
-	h.sends = append(h.sends, w.now)
-	const way = 500
-	over := func(wait int64, o decide.Outcome, full bool) {
-		w.after(wait, func() {
-			if c.out == a.Server && c.attempts-1 == n {
-				w.end(a.Call, a.Server, n, o, full)
+	h.sends = append(h.sends, sim.now)
+	const networkDelay = 500
+	endAfter := func(wait int64, o decide.Outcome, full bool) {
+		sim.after(wait, func() {
+			if c.outstandingAt == a.Server && c.attempts-1 == n {
+				sim.endAttempt(a.Call, a.Server, n, o, full)
 			}
 		})
 	}
-	w.after(c.deadline-w.now, func() {
-		if c.out == a.Server && c.attempts-1 == n {
-			w.end(a.Call, a.Server, n, decide.TimedOut, false)
+	sim.after(c.deadline-sim.now, func() {
+		if c.outstandingAt == a.Server && c.attempts-1 == n {
+			sim.endAttempt(a.Call, a.Server, n, decide.TimedOut, false)
 		}
 	})
 	switch {
-	case h.mute:
-	case h.broken:
-		over(way, decide.Unreached, false)
-	case max(0, h.free-w.now) > h.most:
-		h.free += h.service / 10
-		over(2*way, decide.Rejected, true)
+	case h.unresponsive:
+	case h.unreachable:
+		endAfter(networkDelay, decide.Unreached, false)
+	case max(0, h.idleFrom-sim.now) > h.maxQueue:
+		h.idleFrom += h.serviceTime / 10
+		endAfter(2*networkDelay, decide.Rejected, true)
 	default:
-		h.free = max(h.free, w.now+way) + h.service
-		sent := w.now
-		w.after(h.free-w.now+way, func() {
-			if c.out != a.Server || c.attempts-1 != n {
+		h.idleFrom = max(h.idleFrom, sim.now+networkDelay) + h.serviceTime
+		sent := sim.now
+		sim.after(h.idleFrom-sim.now+networkDelay, func() {
+			if c.outstandingAt != a.Server || c.attempts-1 != n {
 				return // given up
 			}
-			c.out = ""
+			c.outstandingAt = ""
 			if !c.answered {
 				c.answered = true
-				if c.ended++; c.ended > 1 {
-					w.t.Fatalf("call %d has a second final answer", a.Call)
+				if c.finalAnswers++; c.finalAnswers > 1 {
+					sim.t.Fatalf("call %d has a second final answer", a.Call)
 				}
-				if w.now-c.begun <= w.set.Classes[c.class].Aim {
-					w.tally.onTime++
+				if sim.now-c.begun <= sim.set.Classes[c.class].Aim {
+					sim.results.onTime++
 				} else {
-					w.tally.late++
+					sim.results.late++
 				}
 			}
-			w.step(decide.Event{Kind: decide.Begun, Call: a.Call, Server: a.Server, Attempt: n, Took: w.now - sent})
+			sim.step(decide.Event{Kind: decide.Begun, Call: a.Call, Server: a.Server, Attempt: n, Took: sim.now - sent})
 		})
 	}
 }
 
-func (w *world) end(id decide.CallID, s decide.ServerID, n int, o decide.Outcome, full bool) {
-	c := w.calls[id]
-	c.out = ""
-	if !c.ran && o != decide.Rejected && o != decide.Unreached && o != decide.Unsent {
-		c.ran, c.ranAt = true, w.hosts[s].Place
+func (sim *simulation) endAttempt(id decide.CallID, s decide.ServerID, n int, o decide.Outcome, full bool) {
+	c := sim.calls[id]
+	c.outstandingAt = ""
+	if !c.mayHaveRun && o != decide.Rejected && o != decide.Unreached && o != decide.Unsent {
+		c.mayHaveRun, c.ranAtPool = true, sim.hosts[s].Place
 	}
 	if o == decide.TimedOut || o == decide.Cancelled || o == decide.Cut {
-		c.guard = w.now + w.set.Rules.Guard
+		c.guardUntil = sim.now + sim.set.Rules.Guard
 	}
-	w.step(decide.Event{Kind: decide.Ended, Call: id, Server: s, Attempt: n, Outcome: o, Full: full, Final: c.answered,
-		Load: decide.NoLoad()})
+	sim.step(decide.Event{Kind: decide.Ended, Call: id, Server: s, Attempt: n, Outcome: o, Full: full,
+		Final: c.answered, Load: decide.NoLoad()})
 }
 
-// call brings a call of a class.
-func (w *world) call(class int) decide.CallID {
-	w.n++
-	id := decide.CallID(w.n)
-	cl := w.set.Classes[class]
-	w.calls[id] = &worldCall{class: class, begun: w.now, deadline: w.now + cl.Deadline}
-	w.tally.offered++
-	w.step(decide.Event{Kind: decide.Order, Call: id, Class: class, Key: fmt.Sprint("k", id), Deadline: w.now + cl.Deadline, Dest: -1})
+// call adds a call of a class.
+func (sim *simulation) call(class int) decide.CallID {
+	sim.sequence++
+	id := decide.CallID(sim.sequence)
+	cl := sim.set.Classes[class]
+	sim.calls[id] = &simulatedCall{class: class, begun: sim.now, deadline: sim.now + cl.Deadline}
+	sim.results.offered++
+	sim.step(decide.Event{Kind: decide.Order, Call: id, Class: class,
+		Key: fmt.Sprint("k", id), Deadline: sim.now + cl.Deadline, Dest: -1})
 	return id
 }
 
-// offer brings calls of a class at a rate a second, for so long, at random.
-func (w *world) offer(class int, rate float64, long int64) {
-	for at := int64(w.rng.ExpFloat64() / rate * 1e6); at < long; at += int64(w.rng.ExpFloat64() / rate * 1e6) {
-		w.after(at, func() { w.call(class) })
+// offer adds calls of a class at random, at a rate per second, for the given duration.
+func (sim *simulation) offer(class int, rate float64, duration int64) {
+	for at := int64(sim.rng.ExpFloat64() / rate * 1e6); at < duration; at += int64(sim.rng.ExpFloat64() / rate * 1e6) {
+		sim.after(at, func() { sim.call(class) })
 	}
 }
 
-// settled checks that every call that came has its one final answer.
-func (w *world) settled() {
-	w.t.Helper()
-	for id, c := range w.calls {
-		if !c.answered || c.out != "" {
-			w.t.Fatalf("call %d: answered %v, out at %q", id, c.answered, c.out)
+// checkSettled checks that every call has exactly one final answer.
+func (sim *simulation) checkSettled() {
+	sim.t.Helper()
+	for id, c := range sim.calls {
+		if !c.answered || c.outstandingAt != "" {
+			sim.t.Fatalf("call %d: answered %v, outstanding at %q", id, c.answered, c.outstandingAt)
 		}
 	}
 }
 
-func hostAt(id string, place int, service int64) *worldHost {
-	return &worldHost{Listed: decide.Listed{ID: decide.ServerID(id), Place: place, Share: 1}, service: service, most: 1_000_000}
+func hostAt(id string, place int, serviceTime int64) *simulatedHost {
+	return &simulatedHost{Listed: decide.Listed{ID: decide.ServerID(id), Place: place, Share: 1},
+		serviceTime: serviceTime, maxQueue: 1_000_000}
 }
 
-// settings are those of the platform, with classes that may use two pools.
+// settings returns the settings of the platform, with classes that may use two pools.
 func settings(effects ...decide.Effect) decide.Settings {
-	set := decide.Settings{Instances: 1, Resend: 500_000, Quantum: 5_000, MaxTries: 4, MayCancel: true, RetryAdvice: true,
-		MaxRetryAfter: 2_000_000, Home: -1, Rules: decide.Rules{DrainGrace: 1_000_000, StartCapacity: 0.28, Cold: 13_000_000,
-			FallMultiple: 3, Fall: 1_500_000, Guard: 200_000}}
+	set := decide.Settings{Instances: 1, Resend: 500_000, Quantum: 5_000, MaxTries: 4, MayCancel: true,
+		RetryAdvice: true, MaxRetryAfter: 2_000_000, Home: -1, Rules: decide.Rules{DrainGrace: 1_000_000,
+			StartCapacity: 0.28, Cold: 13_000_000, FallMultiple: 3, Fall: 1_500_000, Guard: 200_000}}
 	for _, e := range effects {
-		set.Classes = append(set.Classes, decide.Class{Aim: 800_000, Deadline: 6_000_000, Worth: 1, LateWorth: 0.1, Effect: e,
-			Window: 30_000_000, Pools: []int{0, 1}})
+		set.Classes = append(set.Classes, decide.Class{Aim: 800_000, Deadline: 6_000_000, Worth: 1, LateWorth: 0.1,
+			Effect: e, Window: 30_000_000, Pools: []int{0, 1}})
 	}
 	return set
 }
@@ -283,14 +286,14 @@
 	return cfg
 }
 
-// routed makes a router before the real module.
+// routed returns a router in front of the real module.
 func routed(t testing.TB, cfg Config, set decide.Settings, seed uint64) *Router {
 	t.Helper()
-	inner, err := decide.New(cfg.Settings(set), seed)
+	module, err := decide.New(cfg.Settings(set), seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := New(cfg, set, inner, seed)
+	r, err := New(cfg, set, module, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
