--- a/internal/membership/file.go
+++ b/internal/membership/file.go
@@ -8,7 +8,7 @@
 	"pewterwheel/internal/wire"
 )
 
-// Member is an office as a file names it.
+// Member is an office as listed in a file.
 type Member struct {
 	Name     string
 	Address  netip.AddrPort
@@ -18,138 +18,139 @@
 	Draining bool
 }
 
-// ID names an office of a file: by its name and address together, for a known name at a new address is another
-// process, of which nothing is known.
+// ID returns the server ID of an office in a file: its name and address together, because a known name at a new
+// address is another process, of which nothing is known.
 func (m Member) ID() decide.ServerID { return decide.ServerID(m.Name + "/" + m.Address.String()) }
 
-// entry is what a File keeps of an office.
+// entry is the state that a File keeps of an office.
 type entry struct {
 	Member
-	started int64 // 0: it was there when this sidecar started
-	left    int64 // since when it is off the file; 0: it is on it
-	told    wire.Office
+	started   int64 // 0: it was listed when this sidecar started
+	removedAt int64 // when it was removed from the file; 0: it is listed
+	announced wire.Office
 }
 
-// File is a list that a configuration file gives, and gives anew on each reload. An office that has left the file is
-// drained, and removed once nothing stands there or its linger time is over.
+// File is a list read from a configuration file, and read again on each reload. An office that was removed from the
+// file is drained; it is removed from the list when no calls are left there or its linger time is over.
 type File struct {
-	entries map[decide.ServerID]*entry
-	order   []decide.ServerID // as first named
-	linger  int64
-	number  uint64
-	first   []Member
-	rest    []Member // new offices that are still to be told
-	since   int64    // when they were read
+	entries      map[decide.ServerID]*entry
+	inOrder      []decide.ServerID // in the order of first listing
+	linger       int64
+	lastNumber   uint64
+	initial      []Member
+	pending      []Member // new offices that are not announced yet
+	pendingSince int64    // when they were read
 }
 
-// batch is how many offices are added or removed at a time. Guards against a reload of a long list holding up the calls
-// that pass: what must not wait, that an office is drained, is told at once, and the rest by and by.
+// batch is the maximum number of offices added or removed at a time. Guards against delaying calls while a long list
+// is reloaded: only draining is urgent and announced at once, the rest in batches.
 const batch = 500
 
-// NewFile returns a list of the members that a file names. Microseconds of linger are how long calls may go on standing
-// at an office that has left the file.
+// NewFile returns a list of the members in a file. linger is how long, in microseconds, calls may continue at an
+// office that was removed from the file.
 func NewFile(members []Member, linger int64) *File {
-	return &File{entries: map[decide.ServerID]*entry{}, linger: linger, first: members}
+	return &File{entries: map[decide.ServerID]*entry{}, linger: linger, initial: members}
 }
 
-// Start gives the whole list. Nothing is known of the offices' age: they are taken to have been there for long, as
-// most have, and the module starts each of them under control.
-func (f *File) Start(_ int64, take func(wire.Change)) error {
-	f.change(0, f.first, len(f.first), take)
-	f.first = nil
+// Start announces the whole list. The age of the offices is unknown: they are assumed to be long-running, as most
+// are, and the module starts controlling each of them at once.
+func (f *File) Start(_ int64, emit func(wire.Change)) error {
+	f.change(0, f.initial, len(f.initial), emit)
+	f.initial = nil
 	return nil
 }
 
-// Address is empty: a file has to be read, not connected to.
+// Address is empty: a file is read, not connected to.
 func (f *File) Address() string { return "" }
 
-// Ask is never called, for there is no address.
+// Ask is never called, because there is no address.
 func (f *File) Ask(int64) []byte { return nil }
 
-// Feed is never called, for there is no address.
+// Feed is never called, because there is no address.
 func (f *File) Feed(int64, []byte, func(wire.Change)) error { return nil }
 
-// Heard is never asked, for there is no address.
+// Heard is never called, because there is no address.
 func (f *File) Heard() int64 { return 0 }
 
-// Last is the number of the last change: how often the list has changed.
-func (f *File) Last() uint64 { return f.number }
+// Last returns the number of the last change, which counts the changes of the list.
+func (f *File) Last() uint64 { return f.lastNumber }
 
-// Reload turns a file read anew into the smallest change: nothing is said of what stays as it is.
-func (f *File) Reload(now int64, u Update, take func(wire.Change)) error {
+// Reload announces the smallest change that makes the list match a new version of the file; unchanged offices are not
+// mentioned.
+func (f *File) Reload(now int64, u Update, emit func(wire.Change)) error {
 	f.linger = u.Linger
-	f.change(now, u.Members, batch, take)
+	f.change(now, u.Members, batch, emit)
 	return nil
 }
 
-// change tells what a list of members changes; those that are new started at the given time, and so many of them are
-// told now.
-func (f *File) change(started int64, members []Member, now int, take func(wire.Change)) {
+// change announces the changes from the list to the given members. New members get the given start time, and at most
+// limit of them are announced now.
+func (f *File) change(started int64, members []Member, limit int, emit func(wire.Change)) {
 	var c wire.Change
-	f.rest, f.since = nil, started
+	f.pending, f.pendingSince = nil, started
 	named := make(map[decide.ServerID]bool, len(members))
 	for _, m := range members {
 		id := m.ID()
 		named[id] = true
 		e := f.entries[id]
-		if e == nil && now == 0 {
-			f.rest = append(f.rest, m)
+		if e == nil && limit == 0 {
+			f.pending = append(f.pending, m)
 			continue
 		}
 		if e == nil {
 			e = f.add(id)
-			now--
+			limit--
 		}
-		// One that comes back while calls still stand there is the same process, as warm as before.
-		e.Member, e.left = m, 0
-		e.tell(&c, stateOf(m))
+		// An office that returns while calls are left there is the same process, as warm as before.
+		e.Member, e.removedAt = m, 0
+		e.announce(&c, stateOf(m))
 	}
-	for _, id := range f.order {
-		if e := f.entries[id]; !named[id] && e.left == 0 {
-			e.left = max(1, started)
-			e.tell(&c, decide.Draining)
+	for _, id := range f.inOrder {
+		if e := f.entries[id]; !named[id] && e.removedAt == 0 {
+			e.removedAt = max(1, started)
+			e.announce(&c, decide.Draining)
 		}
 	}
-	f.tell(c, take)
+	f.emitChange(c, emit)
 }
 
 func (f *File) add(id decide.ServerID) *entry {
-	e := &entry{started: f.since}
+	e := &entry{started: f.pendingSince}
 	f.entries[id] = e
-	f.order = append(f.order, id)
+	f.inOrder = append(f.inOrder, id)
 	return e
 }
 
-// Tick adds new offices that are still to be told, and removes those that have left the file and at which nothing stands
-// any more, or has for too long.
-func (f *File) Tick(now int64, stands func(decide.ServerID) int, take func(wire.Change)) {
+// Tick announces new offices that are pending, and removes offices that were removed from the file when no calls are
+// left there or their linger time is over.
+func (f *File) Tick(now int64, countCalls func(decide.ServerID) int, emit func(wire.Change)) {
 	var c wire.Change
-	n := min(batch, len(f.rest))
-	for _, m := range f.rest[:n] {
+	n := min(batch, len(f.pending))
+	for _, m := range f.pending[:n] {
 		e := f.add(m.ID())
 		e.Member = m
-		e.tell(&c, stateOf(m))
+		e.announce(&c, stateOf(m))
 	}
-	f.rest = f.rest[n:]
+	f.pending = f.pending[n:]
 	removed := 0
-	f.order = slices.DeleteFunc(f.order, func(id decide.ServerID) bool {
+	f.inOrder = slices.DeleteFunc(f.inOrder, func(id decide.ServerID) bool {
 		e := f.entries[id]
-		if e.left == 0 || removed == batch || now-e.left < f.linger && stands(id) > 0 {
+		if e.removedAt == 0 || removed == batch || now-e.removedAt < f.linger && countCalls(id) > 0 {
 			return false
 		}
 		delete(f.entries, id)
-		e.tell(&c, decide.Removed)
+		e.announce(&c, decide.Removed)
 		removed++
 		return true
 	})
-	f.tell(c, take)
+	f.emitChange(c, emit)
 }
 
-func (f *File) tell(c wire.Change, take func(wire.Change)) {
+func (f *File) emitChange(c wire.Change, emit func(wire.Change)) {
 	if len(c.Offices) > 0 {
-		f.number++
-		c.Number = f.number
-		take(c)
+		f.lastNumber++
+		c.Number = f.lastNumber
+		emit(c)
 	}
 }
 
@@ -160,12 +161,12 @@
 	return decide.Up
 }
 
-// tell adds an office to a change, unless it would say what was said last.
-func (e *entry) tell(c *wire.Change, s decide.State) {
+// announce adds an office to a change, unless it equals what was announced last.
+func (e *entry) announce(c *wire.Change, s decide.State) {
 	o := wire.Office{Address: e.Address, Listed: decide.Listed{ID: e.ID(), Place: e.Place, Zone: e.Zone, State: s,
 		Share: e.Weight, Started: e.started}}
-	if o != e.told {
-		e.told = o
+	if o != e.announced {
+		e.announced = o
 		c.Offices = append(c.Offices, o)
 	}
 }
--- a/internal/membership/frames_test.go
+++ b/internal/membership/frames_test.go
@@ -9,26 +9,26 @@
 	"pewterwheel/internal/wire"
 )
 
-// whole is a frame of the journal; records of one office each, by id and state.
-func whole(number uint64, kind byte, states ...byte) []byte {
+// frameOf returns a frame of the journal with one record for each state; the records have the IDs 1, 2 and so on.
+func frameOf(number uint64, kind byte, states ...byte) []byte {
 	var records []byte
 	for i, state := range states {
 		r := make([]byte, 27)
 		r[3], r[10] = byte(i+1), state
 		records = append(records, r...)
 	}
-	return sized(9+len(records), number, kind, records)
+	return frameWithLength(9+len(records), number, kind, records)
 }
 
-// sized is a frame that claims a length.
-func sized(length int, number uint64, kind byte, records []byte) []byte {
+// frameWithLength returns a frame with the given length field.
+func frameWithLength(length int, number uint64, kind byte, records []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(length))
 	return append(append(binary.BigEndian.AppendUint64(b, number), kind), records...)
 }
 
-// The end of each frame that is not as it should be: what is taken, in order, and whether the connection is of no more use.
-// Each is fed in one piece, and split at every byte; the end is the same.
-func TestEndsOfFrames(t *testing.T) {
+// For each invalid or unusual sequence of frames: the changes reported, in order, and whether the connection must be
+// closed. Each sequence is fed in one piece and in pieces of every size, with the same result.
+func TestInvalidFrames(t *testing.T) {
 	join := func(frames ...[]byte) (all []byte) {
 		for _, f := range frames {
 			all = append(all, f...)
@@ -37,68 +37,75 @@
 	}
 	const far = uint64(1) << 62
 	for _, c := range []struct {
-		name    string
-		in      []byte
-		taken   []uint64
-		skipped bool // asked again for what is missing
-		broken  bool // not the journal's
+		name     string
+		in       []byte
+		reported []uint64
+		skipped  bool // the missing events are requested again
+		broken   bool // the data is not from the journal
 	}{
-		{"told twice", join(whole(4, 2, 0), whole(4, 2, 0), whole(5, 2, 0), whole(4, 2, 1), whole(5, 2, 0)), []uint64{4, 5}, false, false},
-		{"out of order", join(whole(4, 2, 0), whole(6, 2, 0), whole(5, 2, 0)), []uint64{4}, true, false},
-		{"a gap", whole(5, 2, 0), nil, true, false},
-		{"a gap before a whole list", join(whole(9, 1, 0), whole(10, 2, 0)), []uint64{9, 10}, false, false},
-		{"a whole list from before", whole(3, 1, 0), nil, false, false},
-		{"a whole list of nothing", join(whole(4, 1), whole(5, 2, 0)), []uint64{4, 5}, false, false},
-		{"a change of nothing", join(whole(4, 2), whole(5, 2, 0)), []uint64{4, 5}, false, false},
-		{"a whole list far ahead", join(whole(far, 1, 0), whole(4, 2, 0), whole(far+1, 2, 0)), []uint64{far, far + 1}, false, false},
-		{"the last number there is", join(whole(1<<64-1, 1, 0), whole(0, 2, 0), whole(1, 2, 0)), []uint64{1<<64 - 1}, false, false},
-		{"empty frames of any number", join(whole(0, 0), whole(far, 0), whole(4, 0), whole(4, 2, 0)), []uint64{4}, false, false},
-		{"an empty frame with records", join(whole(4, 0, 0), whole(4, 2, 0)), []uint64{4}, false, false},
-		{"a record cut off", join(whole(4, 2, 0), sized(9+26, 5, 2, make([]byte, 26))), []uint64{4}, false, true},
-		{"a byte too many", sized(9+28, 4, 2, make([]byte, 28)), nil, false, true},
-		{"unknown kind", join(whole(4, 2, 0), whole(5, 3, 0)), []uint64{4}, false, true},
-		{"unknown state", join(whole(4, 2, 0), whole(5, 2, 0, 3)), []uint64{4}, false, true},
-		{"too short to be one", sized(8, 4, 2, nil), nil, false, true},
-		{"length of nothing", sized(0, 4, 2, nil), nil, false, true},
-		{"longer than any list", sized(1<<20+1, 4, 2, nil), nil, false, true},
-		{"negative length", sized(-1, 4, 2, nil), nil, false, true},
-		{"longer than what comes", join(whole(4, 2, 0), sized(9+270, 5, 2, make([]byte, 27))), []uint64{4}, false, false},
+		{"repeated", join(frameOf(4, 2, 0), frameOf(4, 2, 0), frameOf(5, 2, 0), frameOf(4, 2, 1), frameOf(5, 2, 0)),
+			[]uint64{4, 5}, false, false},
+		{"out of order", join(frameOf(4, 2, 0), frameOf(6, 2, 0), frameOf(5, 2, 0)), []uint64{4}, true, false},
+		{"a gap", frameOf(5, 2, 0), nil, true, false},
+		{"a gap before a whole list", join(frameOf(9, 1, 0), frameOf(10, 2, 0)), []uint64{9, 10}, false, false},
+		{"an old whole list", frameOf(3, 1, 0), nil, false, false},
+		{"an empty whole list", join(frameOf(4, 1), frameOf(5, 2, 0)), []uint64{4, 5}, false, false},
+		{"an empty change", join(frameOf(4, 2), frameOf(5, 2, 0)), []uint64{4, 5}, false, false},
+		{"a whole list far ahead", join(frameOf(far, 1, 0), frameOf(4, 2, 0), frameOf(far+1, 2, 0)),
+			[]uint64{far, far + 1}, false, false},
+		{"the largest number", join(frameOf(1<<64-1, 1, 0), frameOf(0, 2, 0), frameOf(1, 2, 0)),
+			[]uint64{1<<64 - 1}, false, false},
+		{"empty frames with any number", join(frameOf(0, 0), frameOf(far, 0), frameOf(4, 0), frameOf(4, 2, 0)),
+			[]uint64{4}, false, false},
+		{"an empty frame with records", join(frameOf(4, 0, 0), frameOf(4, 2, 0)), []uint64{4}, false, false},
+		{"truncated record", join(frameOf(4, 2, 0), frameWithLength(9+26, 5, 2, make([]byte, 26))),
+			[]uint64{4}, false, true},
+		{"one extra byte", frameWithLength(9+28, 4, 2, make([]byte, 28)), nil, false, true},
+		{"unknown kind", join(frameOf(4, 2, 0), frameOf(5, 3, 0)), []uint64{4}, false, true},
+		{"unknown state", join(frameOf(4, 2, 0), frameOf(5, 2, 0, 3)), []uint64{4}, false, true},
+		{"length below the minimum", frameWithLength(8, 4, 2, nil), nil, false, true},
+		{"length zero", frameWithLength(0, 4, 2, nil), nil, false, true},
+		{"length above the maximum", frameWithLength(1<<20+1, 4, 2, nil), nil, false, true},
+		{"negative length", frameWithLength(-1, 4, 2, nil), nil, false, true},
+		{"incomplete frame", join(frameOf(4, 2, 0), frameWithLength(9+270, 5, 2, make([]byte, 27))),
+			[]uint64{4}, false, false},
 		{"text", []byte("HTTP/1.1 200 OK\r\n\r\n"), nil, false, true},
 	} {
 		for step := 1; step <= len(c.in); step++ {
 			j := NewJournal("x:1", wire.Known{Last: 3}, nil)
-			var taken []uint64
-			take := func(c wire.Change) { taken = append(taken, c.Number) }
-			_ = j.Start(0, take)
+			var reported []uint64
+			emit := func(c wire.Change) { reported = append(reported, c.Number) }
+			_ = j.Start(0, emit)
 			j.Ask(0)
 			var err error
 			for at := 0; at < len(c.in) && err == nil; at += step {
-				err = j.Feed(1, c.in[at:min(at+step, len(c.in))], take)
+				err = j.Feed(1, c.in[at:min(at+step, len(c.in))], emit)
 			}
 			var skipped *SkippedError
 			isSkip := errors.As(err, &skipped)
-			if len(taken) != len(c.taken) || isSkip != c.skipped || (err != nil && !isSkip) != c.broken {
-				t.Fatalf("%s, %d bytes at a time: took %v, %v", c.name, step, taken, err)
+			if len(reported) != len(c.reported) || isSkip != c.skipped || (err != nil && !isSkip) != c.broken {
+				t.Fatalf("%s, %d bytes at a time: reported %v, %v", c.name, step, reported, err)
 			}
 			last := uint64(3)
-			for i := range taken {
-				if last = taken[i]; last != c.taken[i] {
-					t.Fatalf("%s, %d bytes at a time: took %v", c.name, step, taken)
+			for i := range reported {
+				if last = reported[i]; last != c.reported[i] {
+					t.Fatalf("%s, %d bytes at a time: reported %v", c.name, step, reported)
 				}
 			}
 			if ask := j.Ask(2); binary.BigEndian.Uint64(ask) != last {
-				t.Errorf("%s: asks again from % x, not %d", c.name, ask, last)
+				t.Errorf("%s: requests events after % x, not %d", c.name, ask, last)
 			}
 		}
 	}
 }
 
-// Bytes that make no whole frame are no sign of life, however long they go on coming; a whole frame is.
-func TestTrickleIsSilence(t *testing.T) {
+// Bytes that do not complete a frame do not count as a sign of life, however long they keep coming; a complete frame
+// does.
+func TestIncompleteFrameIsSilence(t *testing.T) {
 	j := NewJournal("x:1", wire.Known{Last: 3}, nil)
 	_ = j.Start(0, func(wire.Change) {})
 	j.Ask(7)
-	for i, b := range sized(9+2700, 4, 2, make([]byte, 2699)) {
+	for i, b := range frameWithLength(9+2700, 4, 2, make([]byte, 2699)) {
 		if err := j.Feed(int64(100+i), []byte{b}, func(wire.Change) {}); err != nil || j.Heard() != 7 {
 			t.Fatalf("byte %d: heard at %d, %v", i, j.Heard(), err)
 		}
@@ -108,11 +115,12 @@
 	}
 }
 
-// FuzzFeed: whatever comes, in whatever pieces, numbers only grow, an unlisted gap is told, and nothing crashes.
+// FuzzFeed checks that, whatever data is fed in whatever pieces, numbers only grow, a gap outside a whole list is an
+// error, and nothing crashes.
 func FuzzFeed(f *testing.F) {
-	f.Add(whole(4, 2, 0, 1, 2), 3)
-	f.Add(whole(9, 1, 0), 1)
-	f.Add(append(whole(4, 2, 0), whole(6, 2, 0)...), 40)
+	f.Add(frameOf(4, 2, 0, 1, 2), 3)
+	f.Add(frameOf(9, 1, 0), 1)
+	f.Add(append(frameOf(4, 2, 0), frameOf(6, 2, 0)...), 40)
 	f.Fuzz(func(t *testing.T, in []byte, step int) {
 		step = max(1, step%64)
 		j := NewJournal("x:1", wire.Known{Last: 3}, nil)
@@ -121,17 +129,17 @@
 		for at := 0; at < len(in); at += step {
 			err := j.Feed(1, in[at:min(at+step, len(in))], func(c wire.Change) {
 				if c.Number <= last || c.Number > last+1 && !c.Whole {
-					t.Fatalf("%d was taken after %d", c.Number, last)
+					t.Fatalf("event %d was reported after event %d", c.Number, last)
 				}
 				last = c.Number
 				for _, o := range c.Offices {
 					if o.State > decide.Removed {
-						t.Fatalf("state %d", o.State)
+						t.Fatalf("invalid state %d", o.State)
 					}
 				}
 			})
 			if j.Last() != last {
-				t.Fatalf("last is %d, taken was %d", j.Last(), last)
+				t.Fatalf("Last returns %d, but event %d was reported last", j.Last(), last)
 			}
 			if err != nil {
 				return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership holds what tells which offices there are: the platform's journal service, or a checked file.
-// It turns what they tell into changes of the list, and decides how little a new file has to change. It owns no
-// socket, no file and no clock; times are microseconds on its caller's clock.
+// Package membership provides the sources of the list of offices: the platform's journal service, or a checked file.
+// It turns their data into changes of the list, and determines the smallest change for a new version of a file. It
+// owns no socket, file or clock; times are microseconds of its caller's clock.
 package membership
 
 import (
@@ -11,134 +11,135 @@
 	"pewterwheel/internal/wire"
 )
 
-// Update is a configuration that was read anew, as far as it tells of offices.
+// Update is the part of a reloaded configuration that describes the offices.
 type Update struct {
-	Address string     // the journal service from now on; for a Journal
-	Known   wire.Known // the journal's events up to now; for a Journal
-	Zones   []string   // names of the zones, in order; for a Journal
-	Members []Member   // all offices of the file; for a File
-	Linger  int64      // how long calls may stand at an office that left the file; for a File
-	Part    any        // what the file says for others than the list; passed on as it came
+	Address string     // for a Journal: the new address of the journal service
+	Known   wire.Known // for a Journal: the journal's events up to now
+	Zones   []string   // for a Journal: names of the zones, in order
+	Members []Member   // for a File: all offices in the file
+	Linger  int64      // for a File: how long calls may continue at an office removed from the file
+	Part    any        // settings that do not concern the list; passed on unchanged
 }
 
-// Source is one place that tells which offices there are.
+// Source is a source of the list of offices.
 type Source interface {
-	// Start gives what is known before anything has been asked.
-	Start(now int64, take func(wire.Change)) error
-	// Address names the service that has to be connected to; empty: there is none, and nothing is ever fed.
+	// Start reports what is known before the first connection.
+	Start(now int64, emit func(wire.Change)) error
+	// Address returns the address of the service to connect to. If it is empty, there is none and Feed is never
+	// called.
 	Address() string
-	// Ask begins a new connection to it and returns what is written there first.
+	// Ask begins a new connection to the service and returns the data to write on it first.
 	Ask(now int64) []byte
-	// Feed takes what came on the connection and tells the changes in it, in order. After an error the connection
-	// is of no more use; a new one resumes.
-	Feed(now int64, data []byte, take func(wire.Change)) error
-	// Heard is when the last whole frame came on the connection.
+	// Feed parses data received on the connection and reports the changes in it, in order. After an error the
+	// connection must be closed; a new one resumes.
+	Feed(now int64, data []byte, emit func(wire.Change)) error
+	// Heard returns when the last complete frame was received on the connection.
 	Heard() int64
-	// Reload takes a configuration that was read anew, which has been checked.
-	Reload(now int64, u Update, take func(wire.Change)) error
-	// Tick tells what has come due by time alone; stands tells how many calls stand at an office, or are out there.
-	// It is called several times a second.
-	Tick(now int64, stands func(decide.ServerID) int, take func(wire.Change))
-	// Last is the number of the last change taken.
+	// Reload applies a reloaded configuration, which has already been checked.
+	Reload(now int64, u Update, emit func(wire.Change)) error
+	// Tick reports changes that are due to the passage of time. countCalls returns the number of calls established or
+	// outstanding at an office. Tick is called several times a second.
+	Tick(now int64, countCalls func(decide.ServerID) int, emit func(wire.Change))
+	// Last returns the number of the last change reported.
 	Last() uint64
 }
 
-// SkippedError tells that changes are missing before one that came.
+// SkippedError reports that changes are missing before a received one.
 type SkippedError struct{ Last, Number uint64 }
 
 func (e *SkippedError) Error() string {
-	return fmt.Sprintf("journal went from event %d to %d", e.Last, e.Number)
+	return fmt.Sprintf("journal skipped events: event %d was followed by event %d", e.Last, e.Number)
 }
 
 // Journal is the subscription to the platform's journal service.
 type Journal struct {
-	address string
-	known   wire.Known
-	zones   []string
-	in      []byte
-	last    uint64
-	heard   int64
+	address    string
+	known      wire.Known
+	zones      []string
+	buffer     []byte
+	lastNumber uint64
+	lastFrame  int64
 }
 
-// NewJournal returns a subscription that knows the events of a configuration.
+// NewJournal returns a subscription that already knows the events of a configuration.
 func NewJournal(address string, known wire.Known, zones []string) *Journal {
 	return &Journal{address: address, known: known, zones: zones}
 }
 
-// Start gives the events of the configuration.
-func (j *Journal) Start(_ int64, take func(wire.Change)) error {
+// Start reports the events of the configuration.
+func (j *Journal) Start(_ int64, emit func(wire.Change)) error {
 	for _, entry := range j.known.Entries {
 		c, err := entry.Change(j.zones)
 		if err != nil {
-			return fmt.Errorf("known: %w", err)
+			return fmt.Errorf("known journal events: %w", err)
 		}
-		take(c)
+		emit(c)
 	}
-	j.last, j.known = j.known.Last, wire.Known{}
+	j.lastNumber, j.known = j.known.Last, wire.Known{}
 	return nil
 }
 
-// Address is the journal service's.
+// Address returns the address of the journal service.
 func (j *Journal) Address() string { return j.address }
 
-// Ask asks for all that came after the last event taken.
+// Ask requests all events after the last one reported.
 func (j *Journal) Ask(now int64) []byte {
-	j.in, j.heard = nil, now
-	return binary.BigEndian.AppendUint64(nil, j.last)
+	j.buffer, j.lastFrame = nil, now
+	return binary.BigEndian.AppendUint64(nil, j.lastNumber)
 }
 
-// Heard is when the last whole frame came.
-func (j *Journal) Heard() int64 { return j.heard }
+// Heard returns when the last complete frame was received.
+func (j *Journal) Heard() int64 { return j.lastFrame }
 
-// Last is the number of the last event taken.
-func (j *Journal) Last() uint64 { return j.last }
+// Last returns the number of the last event reported.
+func (j *Journal) Last() uint64 { return j.lastNumber }
 
-// Tick tells nothing: the journal does.
+// Tick does nothing: changes come only from the journal.
 func (j *Journal) Tick(int64, func(decide.ServerID) int, func(wire.Change)) {}
 
-// Feed reads frames. Changes only hold on top of all earlier ones, so a gap is an error.
-func (j *Journal) Feed(now int64, data []byte, take func(wire.Change)) error {
-	buf := append(j.in, data...)
+// Feed parses frames. A change applies only on top of all earlier ones, so a gap is an error.
+func (j *Journal) Feed(now int64, data []byte, emit func(wire.Change)) error {
+	buf := append(j.buffer, data...)
 	for {
-		c, n, err := wire.NextFrame(buf)
+		change, n, err := wire.NextFrame(buf)
 		if err != nil {
 			return err
 		}
 		if n == 0 {
 			break
 		}
-		buf, j.heard = buf[n:], now // a frame that never ends is silence, too
-		if c.Empty || c.Number <= j.last {
+		buf, j.lastFrame = buf[n:], now // an incomplete frame counts as silence
+		if change.Empty || change.Number <= j.lastNumber {
 			continue
 		}
-		if c.Number > j.last+1 && !c.Whole {
-			return &SkippedError{j.last, c.Number}
+		if change.Number > j.lastNumber+1 && !change.Whole {
+			return &SkippedError{j.lastNumber, change.Number}
 		}
-		j.last = c.Number
-		take(c)
+		j.lastNumber = change.Number
+		emit(change)
 	}
-	j.in = append([]byte(nil), buf...)
+	j.buffer = append([]byte(nil), buf...)
 	return nil
 }
 
-// Reload takes events that the file already knows, so that they need not be waited for, and moves to the address
-// that it names. The numbers go on there. A file of which any event cannot be read changes nothing.
-func (j *Journal) Reload(_ int64, u Update, take func(wire.Change)) error {
+// Reload reports the events in the configuration, so that they need not be received, and switches to the address in
+// it. Event numbers continue there. A configuration with an event that cannot be read changes nothing.
+func (j *Journal) Reload(_ int64, u Update, emit func(wire.Change)) error {
 	var changes []wire.Change
 	for _, entry := range u.Known.Entries {
 		c, err := entry.Change(j.zones)
 		if err != nil {
-			return fmt.Errorf("known: %w", err)
+			return fmt.Errorf("known journal events: %w", err)
 		}
 		changes = append(changes, c)
 	}
 	j.address = u.Address
 	for _, c := range changes {
-		if c.Number <= j.last || c.Number > j.last+1 && !c.Whole {
+		if c.Number <= j.lastNumber || c.Number > j.lastNumber+1 && !c.Whole {
 			continue
 		}
-		j.last = c.Number
-		take(c)
+		j.lastNumber = c.Number
+		emit(c)
 	}
 	return nil
 }
