--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -28,11 +28,11 @@
 			hosts = append(hosts, hostAt(fmt.Sprint("h", i), i/3, 20_000)) // 50/s each, 3 in core, 2 in reserve
 		}
 		sim := newSimulation(t, make(set), set, 5, hosts...)
-		runPhase := func(name string, long int64) {
+		runPhase := func(name string, duration int64) {
 			sim.results = results{}
 			moved := r.Counts.Moved
-			sim.offer(0, 100, long)
-			sim.run(sim.now + long)
+			sim.offer(0, 100, duration)
+			sim.run(sim.now + duration)
 			ps = append(ps, phase{name, sim.results, float64(sim.results.firstPool) / float64(sim.results.attempts),
 				int(r.Counts.Moved - moved)})
 		}
