--- a/internal/pooling/corpus_test.go
+++ b/internal/pooling/corpus_test.go
@@ -19,21 +19,21 @@
 	for _, s := range Signs {
 		each[s.Sign] = 1000 + uint32(s.Sign)
 	}
-	denials := []saidDenial{{Key: 1 << 63, Epoch: 4, Modes: DenyCall, By: TokenBound}, {Key: 2, Epoch: 1, Modes: DenyMessage, By: IDClash}}
-	most := &speech{Signs: Known, Life: 1_700_000_000_000_001}
-	for i := range mostSaidDenials {
-		most.Denials = append(most.Denials, saidDenial{Key: uint64(i) << 55, Epoch: 1 << 30, Modes: DenyCall, By: Refuted})
+	denials := []denialRecord{{Key: 1 << 63, Epoch: 4, Modes: DenyCall, DeniedBy: TokenBound}, {Key: 2, Epoch: 1, Modes: DenyMessage, DeniedBy: IDClash}}
+	most := &payload{Signs: Known, Incarnation: 1_700_000_000_000_001}
+	for i := range maxPayloadDenials {
+		most.Denials = append(most.Denials, denialRecord{Key: uint64(i) << 55, Epoch: 1 << 30, Modes: DenyCall, DeniedBy: Refuted})
 	}
 	var cases []corpus.Case
-	for name, s := range map[string]*speech{
-		"own":      {Signs: Known, Life: 1_700_000_000_000_001, Digest: 0xfedcba9876543210},
-		"denials":  {Signs: Known, Life: 5, Denials: denials},
-		"acks":     {Signs: Known, Life: 5, Acks: denials[:1]},
-		"evidence": {Signs: Known, Life: 5, Evidence: []saidRecord{{Key: 7, Epoch: 2, Modes: DenyMessage, By: IDClash, Opinion: ByCall, Said: 900, Counts: each.said()}}},
+	for name, s := range map[string]*payload{
+		"own":      {Signs: Known, Incarnation: 1_700_000_000_000_001, Digest: 0xfedcba9876543210},
+		"denials":  {Signs: Known, Incarnation: 5, Denials: denials},
+		"acks":     {Signs: Known, Incarnation: 5, Acks: denials[:1]},
+		"evidence": {Signs: Known, Incarnation: 5, Evidence: []evidenceRecord{{Key: 7, Epoch: 2, Modes: DenyMessage, DeniedBy: IDClash, Opinion: ByCall, OpinionVersion: 900, Counts: each.toMap()}}},
 		"most":     most,
 	} {
-		cases = append(cases, corpus.Case{Name: "speech-" + name, Value: s, Bytes: s.bytes(), Max: fleet.MaxBody, Bounds: map[string]int{"Denials": mostSaidDenials, "Acks": mostSaidDenials, "Evidence": mostSaidRecords}, Read: func(b []byte) (any, error) {
-			return hear("sidecar-1", b)
+		cases = append(cases, corpus.Case{Name: "speech-" + name, Value: s, Bytes: s.bytes(), Max: fleet.MaxBody, Bounds: map[string]int{"Denials": maxPayloadDenials, "Acks": maxPayloadDenials, "Evidence": maxPayloadRecords}, Read: func(b []byte) (any, error) {
+			return decodePayload("sidecar-1", b)
 		}})
 	}
 	corpus.Check(t, cases, numbers)
--- a/internal/pooling/export_test.go
+++ b/internal/pooling/export_test.go
@@ -2,20 +2,22 @@
 
 // For tests of other packages' rigs: what a part and its loop are made worse by, and what is inside them.
 
-var doctors = map[string]doctor{
-	"witness does not win": {witnessLoses: true}, "no decay": {noDecay: true}, "cut-off process raises": {cutRaises: true},
-	"join adds": {adds: true}, "new process trusts fully": {trusts: true}, "calls under way move": {moves: true},
-	"any class is tried": {anyClass: true}, "lower verdict not taken": {alone: true},
+var defectSets = map[string]defectSet{
+	"witness does not win": {witnessAsFault: true}, "no decay": {noDecay: true}, "cut-off process raises": {raisesWhileIsolated: true},
+	"join adds": {joinAdds: true}, "new process trusts fully": {fullTrust: true}, "calls under way move": {callsMove: true},
+	"any class is tried": {anyClass: true}, "lower verdict not taken": {ignoresNewerVersions: true},
 }
 
-// Doctor makes a part and its loop worse; unknown names do nothing.
-func Doctor(p *Part, l *Loop, how string) { p.doctor, l.doctor = doctors[how], doctors[how] }
+// InjectDefect makes a part and its loop worse; unknown names do nothing.
+func InjectDefect(p *Part, l *Loop, how string) {
+	p.defects, l.defects = defectSets[how], defectSets[how]
+}
 
-// JoinDoctored joins as a doctored part does.
-func (e *Evidence) JoinDoctored(o *Evidence, how string) { e.join(o, doctors[how]) }
+// JoinWithDefect joins as a doctored part does.
+func (e *Evidence) JoinWithDefect(o *Evidence, how string) { e.join(o, defectSets[how]) }
 
 // SetTable puts a verdict for every client up.
-func (l *Loop) SetTable(until int64, v Verdict) { l.table.Store(&Table{Until: until, Unknown: v}) }
+func (l *Loop) SetTable(until int64, v Verdict) { l.table.Store(&Table{ValidUntil: until, Default: v}) }
 
 // Count counts a sign for a client, as the loop does.
 func (l *Loop) Count(c ClientID, s Sign, n uint32) {
@@ -23,8 +25,8 @@
 	l.clients[c].counts[s] += n - 1
 }
 
-// Drained empties the ring and sums it.
-func (l *Loop) Drained() (sum Counts) {
+// DrainRing empties the ring and sums it.
+func (l *Loop) DrainRing() (sum Counts) {
 	for b := (batch{}); l.ring.pop(&b); {
 		for s, n := range b.counts {
 			sum[s] += n
@@ -33,13 +35,13 @@
 	return sum
 }
 
-// Hear reads a body.
-var Hear = hear
+// DecodePayload reads a body.
+var DecodePayload = decodePayload
 
-// All is what the part goes by for a client.
-func (p *Part) All(key uint64, s Sign) float64 {
+// Weighted is what the part goes by for a client.
+func (p *Part) Weighted(key uint64, s Sign) float64 {
 	if c := p.clients[key]; c != nil {
-		return c.all[s]
+		return c.weighted[s]
 	}
 	return 0
 }
@@ -57,14 +59,14 @@
 
 // What tests go by.
 const (
-	HalfLife, TableFor, Settle, LeastHarm = halfLife, tableFor, settle, leastHarm
+	HalfLife, TableLifetime, StartDelay, MinHarm = halfLife, tableLifetime, startDelay, minHarm
 )
 
-// Bound and Likelihood are those of the test.
-var Bound, Likelihood = bound, likelihood
+// RequiredLogRatio and LogLikelihoodRatio are those of the test.
+var RequiredLogRatio, LogLikelihoodRatio = requiredLogRatio, logLikelihoodRatio
 
-// Body is a message with one record of the client of the given key.
-func Body(key, signs, life uint64, epoch, said uint32, opinion Mode, counts map[Sign]uint32) []byte {
-	s := speech{Signs: signs, Life: life, Evidence: []saidRecord{{Key: key, Epoch: epoch, Opinion: opinion, Said: said, Counts: counts}}}
+// EncodePayload is a message with one record of the client of the given key.
+func EncodePayload(key, signs, life uint64, epoch, said uint32, opinion Mode, counts map[Sign]uint32) []byte {
+	s := payload{Signs: signs, Incarnation: life, Evidence: []evidenceRecord{{Key: key, Epoch: epoch, Opinion: opinion, OpinionVersion: said, Counts: counts}}}
 	return s.bytes()
 }
--- a/internal/pooling/part.go
+++ b/internal/pooling/part.go
@@ -18,44 +18,44 @@
 	maxPeers   = 4096
 	maxPending = 512 // denials that some process has not acknowledged
 
-	tick       = 100_000
-	tableFor   = 3_000_000     // a table holds for so long after it was put up
-	retable    = 1_000_000     // it is put up again this soon, though nothing changed
-	settle     = 10_000_000    // after a start: nobody is raised or tried before denials had time to come
-	stood      = 2_000_000     // two ticks so far apart: the part stood still
-	stoodFor   = 2_000_000     // then nobody is raised or tried for so long
-	tellEvery  = 250_000       // between two of the process's part of its entry
-	again      = 250_000       // between two repeats of a denial that was not acknowledged
-	fastTries  = 40            // so often; then slowly
-	againSlow  = 5_000_000     // between two later repeats
-	sayEvery   = 200_000       // between two rounds of evidence
-	fan        = 3             // processes that a round goes to
-	bursts     = 3             // messages to each
-	wholeEvery = 60_000_000    // after this a process is told everything anew: some of it may have been lost
-	healAfter  = 500_000       // a digest that differs for so long is healed
-	weighEvery = 500_000       // a client is weighed no oftener, unless it is denied
-	halfLife   = 1_800_000_000 // after which clean outcomes count half
-	undecided  = 4 * halfLife  // a test that has come to nothing begins anew
-	rest       = 600_000_000   // after a denial in the first epoch; in each further one it is twice as long
-	restMost   = 6             // so often at the most, and at once where only the highest mode is denied
-	knownFor   = 600_000_000   // a process that was heard counts as one to be heard for so long
-	cutGrace   = 10_000_000    // after which a process that is cut off goes by its own evidence alone
-	idle       = 10_000_000    // a client that is not denied may be forgotten after this much without a sign
-	complain   = 60_000_000    // between two complaints of a kind
-	lessTrust  = 0.5           // for what was counted before this process first heard of it
-	fewSigns   = 200           // set-ups below which their order says nothing
+	tickInterval       = 100_000
+	tableLifetime      = 3_000_000     // a table holds for so long after it was put up
+	tableRefresh       = 1_000_000     // it is put up again this soon, though nothing changed
+	startDelay         = 10_000_000    // after a start: nobody is raised or tried before denials had time to come
+	stallGap           = 2_000_000     // two ticks so far apart: the part stood still
+	stallDelay         = 2_000_000     // then nobody is raised or tried for so long
+	entryInterval      = 250_000       // between two of the process's part of its entry
+	denialRetry        = 250_000       // between two repeats of a denial that was not acknowledged
+	fastRetries        = 40            // so often; then slowly
+	slowDenialRetry    = 5_000_000     // between two later repeats
+	evidenceInterval   = 200_000       // between two rounds of evidence
+	evidenceFanout     = 3             // processes that a round goes to
+	messagesPerPeer    = 3             // messages to each
+	fullResendInterval = 60_000_000    // after this a process is told everything anew: some of it may have been lost
+	digestRepairDelay  = 500_000       // a digest that differs for so long is healed
+	evaluateInterval   = 500_000       // a client is weighed no oftener, unless it is denied
+	halfLife           = 1_800_000_000 // after which clean outcomes count half
+	undecidedTimeout   = 4 * halfLife  // a test that has come to nothing begins anew
+	denialPeriod       = 600_000_000   // after a denial in the first epoch; in each further one it is twice as long
+	maxDenialDoublings = 6             // so often at the most, and at once where only the highest mode is denied
+	peerMemory         = 600_000_000   // a process that was heard counts as one to be heard for so long
+	isolationGrace     = 10_000_000    // after which a process that is cut off goes by its own evidence alone
+	clientIdleTime     = 10_000_000    // a client that is not denied may be forgotten after this much without a sign
+	reportInterval     = 60_000_000    // between two complaints of a kind
+	lateEvidenceWeight = 0.5           // for what was counted before this process first heard of it
+	minOrderedSetUps   = 200           // set-ups below which their order says nothing
 )
 
-// doctor holds what tests switch off to see it missed.
-type doctor struct {
-	witnessLoses bool // a witness counts as one more fault
-	noDecay      bool // what was clean once stays so
-	cutRaises    bool // a process that is cut off goes on as ever
-	adds         bool // joining adds instead of taking the greatest
-	trusts       bool // what others counted before counts in full
-	moves        bool // calls under way move at a fall
-	anyClass     bool // classes that may not be repeated are tried, too
-	alone        bool // the lower verdict of a version with further signs is not taken
+// defectSet holds what tests switch off to see it missed.
+type defectSet struct {
+	witnessAsFault       bool // a witness counts as one more fault
+	noDecay              bool // what was clean once stays so
+	raisesWhileIsolated  bool // a process that is cut off goes on as ever
+	joinAdds             bool // joining adds instead of taking the greatest
+	fullTrust            bool // what others counted before counts in full
+	callsMove            bool // calls under way move at a fall
+	anyClass             bool // classes that may not be repeated are tried, too
+	ignoresNewerVersions bool // the lower verdict of a version with further signs is not taken
 }
 
 // Config is what a Part is made from.
@@ -78,87 +78,87 @@
 
 // peer is another process.
 type peer struct {
-	name    string
-	here    bool  // in the newest view
-	suspect bool  // or about to leave: nothing is expected of it
-	heard   int64 // when it was last in a view and not suspected; 0: never
-	met     int64 // when it first was
-	life    uint64
-	signs   uint64
-	digest  uint64
-	differs int64 // since when its digest differs; 0: it does not
-	part    []byte
-	told    uint64 // evidence up to this change was sent to it
-	whole   int64  // when it was last begun anew
-	heal    int    // place in the clients up to which denials were sent
+	name         string
+	present      bool  // in the newest view
+	unavailable  bool  // or about to leave: nothing is expected of it
+	lastSeen     int64 // when it was last in a view and not suspected; 0: never
+	firstSeen    int64 // when it first was
+	incarnation  uint64
+	signs        uint64
+	digest       uint64
+	differsSince int64 // since when its digest differs; 0: it does not
+	lastPart     []byte
+	sentChange   uint64 // evidence up to this change was sent to it
+	resentAt     int64  // when it was last begun anew
+	repairIndex  int    // place in the clients up to which denials were sent
 }
 
 // client is what is known of a client, and what this process makes of it.
 type client struct {
-	key  uint64
-	name string
-	ev   Evidence
-	// all and own are the outcomes as this process weighs them: decayed, and what it heard late at less trust. own is of its
-	// own alone.
-	all, own [MaxSigns]float64
-	decayed  int64
-	testing  int64  // since when sharing by message is tested
-	tests    uint32 // of it that came to nothing in this epoch
-	begun    int64  // when the epoch began here
-	grown    int64  // when a sign last came
-	deniedAt int64
-	missed   bool   // an own connection has missed something, in whichever epoch
-	changed  uint64 // the change in which this process's own record last changed
-	stale    bool   // to be weighed
-	weighed  int64
-	ends     bool // ends have passed their test
-	plain    bases
-	marked   bases
-	mode     Mode
-	opinion  Mode
-	since    int64
+	key      uint64
+	name     string
+	evidence Evidence
+	// weighted and weightedOwn are the outcomes as this process weighs them: decayed, and what it heard late at less trust. weightedOwn is of its
+	// weightedOwn alone.
+	weighted, weightedOwn [MaxSigns]float64
+	decayedAt             int64
+	testingSince          int64  // since when sharing by message is tested
+	undecidedTests        uint32 // of it that came to nothing in this epoch
+	epochBegan            int64  // when the epoch began here
+	lastSignAt            int64  // when a sign last came
+	deniedAt              int64
+	ownMissing            bool   // an own connection has missed something, in whichever epoch
+	lastChange            uint64 // the change in which this process's own record last changed
+	stale                 bool   // to be weighed
+	evaluatedAt           int64
+	endsPassed            bool // ends have passed their test
+	plainBase             baseRates
+	markedBase            baseRates
+	mode                  Mode
+	opinion               Mode
+	modeSince             int64
 }
 
-// pending is a denial that not everybody has acknowledged.
-type pending struct {
-	key   uint64
-	epoch uint32
-	modes Modes
-	left  []*peer
-	tries int
-	due   int64
+// pendingDenial is a denial that not everybody has acknowledged.
+type pendingDenial struct {
+	key            uint64
+	epoch          uint32
+	modes          Modes
+	unacknowledged []*peer
+	retries        int
+	dueAt          int64
 }
 
 // Part is pooling's state machine in one process.
 type Part struct {
-	cfg     Config
-	signs   uint64
-	random  *rand.Rand
-	life    uint64
-	started int64
-	ticked  int64
-	wasCalm bool
-	woke    int64 // until when nobody is raised because the part stood still
-	next    int64
-	clients map[uint64]*client
-	order   []*client // as they came to be known
-	peers   map[string]*peer
-	names   []*peer // by name
-	records int
-	change  uint64
-	digest  uint64
-	pending []pending
-	turn    int // the next of names that evidence goes to
-	said    int64
-	toldAt  int64
-	toldAs  []byte
-	put     int64 // when the table was last put up
-	dirty   bool  // it differs from what was put up
-	cutAt   int64 // since when this process is cut off; 0: it is not
-	mourned map[string]int64
-	doctor  doctor
+	cfg            Config
+	knownSigns     uint64
+	random         *rand.Rand
+	incarnation    uint64
+	startedAt      int64
+	tickedAt       int64
+	couldRaise     bool
+	pausedUntil    int64 // until when nobody is raised because the part stood still
+	nextTick       int64
+	clients        map[uint64]*client
+	clientList     []*client // as they came to be known
+	peers          map[string]*peer
+	peerList       []*peer // by name
+	remoteRecords  int
+	changeCount    uint64
+	digest         uint64
+	pending        []pendingDenial
+	nextPeer       int // the next of names that evidence goes to
+	evidenceSentAt int64
+	entrySentAt    int64
+	entryBody      []byte
+	publishedAt    int64 // when the table was last put up
+	tableChanged   bool  // it differs from what was put up
+	isolatedSince  int64 // since when this process is cut off; 0: it is not
+	reportedAt     map[string]int64
+	defects        defectSet
 	// counts for staff
-	heard, sent, garbled, refused, full, witnesses, falls, raises uint64
+	messagesIn, messagesOut, unreadable, refusedRecords, refusedClients, witnesses, falls, raises uint64
 }
 
 var _ fleet.Module = (*Part)(nil)
@@ -172,7 +172,7 @@
 		return nil, &ConfigError{"there is no loop to decide for"}
 	}
 	if cfg.Unsafe == 0 {
-		cfg.Unsafe = usualUnsafe
+		cfg.Unsafe = defaultUnsafe
 	}
 	if !(cfg.Unsafe > 0 && cfg.Unsafe < 0.5) {
 		return nil, &ConfigError{fmt.Sprintf("a part of %v unsafe sessions cannot be gone by", cfg.Unsafe)}
@@ -183,8 +183,8 @@
 	if cfg.Complain == nil {
 		cfg.Complain = func(error) {}
 	}
-	return &Part{cfg: cfg, signs: cfg.Signs & Known, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)), clients: map[uint64]*client{},
-		peers: map[string]*peer{}, mourned: map[string]int64{}}, nil
+	return &Part{cfg: cfg, knownSigns: cfg.Signs & Known, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)), clients: map[uint64]*client{},
+		peers: map[string]*peer{}, reportedAt: map[string]int64{}}, nil
 }
 
 // Kind implements fleet.Module.
@@ -192,76 +192,76 @@
 
 // Start implements fleet.Module.
 func (p *Part) Start(now int64, _ *fleet.Out) {
-	p.started, p.ticked, p.next = now, now, now+tick
+	p.startedAt, p.tickedAt, p.nextTick = now, now, now+tickInterval
 }
 
 // Done implements fleet.Module; the part asks for no acts.
 func (p *Part) Done(int64, fleet.Act, error, *fleet.Out) {}
 
 // Next implements fleet.Module.
-func (p *Part) Next() int64 { return p.next }
+func (p *Part) Next() int64 { return p.nextTick }
 
-// complains hands an error on, one of a kind a minute.
-func (p *Part) complains(now int64, kind string, err error) {
-	if at, ok := p.mourned[kind]; !ok || now-at >= complain {
-		p.mourned[kind] = now
+// report hands an error on, one of a kind a minute.
+func (p *Part) report(now int64, kind string, err error) {
+	if at, ok := p.reportedAt[kind]; !ok || now-at >= reportInterval {
+		p.reportedAt[kind] = now
 		p.cfg.Complain(err)
 	}
 }
 
 // View implements fleet.Module.
 func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
-	for _, q := range p.names {
-		q.here = false
+	for _, q := range p.peerList {
+		q.present = false
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
 		if m.Name == p.cfg.Self {
-			if m.Incarnation > p.life {
-				p.lives(m.Incarnation)
+			if m.Incarnation > p.incarnation {
+				p.setIncarnation(m.Incarnation)
 			}
 			continue
 		}
 		q := p.peer(now, m.Name)
-		if q.life != m.Incarnation { // a later life knows nothing of what was told to the last
-			q.life, q.told, q.whole = m.Incarnation, 0, now
+		if q.incarnation != m.Incarnation { // a later life knows nothing of what was told to the last
+			q.incarnation, q.sentChange, q.resentAt = m.Incarnation, 0, now
 		}
-		q.here, q.suspect = true, m.Suspect || m.State == fleet.Leaving
+		q.present, q.unavailable = true, m.Suspect || m.State == fleet.Leaving
 		if m.State == fleet.Leaving {
-			q.heard = 0
+			q.lastSeen = 0
 		} else if !m.Suspect {
-			q.heard = now
+			q.lastSeen = now
 		}
-		if body := m.Parts[fleet.Pooling]; len(body) > 0 && !slices.Equal(body, q.part) {
-			q.part = body
-			s, err := hear(m.Name, body)
+		if body := m.Parts[fleet.Pooling]; len(body) > 0 && !slices.Equal(body, q.lastPart) {
+			q.lastPart = body
+			s, err := decodePayload(m.Name, body)
 			if err != nil {
-				p.garbled++
-				p.complains(now, "body", err)
+				p.unreadable++
+				p.report(now, "body", err)
 				continue
 			}
 			q.signs, q.digest = s.Signs, s.Digest
-			p.denied(now, s.Denials, out)
+			p.joinDenials(now, s.Denials, out)
 		}
 	}
-	p.names = slices.DeleteFunc(p.names, func(q *peer) bool {
-		gone := !q.here && now-q.heard >= knownFor && now-q.met >= knownFor
+	p.peerList = slices.DeleteFunc(p.peerList, func(q *peer) bool {
+		gone := !q.present && now-q.lastSeen >= peerMemory && now-q.firstSeen >= peerMemory
 		if gone {
 			delete(p.peers, q.name)
 		}
 		return gone
 	})
-	p.isCut(now)
-	p.step(now, out)
+	p.updateIsolation(now)
+	p.evaluateStale(now, out)
 }
 
-// lives takes this process's incarnation: what it counted before it knew it was counted in this life.
-func (p *Part) lives(life uint64) {
-	p.life = life
-	for _, c := range p.order {
-		if i, ok := c.ev.find(p.cfg.Self); ok {
-			c.ev.Records[i].Life = life
-			p.changes(c)
+// setIncarnation takes this process's incarnation: what it counted before it knew it was counted in this life.
+func (p *Part) setIncarnation(life uint64) {
+	p.incarnation = life
+	for _, c := range p.clientList {
+		if i, ok := c.evidence.find(p.cfg.Self); ok {
+			c.evidence.Records[i].Incarnation = life
+			p.markChanged(c)
 		}
 	}
 }
@@ -269,120 +269,120 @@
 func (p *Part) peer(now int64, name string) *peer {
 	q := p.peers[name]
 	if q == nil {
-		q = &peer{name: name, met: now}
+		q = &peer{name: name, firstSeen: now}
 		p.peers[name] = q
-		i, _ := slices.BinarySearchFunc(p.names, name, func(a *peer, n string) int {
+		i, _ := slices.BinarySearchFunc(p.peerList, name, func(a *peer, n string) int {
 			if a.name < n {
 				return -1
 			}
 			return 1
 		})
-		p.names = slices.Insert(p.names, i, q)
+		p.peerList = slices.Insert(p.peerList, i, q)
 	}
 	return q
 }
 
-// isCut tells whether most of those whom it should hear are not heard.
-func (p *Part) isCut(now int64) bool {
+// updateIsolation tells whether most of those whom it should hear are not heard.
+func (p *Part) updateIsolation(now int64) bool {
 	known, reached := 0, 0
-	for _, q := range p.names {
-		if q.heard != 0 && now-q.heard < knownFor {
+	for _, q := range p.peerList {
+		if q.lastSeen != 0 && now-q.lastSeen < peerMemory {
 			known++
-			if q.here && !q.suspect {
+			if q.present && !q.unavailable {
 				reached++
 			}
 		}
 	}
-	if 2*reached >= known || p.doctor.cutRaises {
-		if p.cutAt != 0 {
-			p.cutAt, p.woke = 0, max(p.woke, now+stoodFor) // what happened meanwhile has to come first
-			p.staleAll()
+	if 2*reached >= known || p.defects.raisesWhileIsolated {
+		if p.isolatedSince != 0 {
+			p.isolatedSince, p.pausedUntil = 0, max(p.pausedUntil, now+stallDelay) // what happened meanwhile has to come first
+			p.markAllStale()
 		}
 		return false
 	}
-	if p.cutAt == 0 {
-		p.cutAt = now
-		p.staleAll()
+	if p.isolatedSince == 0 {
+		p.isolatedSince = now
+		p.markAllStale()
 	}
-	p.complains(now, "cut", &CutError{reached, known})
+	p.report(now, "cut", &CutError{reached, known})
 	return true
 }
 
-func (p *Part) staleAll() {
-	for _, c := range p.order {
+func (p *Part) markAllStale() {
+	for _, c := range p.clientList {
 		c.stale = true
 	}
 }
 
 // Tick implements fleet.Module.
 func (p *Part) Tick(now int64, out *fleet.Out) {
-	if gap := now - p.ticked; gap >= stood {
+	if gap := now - p.tickedAt; gap >= stallGap {
 		// Guards against a process that was stopped and wakes: what it knew is old, and a witness may have come since.
-		p.woke = now + stoodFor
-		p.staleAll()
-		p.complains(now, "still", &StillError{gap})
+		p.pausedUntil = now + stallDelay
+		p.markAllStale()
+		p.report(now, "still", &StillError{gap})
 	}
-	p.ticked, p.next = now, now+tick
-	p.isCut(now)
-	if c := p.calm(now); c != p.wasCalm { // whom this held back, or would have, is weighed anew
-		p.wasCalm, p.dirty = c, true
-		p.staleAll()
+	p.tickedAt, p.nextTick = now, now+tickInterval
+	p.updateIsolation(now)
+	if c := p.mayRaise(now); c != p.couldRaise { // whom this held back, or would have, is weighed anew
+		p.couldRaise, p.tableChanged = c, true
+		p.markAllStale()
 	}
 	p.drain(now, out)
-	p.sweep(now)
-	p.step(now, out)
-	p.repeat(now, out)
-	p.say(now, out)
+	p.endEpochs(now)
+	p.evaluateStale(now, out)
+	p.resendDenials(now, out)
+	p.sendEvidence(now, out)
 }
 
-// step weighs what changed and puts the verdicts up.
-func (p *Part) step(now int64, out *fleet.Out) {
-	for _, c := range p.order {
-		if c.stale && now-c.weighed >= weighEvery || now-c.weighed >= settle {
-			p.weigh(now, c, out)
+// evaluateStale weighs what changed and puts the verdicts up.
+func (p *Part) evaluateStale(now int64, out *fleet.Out) {
+	for _, c := range p.clientList {
+		if c.stale && now-c.evaluatedAt >= evaluateInterval || now-c.evaluatedAt >= startDelay {
+			p.evaluate(now, c, out)
 		}
 	}
-	if p.dirty || now-p.put >= retable {
+	if p.tableChanged || now-p.publishedAt >= tableRefresh {
 		p.publish(now)
 	}
-	p.tell(now, out)
+	p.publishEntry(now, out)
 }
 
-// calm tells whether somebody may be raised or tried now.
-func (p *Part) calm(now int64) bool {
-	return now-p.started >= settle && now >= p.woke && p.cutAt == 0
+// mayRaise tells whether somebody may be raised or tried now.
+func (p *Part) mayRaise(now int64) bool {
+	return now-p.startedAt >= startDelay && now >= p.pausedUntil && p.isolatedSince == 0
 }
 
 // publish puts up a table of all verdicts.
 func (p *Part) publish(now int64) {
-	p.dirty, p.put = false, now
-	t := &Table{Until: now + tableFor, Unknown: Verdict{Epoch: 1, Mode: BySession}, verdicts: make(map[uint64]Verdict, len(p.order))}
-	calm, woke := p.calm(now), now < p.woke
-	if calm && len(p.order) < MaxClients {
-		t.Unknown.Trial, t.Unknown.Share, t.Unknown.Marked = ByCall, part(leastShare), part(leastShare)
-	}
-	for _, c := range p.order {
-		v := Verdict{Epoch: c.ev.Epoch, Mode: c.mode, Since: c.since, Ends: c.ends, OwnSure: !c.missed && c.all[OwnClean]+c.all[OwnMarkedClean] >= sureOwn}
+	p.tableChanged, p.publishedAt = false, now
+	t := &Table{ValidUntil: now + tableLifetime, Default: Verdict{Epoch: 1, Mode: BySession}, verdicts: make(map[uint64]Verdict, len(p.clientList))}
+	calm, woke := p.mayRaise(now), now < p.pausedUntil
+	if calm && len(p.clientList) < MaxClients {
+		t.Default.Trial, t.Default.Share, t.Default.Marked = ByCall, fraction32(minTrialShare), fraction32(minTrialShare)
+	}
+	for _, c := range p.clientList {
+		v := Verdict{Epoch: c.evidence.Epoch, Mode: c.mode, Since: c.modeSince, Ends: c.endsPassed, OwnNeverMissed: !c.ownMissing && c.weighted[OwnClean]+c.weighted[OwnMarkedClean] >= minSureOwnSetUps}
 		if woke || p.cfg.Watch {
 			v.Mode = BySession // what came meanwhile may not have been heard yet
 		}
-		if next := c.mode + 1; calm && next <= c.ev.Denied.highest() {
+		if next := c.mode + 1; calm && next <= c.evidence.Denied.highestAllowed() {
 			v.Trial = next
-			plain, marked := share(p.tally(&c.all, next, false), 1, mostShare), share(p.tally(&c.all, next, true), seen(&c.all, Marked), mostMarks)
-			v.Share, v.Marked = part(plain), part(marked)
+			plain, marked := trialShare(p.tally(&c.weighted, next, false), 1, maxTrialShare), trialShare(p.tally(&c.weighted, next, true), signShare(&c.weighted, Marked), maxMarkedTrialShare)
+			v.Share, v.Marked = fraction32(plain), fraction32(marked)
 		}
 		t.verdicts[c.key] = v
 	}
 	p.cfg.Loop.table.Store(t)
 }
 
-// seen is how large a part of a client's calls bore a sign.
-func seen(of *[MaxSigns]float64, s Sign) float64 {
+// signShare is how large a part of a client's calls bore a sign.
+func signShare(of *[MaxSigns]float64, s Sign) float64 {
 	return min(1, of[s]/max(1, of[Serial]+of[Overlapped]))
 }
 
-// part is a share of 2^32.
-func part(share float64) uint32 { return uint32(share * math.MaxUint32) }
+// fraction32 is a share of 2^32.
+func fraction32(share float64) uint32 { return uint32(share * math.MaxUint32) }
 
 // drain takes what the loop has counted.
 func (p *Part) drain(now int64, out *fleet.Out) {
@@ -397,39 +397,39 @@
 		var denies Modes
 		by := Sign(0)
 		for s := TokenBound; s < Refuted; s++ {
-			if b.counts[s] > 0 && !p.doctor.witnessLoses {
+			if b.counts[s] > 0 && !p.defects.witnessAsFault {
 				denies, by = denies|Signs[s-1].Denies, s
 			}
 		}
-		if b.epoch < c.ev.Epoch {
+		if b.epoch < c.evidence.Epoch {
 			if denies != 0 { // it was seen after all, so the new epoch has it, too
 				p.deny(now, c, denies, by, out)
 			}
 			continue
 		}
-		if b.epoch > c.ev.Epoch {
-			p.takeDenial(now, c, &Evidence{Epoch: b.epoch}, out)
+		if b.epoch > c.evidence.Epoch {
+			p.joinDenial(now, c, &Evidence{Epoch: b.epoch}, out)
 		}
-		mine := Record{Process: p.cfg.Self, Life: p.life, Signs: p.signs, Opinion: c.opinion}
-		if i, ok := c.ev.find(p.cfg.Self); ok {
-			mine = c.ev.Records[i]
+		mine := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns, Opinion: c.opinion}
+		if i, ok := c.evidence.find(p.cfg.Self); ok {
+			mine = c.evidence.Records[i]
 		}
 		for i, n := range b.counts {
 			mine.Counts[i] += min(n, math.MaxUint32-mine.Counts[i])
-			c.own[i] += float64(n)
+			c.weightedOwn[i] += float64(n)
 		}
-		p.joins(now, c, &Evidence{Epoch: c.ev.Epoch, Records: []Record{mine}}, 1)
-		p.changes(c)
+		p.joinEvidence(now, c, &Evidence{Epoch: c.evidence.Epoch, Records: []Record{mine}}, 1)
+		p.markChanged(c)
 		if denies != 0 {
 			p.deny(now, c, denies, by, out)
 		}
 	}
 }
 
-// changes notes that this process's own record of a client is to be told.
-func (p *Part) changes(c *client) {
-	p.change++
-	c.changed = p.change
+// markChanged notes that this process's own record of a client is to be told.
+func (p *Part) markChanged(c *client) {
+	p.changeCount++
+	c.lastChange = p.changeCount
 }
 
 // client returns a client, which is made room for if it is new; nil: there is none.
@@ -437,101 +437,101 @@
 	if c := p.clients[key]; c != nil {
 		return c
 	}
-	if len(p.order) >= MaxClients {
+	if len(p.clientList) >= MaxClients {
 		worst := -1
-		for i, c := range p.order { // the least worth, by what was counted of it, and of those the oldest
-			if c.ev.Denied != 0 || now-c.grown < idle {
+		for i, c := range p.clientList { // the least worth, by what was counted of it, and of those the oldest
+			if c.evidence.Denied != 0 || now-c.lastSignAt < clientIdleTime {
 				continue
 			}
-			if worst < 0 || c.worth() < p.order[worst].worth() || c.worth() == p.order[worst].worth() && c.grown < p.order[worst].grown {
+			if worst < 0 || c.evidenceSteps() < p.clientList[worst].evidenceSteps() || c.evidenceSteps() == p.clientList[worst].evidenceSteps() && c.lastSignAt < p.clientList[worst].lastSignAt {
 				worst = i
 			}
 		}
 		if worst < 0 {
-			p.full++
-			p.complains(now, "clients", &ClientsError{MaxClients})
+			p.refusedClients++
+			p.report(now, "clients", &ClientsError{MaxClients})
 			return nil
 		}
-		gone := p.order[worst]
-		p.records -= p.others(gone)
+		gone := p.clientList[worst]
+		p.remoteRecords -= p.remoteRecordCount(gone)
 		delete(p.clients, gone.key)
-		p.order = slices.Delete(p.order, worst, worst+1)
+		p.clientList = slices.Delete(p.clientList, worst, worst+1)
 	}
-	c := &client{key: key, ev: Evidence{Epoch: max(epoch, 1)}, mode: BySession, opinion: BySession, begun: now, grown: now, decayed: now,
-		since: now, stale: true}
+	c := &client{key: key, evidence: Evidence{Epoch: max(epoch, 1)}, mode: BySession, opinion: BySession, epochBegan: now, lastSignAt: now, decayedAt: now,
+		modeSince: now, stale: true}
 	p.clients[key] = c
-	p.order = append(p.order, c)
+	p.clientList = append(p.clientList, c)
 	return c
 }
 
-// worth is how much was counted of a client, in steps of two.
-func (c *client) worth() int {
-	return int(math.Log2(1 + c.all[OwnClean] + c.all[OwnMarkedClean] + c.all[CallClean] + c.all[MessageClean]))
+// evidenceSteps is how much was counted of a client, in steps of two.
+func (c *client) evidenceSteps() int {
+	return int(math.Log2(1 + c.weighted[OwnClean] + c.weighted[OwnMarkedClean] + c.weighted[CallClean] + c.weighted[MessageClean]))
 }
 
-// others counts the records of other processes.
-func (p *Part) others(c *client) int {
-	n := len(c.ev.Records)
-	if _, ok := c.ev.find(p.cfg.Self); ok {
+// remoteRecordCount counts the records of other processes.
+func (p *Part) remoteRecordCount(c *client) int {
+	n := len(c.evidence.Records)
+	if _, ok := c.evidence.find(p.cfg.Self); ok {
 		n--
 	}
 	return n
 }
 
-// joins joins evidence into a client's and credits what is new in it. What was clean before this process first heard of the
+// joinEvidence joinEvidence evidence into a client's and credits what is new in it. What was clean before this process first heard of the
 // record counts by the trust given; faults always count whole.
-func (p *Part) joins(now int64, c *client, e *Evidence, trust float64) {
-	if e.Epoch < c.ev.Epoch {
+func (p *Part) joinEvidence(now int64, c *client, e *Evidence, trust float64) {
+	if e.Epoch < c.evidence.Epoch {
 		return
 	}
-	denied, was := c.ev.Denied, p.others(c)
-	if e.Epoch > c.ev.Epoch {
+	denied, was := c.evidence.Denied, p.remoteRecordCount(c)
+	if e.Epoch > c.evidence.Epoch {
 		denied = 0
-		c.ev.Records = nil
-		c.renew(now)
+		c.evidence.Records = nil
+		c.beginEpoch(now)
 	}
 	before := make([]*Counts, len(e.Records)) // nil: this life of the process was not known
 	for i := range e.Records {
-		if j, ok := c.ev.find(e.Records[i].Process); ok && c.ev.Records[j].Life >= e.Records[i].Life {
-			old := c.ev.Records[j].Counts
+		if j, ok := c.evidence.find(e.Records[i].Process); ok && c.evidence.Records[j].Incarnation >= e.Records[i].Incarnation {
+			old := c.evidence.Records[j].Counts
 			before[i] = &old
 		}
 	}
-	if !c.ev.join(e, p.doctor) {
+	if !c.evidence.join(e, p.defects) {
 		return
 	}
-	p.records += p.others(c) - was
-	p.dirty = p.dirty || c.ev.Denied != denied
+	p.remoteRecords += p.remoteRecordCount(c) - was
+	p.tableChanged = p.tableChanged || c.evidence.Denied != denied
 	for i := range e.Records {
-		j, _ := c.ev.find(e.Records[i].Process)
-		for s, n := range c.ev.Records[j].Counts {
+		j, _ := c.evidence.find(e.Records[i].Process)
+		for s, n := range c.evidence.Records[j].Counts {
 			known := before[i] != nil
 			if known {
 				n -= before[i][s]
 			}
-			if n == 0 || p.signs>>s&1 == 0 {
+			if n == 0 || p.knownSigns>>s&1 == 0 {
 				continue // a sign that is not known here is kept and joined, and not gone by
 			}
 			credit := float64(n)
-			if !known && clean(Sign(s)) && !p.doctor.trusts {
+			if !known && isClean(Sign(s)) && !p.defects.fullTrust {
 				credit *= trust
 			}
-			c.all[s] += credit
-			c.grown = now
+			c.weighted[s] += credit
+			c.lastSignAt = now
 		}
 	}
-	c.missed = c.missed || c.all[OwnMissing] > 0
+	c.ownMissing = c.ownMissing || c.weighted[OwnMissing] > 0
 	c.stale = true
 }
 
-// renew begins an epoch.
-func (c *client) renew(now int64) {
-	c.all, c.own, c.begun, c.decayed, c.stale = [MaxSigns]float64{}, [MaxSigns]float64{}, now, now, true
-	c.testing, c.tests = now, 0
+// beginEpoch begins an epoch.
+func (c *client) beginEpoch(now int64) {
+	c.weighted, c.weightedOwn, c.epochBegan, c.decayedAt, c.stale = [MaxSigns]float64{}, [MaxSigns]float64{}, now, now, true
+	c.testingSince, c.undecidedTests = now, 0
 }
 
-// clean tells whether a sign speaks for sharing.
-func clean(s Sign) bool {
+// isClean tells whether a sign speaks for sharing.
+func isClean(s Sign) bool {
 	switch s {
 	case CallClean, CallMarkedClean, MessageClean, MessageMarkedClean, EndClean, AfterClean:
 		return true
@@ -541,74 +541,74 @@
 
 // deny takes modes from a client within its epoch, and has everybody told.
 func (p *Part) deny(now int64, c *client, modes Modes, by Sign, out *fleet.Out) {
-	if modes = modes.whole(); modes&^c.ev.Denied == 0 {
+	if modes = modes.withHigherModes(); modes&^c.evidence.Denied == 0 {
 		return
 	}
 	p.witnesses++
-	p.takeDenial(now, c, &Evidence{Epoch: c.ev.Epoch, Denied: modes, By: by}, out)
+	p.joinDenial(now, c, &Evidence{Epoch: c.evidence.Epoch, Denied: modes, DeniedBy: by}, out)
 	if len(p.pending) >= maxPending {
 		p.pending = slices.Delete(p.pending, 0, 1) // its digest will tell that somebody lacks it
 	}
-	left := make([]*peer, 0, len(p.names))
-	for _, q := range p.names {
-		if q.here {
+	left := make([]*peer, 0, len(p.peerList))
+	for _, q := range p.peerList {
+		if q.present {
 			left = append(left, q)
 		}
 	}
-	p.pending = append(p.pending, pending{key: c.key, epoch: c.ev.Epoch, modes: c.ev.Denied, left: left, due: now})
-	p.repeat(now, out)
+	p.pending = append(p.pending, pendingDenial{key: c.key, epoch: c.evidence.Epoch, modes: c.evidence.Denied, unacknowledged: left, dueAt: now})
+	p.resendDenials(now, out)
 }
 
-// takeDenial joins a denial and puts the verdict down at once.
-func (p *Part) takeDenial(now int64, c *client, e *Evidence, out *fleet.Out) {
-	was, epoch := c.ev.Denied, c.ev.Epoch
+// joinDenial joins a denial and puts the verdict down at once.
+func (p *Part) joinDenial(now int64, c *client, e *Evidence, out *fleet.Out) {
+	was, epoch := c.evidence.Denied, c.evidence.Epoch
 	if was != 0 {
-		p.digest ^= c.said().digest()
+		p.digest ^= c.denial().digest()
 	}
-	p.joins(now, c, e, lessTrust)
-	if c.ev.Denied != 0 {
-		p.digest ^= c.said().digest()
+	p.joinEvidence(now, c, e, lateEvidenceWeight)
+	if c.evidence.Denied != 0 {
+		p.digest ^= c.denial().digest()
 	}
-	if c.ev.Denied == 0 || c.ev.Epoch == epoch && c.ev.Denied == was {
+	if c.evidence.Denied == 0 || c.evidence.Epoch == epoch && c.evidence.Denied == was {
 		return
 	}
 	c.deniedAt = now
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "witness", Thing: c.thing(), Fence: uint64(c.ev.Epoch),
-		N: int64(c.ev.Denied), Text: c.ev.By.String() + " denies " + c.ev.Denied.String()})
-	p.weigh(now, c, out)
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "witness", Thing: c.historyKey(), Fence: uint64(c.evidence.Epoch),
+		N: int64(c.evidence.Denied), Text: c.evidence.DeniedBy.String() + " denies " + c.evidence.Denied.String()})
+	p.evaluate(now, c, out)
 	p.publish(now)
 }
 
-// said is the client's denial as it is spoken.
-func (c *client) said() saidDenial {
-	return saidDenial{Key: c.key, Epoch: c.ev.Epoch, Modes: c.ev.Denied, By: c.ev.By}
+// denial is the client's denial as it is spoken.
+func (c *client) denial() denialRecord {
+	return denialRecord{Key: c.key, Epoch: c.evidence.Epoch, Modes: c.evidence.Denied, DeniedBy: c.evidence.DeniedBy}
 }
 
-// thing names a client in the history: by its key, which all processes share.
-func (c *client) thing() string { return fmt.Sprintf("%016x", c.key) }
+// historyKey names a client in the history: by its key, which all processes share.
+func (c *client) historyKey() string { return fmt.Sprintf("%016x", c.key) }
 
-// sweep lets epochs end: those that are denied after their rest, those of a test that has come to nothing.
-func (p *Part) sweep(now int64) {
-	for _, c := range p.order {
-		over := c.ev.Denied != 0 && now-c.deniedAt >= c.rests() ||
-			c.ev.Denied == 0 && c.mode == BySession && now-c.begun >= undecided
+// endEpochs lets epochs end: those that are denied after their rest, those of a test that has come to nothing.
+func (p *Part) endEpochs(now int64) {
+	for _, c := range p.clientList {
+		over := c.evidence.Denied != 0 && now-c.deniedAt >= c.denialTime() ||
+			c.evidence.Denied == 0 && c.mode == BySession && now-c.epochBegan >= undecidedTimeout
 		if !over {
 			continue
 		}
-		if c.ev.Denied != 0 {
-			p.digest ^= c.said().digest()
+		if c.evidence.Denied != 0 {
+			p.digest ^= c.denial().digest()
 		}
-		p.joins(now, c, &Evidence{Epoch: c.ev.Epoch + 1}, lessTrust)
-		p.changes(c)
+		p.joinEvidence(now, c, &Evidence{Epoch: c.evidence.Epoch + 1}, lateEvidenceWeight)
+		p.markChanged(c)
 	}
 }
 
-// rests is how long a denial stands at least. It goes by the epoch, which all processes share.
-func (c *client) rests() int64 {
-	if c.ev.Denied.highest() > BySession {
-		return rest << restMost
+// denialTime is how long a denial stands at least. It goes by the epoch, which all processes share.
+func (c *client) denialTime() int64 {
+	if c.evidence.Denied.highestAllowed() > BySession {
+		return denialPeriod << maxDenialDoublings
 	}
-	return rest << min(c.ev.Epoch-1, restMost)
+	return denialPeriod << min(c.evidence.Epoch-1, maxDenialDoublings)
 }
 
 // tally are the outcomes that the test of a mode goes by.
@@ -626,15 +626,15 @@
 
 // test is one of those that a mode must pass.
 type test struct {
-	likely  float64 // that there is no harm, with the base taken low
-	against float64 // the same with the base taken high
+	lowBaseRatio  float64 // that there is no harm, with the base taken low
+	highBaseRatio float64 // the same with the base taken high
 	Tally
 	base, least float64
-	counted     Sign // where those clean outcomes are counted that belong to this mode alone
+	countedIn   Sign // where those clean outcomes are counted that belong to this mode alone
 }
 
-func newTest(t Tally, b *bases, least float64, counted Sign) test {
-	return test{likelihood(t, b.low, least), likelihood(t, b.high, least), t, b.low, least, counted}
+func newTest(t Tally, b *baseRates, least float64, counted Sign) test {
+	return test{logLikelihoodRatio(t, b.low, least), logLikelihoodRatio(t, b.high, least), t, b.low, least, counted}
 }
 
 // tests are those that a mode must pass for what has been seen of a client. A kind of message that never came needs none.
@@ -643,53 +643,53 @@
 	if m == ByMessage {
 		plain, marked = MessageClean, MessageMarkedClean
 	}
-	c.plain.from(Tally{of[OwnClean], of[OwnFault]})
-	t := append(into, newTest(p.tally(of, m, false), &c.plain, leastHarm, plain))
+	c.plainBase.update(Tally{of[OwnClean], of[OwnFault]})
+	t := append(into, newTest(p.tally(of, m, false), &c.plainBase, minHarm, plain))
 	if of[Marked] > 0 {
-		c.marked.from(Tally{of[OwnMarkedClean], of[OwnMarkedFault]})
-		t = append(t, newTest(p.tally(of, m, true), &c.marked, least(seen(of, Marked), mostMarked), marked))
+		c.markedBase.update(Tally{of[OwnMarkedClean], of[OwnMarkedFault]})
+		t = append(t, newTest(p.tally(of, m, true), &c.markedBase, minTestHarm(signShare(of, Marked), maxMarkedHarm), marked))
 	}
 	if m == ByCall && of[Guarded] > 0 {
 		// Of the sessions that are tried half of the set-ups are shared at the most, of a raised client nearly all: the harm
 		// that is looked for shows half as often.
-		t = append(t, newTest(Tally{of[AfterClean], of[AfterFault]}, &c.plain, least(seen(of, Guarded), mostMarked)/2, AfterClean))
+		t = append(t, newTest(Tally{of[AfterClean], of[AfterFault]}, &c.plainBase, minTestHarm(signShare(of, Guarded), maxMarkedHarm)/2, AfterClean))
 	}
 	if m == ByMessage && of[Ended] > 0 {
-		t = append(t, newTest(Tally{of[EndClean], of[EndFault]}, &bases{low: floorBase, high: floorBase}, least(seen(of, Ended), mostEnd), EndClean))
+		t = append(t, newTest(Tally{of[EndClean], of[EndFault]}, &baseRates{low: minBaseRate, high: minBaseRate}, minTestHarm(signShare(of, Ended), maxEndHarm), EndClean))
 	}
 	return t
 }
 
-// needed is what each test of a mode must reach.
-func (p *Part) needed(c *client, of *[MaxSigns]float64, m Mode) float64 {
-	epoch := c.ev.Epoch
+// requiredRatio is what each test of a mode must reach.
+func (p *Part) requiredRatio(c *client, of *[MaxSigns]float64, m Mode) float64 {
+	epoch := c.evidence.Epoch
 	if m == ByMessage {
-		epoch += c.tests
+		epoch += c.undecidedTests
 	}
-	n := bound(p.cfg.Unsafe, epoch)
-	if of[Serial] >= fewSigns && of[Overlapped] < of[Serial]/fewSigns && of[Crossed] < of[Serial]/20 {
-		n += demand
+	n := requiredLogRatio(p.cfg.Unsafe, epoch)
+	if of[Serial] >= minOrderedSetUps && of[Overlapped] < of[Serial]/minOrderedSetUps && of[Crossed] < of[Serial]/20 {
+		n += extraDemand
 	}
 	if m == ByMessage && of[Again] > 0 {
-		n += demand
+		n += extraDemand
 	}
 	return n
 }
 
-// weigh decays what is known of a client, tests it, and changes its verdict.
-func (p *Part) weigh(now int64, c *client, out *fleet.Out) {
-	c.stale, c.weighed = false, now
+// evaluate decays what is known of a client, tests it, and changes its verdict.
+func (p *Part) evaluate(now int64, c *client, out *fleet.Out) {
+	c.stale, c.evaluatedAt = false, now
 	p.decay(now, c)
-	of := &c.all
-	if p.cutAt != 0 && now-p.cutAt >= cutGrace {
-		of = &c.own
+	of := &c.weighted
+	if p.isolatedSince != 0 && now-p.isolatedSince >= isolationGrace {
+		of = &c.weightedOwn
 	}
 	opinion := BySession
 	var room [4]test
-	for m := ByCall; m <= c.ev.Denied.highest(); m++ {
-		need, pass := p.needed(c, of, m), true
+	for m := ByCall; m <= c.evidence.Denied.highestAllowed(); m++ {
+		need, pass := p.requiredRatio(c, of, m), true
 		for _, t := range p.tests(c, of, m, room[:0]) {
-			if t.against <= refuted && of == &c.all && p.cfg.Fixed == 0 {
+			if t.highBaseRatio <= refutedLogRatio && of == &c.weighted && p.cfg.Fixed == 0 {
 				modes := DenyCall
 				if m == ByMessage {
 					modes = DenyMessage
@@ -698,12 +698,12 @@
 				return
 			}
 			if c.opinion >= m {
-				c.clip(t, need+spare)
-				pass = pass && t.likely >= keep*need
+				c.clip(t, need+headroom)
+				pass = pass && t.lowBaseRatio >= keepFraction*need
 			} else if p.cfg.Fixed > 0 {
 				pass = pass && t.Clean >= p.cfg.Fixed
 			} else {
-				pass = pass && t.likely >= need && p.calm(now)
+				pass = pass && t.lowBaseRatio >= need && p.mayRaise(now)
 			}
 		}
 		if !pass {
@@ -711,13 +711,13 @@
 		}
 		opinion = m
 	}
-	c.ends = opinion == ByMessage && of[Ended] > 0
+	c.endsPassed = opinion == ByMessage && of[Ended] > 0
 	if opinion != c.opinion {
 		c.opinion = opinion
-		p.thinks(now, c)
+		p.recordOpinion(now, c)
 	}
-	mode := p.lower(c, opinion)
-	if mode > c.mode && !p.calm(now) {
+	mode := p.limitByNewerVersions(c, opinion)
+	if mode > c.mode && !p.mayRaise(now) {
 		mode = c.mode
 	}
 	if mode != c.mode {
@@ -727,40 +727,40 @@
 			p.falls++
 		}
 		if mode == ByCall && c.mode < mode {
-			c.testing = now
+			c.testingSince = now
 		}
-		c.mode, c.since, p.dirty = mode, now, true
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "verdict", Thing: c.thing(), Fence: uint64(c.ev.Epoch),
+		c.mode, c.modeSince, p.tableChanged = mode, now, true
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "verdict", Thing: c.historyKey(), Fence: uint64(c.evidence.Epoch),
 			N: int64(mode), Text: c.name + " " + mode.String()})
 	}
-	p.dirty = p.dirty || c.mode < c.ev.Denied.highest() // the share of trials
+	p.tableChanged = p.tableChanged || c.mode < c.evidence.Denied.highestAllowed() // the share of trials
 }
 
-// thinks puts the changed opinion into this process's own record.
-func (p *Part) thinks(now int64, c *client) {
-	r := Record{Process: p.cfg.Self, Life: p.life, Signs: p.signs}
-	if i, ok := c.ev.find(p.cfg.Self); ok {
-		r = c.ev.Records[i]
-		c.ev.Records[i].Opinion, c.ev.Records[i].Said = c.opinion, r.Said+1
+// recordOpinion puts the changed opinion into this process's own record.
+func (p *Part) recordOpinion(now int64, c *client) {
+	r := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns}
+	if i, ok := c.evidence.find(p.cfg.Self); ok {
+		r = c.evidence.Records[i]
+		c.evidence.Records[i].Opinion, c.evidence.Records[i].OpinionVersion = c.opinion, r.OpinionVersion+1
 	} else {
 		r.Opinion = c.opinion
-		c.ev.take(&r, p.doctor)
+		c.evidence.joinRecord(&r, p.defects)
 	}
-	p.changes(c)
+	p.markChanged(c)
 }
 
-// lower is the verdict that this process takes: its own opinion, or that of processes that go by signs which it does not know.
-func (p *Part) lower(c *client, own Mode) Mode {
-	if p.doctor.alone {
+// limitByNewerVersions is the verdict that this process takes: its own opinion, or that of processes that go by signs which it does not know.
+func (p *Part) limitByNewerVersions(c *client, own Mode) Mode {
+	if p.defects.ignoresNewerVersions {
 		return own
 	}
-	for _, q := range p.names {
-		if !q.here || q.signs&^p.signs == 0 {
+	for _, q := range p.peerList {
+		if !q.present || q.signs&^p.knownSigns == 0 {
 			continue
 		}
 		said := BySession
-		if i, ok := c.ev.find(q.name); ok {
-			said = max(c.ev.Records[i].Opinion, BySession)
+		if i, ok := c.evidence.find(q.name); ok {
+			said = max(c.evidence.Records[i].Opinion, BySession)
 		}
 		own = min(own, said)
 	}
@@ -770,24 +770,24 @@
 // decay lets what was seen fade once the client goes by it: from then on the test never ends. Before, it stays whole, for
 // Wald's bound is that of a test that forgets nothing; a test that comes to nothing begins anew instead.
 func (p *Part) decay(now int64, c *client) {
-	dt := now - c.decayed
-	c.decayed = now
-	if dt <= 0 || p.doctor.noDecay || c.mode == BySession {
+	dt := now - c.decayedAt
+	c.decayedAt = now
+	if dt <= 0 || p.defects.noDecay || c.mode == BySession {
 		return
 	}
 	if c.mode == ByMessage {
-		c.testing = now
-	} else if now-c.testing >= undecided {
-		c.testing = now
-		c.tests++
-		for s := range c.all {
-			if byMessage(Sign(s)) {
-				c.all[s], c.own[s] = 0, 0
+		c.testingSince = now
+	} else if now-c.testingSince >= undecidedTimeout {
+		c.testingSince = now
+		c.undecidedTests++
+		for s := range c.weighted {
+			if isByMessageSign(Sign(s)) {
+				c.weighted[s], c.weightedOwn[s] = 0, 0
 			}
 		}
 	}
 	f := math.Exp2(-float64(dt) / halfLife)
-	for s := range c.all {
+	for s := range c.weighted {
 		least := 0.
 		switch Sign(s) {
 		case OwnClean, OwnFault, OwnMarkedClean, OwnMarkedFault, AfterClean:
@@ -795,150 +795,150 @@
 		case Marked, Ended, Again, Guarded:
 			least = 1 // what was seen of the client's ways is not forgotten within the epoch
 		}
-		if byMessage(Sign(s)) && c.mode < ByMessage {
+		if isByMessageSign(Sign(s)) && c.mode < ByMessage {
 			continue
 		}
-		c.all[s] = max(min(c.all[s], least), c.all[s]*f)
-		c.own[s] = max(min(c.own[s], least), c.own[s]*f)
+		c.weighted[s] = max(min(c.weighted[s], least), c.weighted[s]*f)
+		c.weightedOwn[s] = max(min(c.weightedOwn[s], least), c.weightedOwn[s]*f)
 	}
 }
 
-// byMessage tells whether a sign belongs to the test of sharing by message.
-func byMessage(s Sign) bool { return s >= MessageClean && s <= EndFault }
+// isByMessageSign tells whether a sign belongs to the test of sharing by message.
+func isByMessageSign(s Sign) bool { return s >= MessageClean && s <= EndFault }
 
 // clip takes from what was clean so much that a test stands no higher than the bound given. Guards against good of long ago
 // that outweighs the bad of now.
 func (c *client) clip(t test, most float64) {
-	if t.likely <= most {
+	if t.lowBaseRatio <= most {
 		return
 	}
-	over := (t.likely - most) / math.Log((1-t.base)/(1-min(t.base+t.least, 0.999)))
-	c.all[t.counted] -= min(over, c.all[t.counted])
+	over := (t.lowBaseRatio - most) / math.Log((1-t.base)/(1-min(t.base+t.least, 0.999)))
+	c.weighted[t.countedIn] -= min(over, c.weighted[t.countedIn])
 }
 
 // Message implements fleet.Module.
 func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
-	p.heard++
-	s, err := hear(m.From, m.Body)
-	if err == nil && p.peers[m.From] == nil && len(p.names) >= maxPeers {
-		err = &BodyError{m.From, errPeers}
+	p.messagesIn++
+	s, err := decodePayload(m.From, m.Body)
+	if err == nil && p.peers[m.From] == nil && len(p.peerList) >= maxPeers {
+		err = &BodyError{m.From, errTooManyPeers}
 	}
 	if err != nil {
-		p.garbled++
-		p.complains(now, "body", err)
+		p.unreadable++
+		p.report(now, "body", err)
 		return
 	}
 	q := p.peer(now, m.From)
 	q.signs = s.Signs
-	p.denied(now, s.Denials, out)
+	p.joinDenials(now, s.Denials, out)
 	if len(s.Denials) > 0 {
-		acks := make([]saidDenial, 0, len(s.Denials))
+		acks := make([]denialRecord, 0, len(s.Denials))
 		for _, d := range s.Denials {
 			if c := p.clients[d.Key]; c != nil {
-				acks = append(acks, c.said())
+				acks = append(acks, c.denial())
 			}
 		}
-		p.send(m.From, &speech{Acks: acks}, out)
+		p.send(m.From, &payload{Acks: acks}, out)
 	}
 	for _, a := range s.Acks {
-		p.acked(now, q, a, out)
+		p.acknowledged(now, q, a, out)
 	}
 	for i := range s.Evidence {
-		p.evidence(now, q, s, &s.Evidence[i], out)
+		p.receiveEvidence(now, q, s, &s.Evidence[i], out)
 	}
 }
 
-// denied takes denials that another process told.
-func (p *Part) denied(now int64, denials []saidDenial, out *fleet.Out) {
+// joinDenials takes denials that another process told.
+func (p *Part) joinDenials(now int64, denials []denialRecord, out *fleet.Out) {
 	for _, d := range denials {
 		if c := p.client(now, d.Key, d.Epoch); c != nil {
-			p.hears(now, c, &Evidence{Epoch: d.Epoch, Denied: d.Modes, By: d.By}, out)
+			p.joinFromPeer(now, c, &Evidence{Epoch: d.Epoch, Denied: d.Modes, DeniedBy: d.DeniedBy}, out)
 		}
 	}
 }
 
-// hears joins what was heard of a client's epoch and denials. A denial of ours that has not had its rest goes over into a
+// joinFromPeer joins what was heard of a client's epoch and denials. A denial of ours that has not had its rest goes over into a
 // later epoch. Guards against an epoch that began where the witness had not been heard of.
-func (p *Part) hears(now int64, c *client, e *Evidence, out *fleet.Out) {
-	own, by := c.ev.Denied, c.ev.By
-	carry := e.Epoch > c.ev.Epoch && own != 0 && now-c.deniedAt < c.rests()/2
-	p.takeDenial(now, c, e, out)
+func (p *Part) joinFromPeer(now int64, c *client, e *Evidence, out *fleet.Out) {
+	own, by := c.evidence.Denied, c.evidence.DeniedBy
+	carry := e.Epoch > c.evidence.Epoch && own != 0 && now-c.deniedAt < c.denialTime()/2
+	p.joinDenial(now, c, e, out)
 	if carry {
 		p.deny(now, c, own, by, out)
 	}
 }
 
-// acked notes that a process has a denial, or a later epoch, in which it no longer stands.
-func (p *Part) acked(now int64, q *peer, a saidDenial, out *fleet.Out) {
+// acknowledged notes that a process has a denial, or a later epoch, in which it no longer stands.
+func (p *Part) acknowledged(now int64, q *peer, a denialRecord, out *fleet.Out) {
 	for i := 0; i < len(p.pending); i++ {
 		w := &p.pending[i]
 		if w.key != a.Key || a.Epoch < w.epoch || a.Epoch == w.epoch && w.modes&^a.Modes != 0 {
 			continue
 		}
-		w.left = slices.DeleteFunc(w.left, func(x *peer) bool { return x == q })
-		if len(w.left) == 0 {
+		w.unacknowledged = slices.DeleteFunc(w.unacknowledged, func(x *peer) bool { return x == q })
+		if len(w.unacknowledged) == 0 {
 			p.pending = slices.Delete(p.pending, i, i+1)
 			i--
 		}
 	}
-	if c := p.clients[a.Key]; c != nil && a.Epoch > c.ev.Epoch {
-		p.hears(now, c, &Evidence{Epoch: a.Epoch, Denied: a.Modes.whole(), By: a.By}, out)
+	if c := p.clients[a.Key]; c != nil && a.Epoch > c.evidence.Epoch {
+		p.joinFromPeer(now, c, &Evidence{Epoch: a.Epoch, Denied: a.Modes.withHigherModes(), DeniedBy: a.DeniedBy}, out)
 	}
 }
 
-// evidence joins another process's own record.
-func (p *Part) evidence(now int64, q *peer, s *speech, r *saidRecord, out *fleet.Out) {
+// receiveEvidence joins another process's own record.
+func (p *Part) receiveEvidence(now int64, q *peer, s *payload, r *evidenceRecord, out *fleet.Out) {
 	c := p.client(now, r.Key, r.Epoch)
 	if c == nil {
 		return
 	}
-	p.hears(now, c, &Evidence{Epoch: r.Epoch, Denied: r.Modes, By: r.By}, out)
-	if r.Epoch != c.ev.Epoch {
+	p.joinFromPeer(now, c, &Evidence{Epoch: r.Epoch, Denied: r.Modes, DeniedBy: r.DeniedBy}, out)
+	if r.Epoch != c.evidence.Epoch {
 		return
 	}
-	if _, found := c.ev.find(q.name); !found && p.records >= MaxRecords {
-		p.refused++
-		p.complains(now, "records", &RecordsError{MaxRecords})
+	if _, found := c.evidence.find(q.name); !found && p.remoteRecords >= MaxRecords {
+		p.refusedRecords++
+		p.report(now, "records", &RecordsError{MaxRecords})
 		return
 	}
-	p.joins(now, c, &Evidence{Epoch: r.Epoch, Records: []Record{{Process: q.name, Life: s.Life, Opinion: r.Opinion, Said: r.Said,
-		Signs: s.Signs, Counts: counts(r.Counts)}}}, lessTrust)
+	p.joinEvidence(now, c, &Evidence{Epoch: r.Epoch, Records: []Record{{Process: q.name, Incarnation: s.Incarnation, Opinion: r.Opinion, OpinionVersion: r.OpinionVersion,
+		Signs: s.Signs, Counts: countsFromMap(r.Counts)}}}, lateEvidenceWeight)
 }
 
 // send makes a message; what it is long for is the caller's to bound.
-func (p *Part) send(to string, s *speech, out *fleet.Out) {
-	s.Signs, s.Life = p.signs, p.life
+func (p *Part) send(to string, s *payload, out *fleet.Out) {
+	s.Signs, s.Incarnation = p.knownSigns, p.incarnation
 	body := s.bytes()
 	if len(body) > fleet.MaxBody {
 		return
 	}
-	p.sent++
+	p.messagesOut++
 	out.Send = append(out.Send, fleet.Message{Kind: fleet.Pooling, From: p.cfg.Self, To: to, Body: body})
 }
 
-// repeat tells denials again to those that have not acknowledged them.
-func (p *Part) repeat(now int64, out *fleet.Out) {
-	var due []*pending
+// resendDenials tells denials again to those that have not acknowledged them.
+func (p *Part) resendDenials(now int64, out *fleet.Out) {
+	var due []*pendingDenial
 	for i := 0; i < len(p.pending); i++ {
 		w := &p.pending[i]
-		if c := p.clients[w.key]; c == nil || c.ev.Epoch > w.epoch {
+		if c := p.clients[w.key]; c == nil || c.evidence.Epoch > w.epoch {
 			p.pending = slices.Delete(p.pending, i, i+1) // it no longer stands
 			i--
 			continue
 		}
-		w.left = slices.DeleteFunc(w.left, func(q *peer) bool { return !q.here })
-		if now >= w.due {
+		w.unacknowledged = slices.DeleteFunc(w.unacknowledged, func(q *peer) bool { return !q.present })
+		if now >= w.dueAt {
 			due = append(due, w)
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
-	for _, q := range p.names {
-		var s speech
+	for _, q := range p.peerList {
+		var s payload
 		for _, w := range due {
-			if len(s.Denials) < mostSaidDenials && slices.Contains(w.left, q) {
-				s.Denials = append(s.Denials, p.clients[w.key].said())
+			if len(s.Denials) < maxPayloadDenials && slices.Contains(w.unacknowledged, q) {
+				s.Denials = append(s.Denials, p.clients[w.key].denial())
 			}
 		}
 		if len(s.Denials) > 0 {
@@ -946,59 +946,59 @@
 		}
 	}
 	for _, w := range due {
-		w.tries++
-		if w.due = now + again; w.tries > fastTries {
-			w.due = now + againSlow
+		w.retries++
+		if w.dueAt = now + denialRetry; w.retries > fastRetries {
+			w.dueAt = now + slowDenialRetry
 		}
 	}
-	p.pending = slices.DeleteFunc(p.pending, func(w pending) bool { return len(w.left) == 0 })
+	p.pending = slices.DeleteFunc(p.pending, func(w pendingDenial) bool { return len(w.unacknowledged) == 0 })
 }
 
-// say tells evidence to the next few processes, and denials to those whose digest differs.
-func (p *Part) say(now int64, out *fleet.Out) {
-	if now-p.said < sayEvery || len(p.names) == 0 {
+// sendEvidence tells evidence to the next few processes, and denials to those whose digest differs.
+func (p *Part) sendEvidence(now int64, out *fleet.Out) {
+	if now-p.evidenceSentAt < evidenceInterval || len(p.peerList) == 0 {
 		return
 	}
-	p.said = now
-	for _, q := range p.names {
-		if !q.here || q.suspect || q.part == nil || q.digest == p.digest {
-			q.differs = 0
-		} else if q.differs == 0 {
-			q.differs = now
+	p.evidenceSentAt = now
+	for _, q := range p.peerList {
+		if !q.present || q.unavailable || q.lastPart == nil || q.digest == p.digest {
+			q.differsSince = 0
+		} else if q.differsSince == 0 {
+			q.differsSince = now
 		}
 	}
-	for n, i := 0, 0; n < fan && i < len(p.names); i++ {
-		q := p.names[p.turn%len(p.names)]
-		p.turn++
-		if !q.here || q.suspect {
+	for n, i := 0, 0; n < evidenceFanout && i < len(p.peerList); i++ {
+		q := p.peerList[p.nextPeer%len(p.peerList)]
+		p.nextPeer++
+		if !q.present || q.unavailable {
 			continue
 		}
 		n++
-		if q.differs != 0 && now-q.differs >= healAfter {
-			p.heals(q, out)
+		if q.differsSince != 0 && now-q.differsSince >= digestRepairDelay {
+			p.repairDenials(q, out)
 		}
-		if now-q.whole >= wholeEvery {
-			q.told, q.whole = 0, now
+		if now-q.resentAt >= fullResendInterval {
+			q.sentChange, q.resentAt = 0, now
 		}
-		for range bursts {
-			if !p.sayTo(q, out) {
+		for range messagesPerPeer {
+			if !p.sendEvidenceTo(q, out) {
 				break
 			}
 		}
 	}
 }
 
-// heals sends the next denials to a process that lacks some, or has others: what it has comes the same way.
-func (p *Part) heals(q *peer, out *fleet.Out) {
-	var s speech
-	for range p.order {
-		if q.heal >= len(p.order) {
-			q.heal = 0
+// repairDenials sends the next denials to a process that lacks some, or has others: what it has comes the same way.
+func (p *Part) repairDenials(q *peer, out *fleet.Out) {
+	var s payload
+	for range p.clientList {
+		if q.repairIndex >= len(p.clientList) {
+			q.repairIndex = 0
 		}
-		c := p.order[q.heal]
-		q.heal++
-		if c.ev.Denied != 0 {
-			if s.Denials = append(s.Denials, c.said()); len(s.Denials) == mostSaidDenials {
+		c := p.clientList[q.repairIndex]
+		q.repairIndex++
+		if c.evidence.Denied != 0 {
+			if s.Denials = append(s.Denials, c.denial()); len(s.Denials) == maxPayloadDenials {
 				break
 			}
 		}
@@ -1008,33 +1008,33 @@
 	}
 }
 
-// sayTo sends the own records that changed the longest ago of those that a process has not been told; false: none is left.
-func (p *Part) sayTo(q *peer, out *fleet.Out) bool {
+// sendEvidenceTo sends the own records that changed the longest ago of those that a process has not been told; false: none is left.
+func (p *Part) sendEvidenceTo(q *peer, out *fleet.Out) bool {
 	var next []*client
-	for _, c := range p.order {
-		if c.changed > q.told {
+	for _, c := range p.clientList {
+		if c.lastChange > q.sentChange {
 			next = append(next, c)
 		}
 	}
 	slices.SortFunc(next, func(a, b *client) int {
-		if a.changed < b.changed {
+		if a.lastChange < b.lastChange {
 			return -1
 		}
 		return 1
 	})
-	var s speech
+	var s payload
 	size := 64
 	for _, c := range next {
-		r := saidRecord{Key: c.key, Epoch: c.ev.Epoch, Modes: c.ev.Denied, By: c.ev.By, Opinion: c.opinion}
-		if i, ok := c.ev.find(p.cfg.Self); ok {
-			r.Said, r.Counts = c.ev.Records[i].Said, c.ev.Records[i].Counts.said()
+		r := evidenceRecord{Key: c.key, Epoch: c.evidence.Epoch, Modes: c.evidence.Denied, DeniedBy: c.evidence.DeniedBy, Opinion: c.opinion}
+		if i, ok := c.evidence.find(p.cfg.Self); ok {
+			r.OpinionVersion, r.Counts = c.evidence.Records[i].OpinionVersion, c.evidence.Records[i].Counts.toMap()
 		}
 		size += 40 + 7*len(r.Counts)
-		if len(s.Evidence) == mostSaidRecords || size > fleet.MaxBody {
+		if len(s.Evidence) == maxPayloadRecords || size > fleet.MaxBody {
 			break
 		}
 		s.Evidence = append(s.Evidence, r)
-		q.told = c.changed
+		q.sentChange = c.lastChange
 	}
 	if len(s.Evidence) == 0 {
 		return false
@@ -1043,27 +1043,27 @@
 	return len(s.Evidence) < len(next)
 }
 
-// tell puts this process's part of its entry up: which signs it knows, the digest of its denials, and the newest of them.
-func (p *Part) tell(now int64, out *fleet.Out) {
-	if p.life == 0 || p.toldAs != nil && now-p.toldAt < tellEvery {
+// publishEntry puts this process's part of its entry up: which signs it knows, the digest of its denials, and the newest of them.
+func (p *Part) publishEntry(now int64, out *fleet.Out) {
+	if p.incarnation == 0 || p.entryBody != nil && now-p.entrySentAt < entryInterval {
 		return
 	}
-	s := speech{Signs: p.signs, Life: p.life, Digest: p.digest}
+	s := payload{Signs: p.knownSigns, Incarnation: p.incarnation, Digest: p.digest}
 	var denied []*client
-	for _, c := range p.order {
-		if c.ev.Denied != 0 {
+	for _, c := range p.clientList {
+		if c.evidence.Denied != 0 {
 			denied = append(denied, c)
 		}
 	}
 	slices.SortStableFunc(denied, func(a, b *client) int { return int(min(max(b.deniedAt-a.deniedAt, -1), 1)) })
-	for _, c := range denied[:min(len(denied), mostSaidDenials)] {
-		s.Denials = append(s.Denials, c.said())
+	for _, c := range denied[:min(len(denied), maxPayloadDenials)] {
+		s.Denials = append(s.Denials, c.denial())
 	}
 	body := s.bytes()
-	if slices.Equal(body, p.toldAs) {
+	if slices.Equal(body, p.entryBody) {
 		return
 	}
-	p.toldAt, p.toldAs = now, body
+	p.entrySentAt, p.entryBody = now, body
 	out.Tell(fleet.Pooling, body)
 }
 
@@ -1071,14 +1071,14 @@
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
 	var by [ByMessage + 1]uint64
 	denied := uint64(0)
-	for _, c := range p.order {
+	for _, c := range p.clientList {
 		by[c.mode]++
-		if c.ev.Denied != 0 {
+		if c.evidence.Denied != 0 {
 			denied++
 		}
 	}
 	cut := uint64(0)
-	if p.cutAt != 0 {
+	if p.isolatedSince != 0 {
 		cut = 1
 	}
 	for _, f := range []struct {
@@ -1086,14 +1086,14 @@
 		n     uint64
 		gauge bool
 	}{
-		{"pooling.clients", uint64(len(p.order)), true}, {"pooling.by_session", by[BySession], true},
+		{"pooling.clients", uint64(len(p.clientList)), true}, {"pooling.by_session", by[BySession], true},
 		{"pooling.by_call", by[ByCall], true}, {"pooling.by_message", by[ByMessage], true},
-		{"pooling.denied", denied, true}, {"pooling.records", uint64(p.records), true}, {"pooling.cut", cut, true},
+		{"pooling.denied", denied, true}, {"pooling.records", uint64(p.remoteRecords), true}, {"pooling.cut", cut, true},
 		{"pooling.untold", uint64(len(p.pending)), true},
 		{"pooling.raises", p.raises, false}, {"pooling.falls", p.falls, false}, {"pooling.witnesses", p.witnesses, false},
-		{"pooling.messages_in", p.heard, false}, {"pooling.messages_out", p.sent, false}, {"pooling.garbled", p.garbled, false},
-		{"pooling.records_refused", p.refused, false}, {"pooling.clients_refused", p.full, false},
-		{"pooling.ring_full", p.cfg.Loop.held.Load(), false}, {"pooling.signs_dropped", p.cfg.Loop.dropped.Load(), false},
+		{"pooling.messages_in", p.messagesIn, false}, {"pooling.messages_out", p.messagesOut, false}, {"pooling.garbled", p.unreadable, false},
+		{"pooling.records_refused", p.refusedRecords, false}, {"pooling.clients_refused", p.refusedClients, false},
+		{"pooling.ring_full", p.cfg.Loop.ringFull.Load(), false}, {"pooling.signs_dropped", p.cfg.Loop.droppedSigns.Load(), false},
 	} {
 		put(f.name, f.n, f.gauge)
 	}
--- a/internal/pooling/pooling_test.go
+++ b/internal/pooling/pooling_test.go
@@ -22,14 +22,14 @@
 	Fatalf(format string, args ...any)
 }
 
-func same[T any](t tester, want, got T, why ...string) {
+func requireEqual[T any](t tester, want, got T, why ...string) {
 	t.Helper()
 	if d := cmp.Diff(want, got); d != "" {
 		t.Fatalf("%s (-want +got):\n%s", why, d)
 	}
 }
 
-func holds(t tester, ok bool) {
+func requireTrue(t tester, ok bool) {
 	t.Helper()
 	if !ok {
 		t.Fatalf("does not hold")
@@ -42,11 +42,11 @@
 	e := pooling.Evidence{Epoch: rapid.Uint32Range(1, 3).Draw(t, name+".epoch")}
 	if rapid.Bool().Draw(t, name+".denied") {
 		e.Denied = rapid.SampledFrom([]pooling.Modes{pooling.DenyMessage, pooling.DenyCall}).Draw(t, name+".modes")
-		e.By = rapid.SampledFrom([]pooling.Sign{pooling.TokenBound, pooling.IDClash, 37}).Draw(t, name+".by")
+		e.DeniedBy = rapid.SampledFrom([]pooling.Sign{pooling.TokenBound, pooling.IDClash, 37}).Draw(t, name+".by")
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, name+".n") {
-		r := pooling.Record{Process: fmt.Sprint("p", i), Life: rapid.Uint64Range(1, 2).Draw(t, "life"),
-			Opinion: pooling.Mode(rapid.IntRange(0, 3).Draw(t, "opinion")), Said: rapid.Uint32Range(0, 2).Draw(t, "said"),
+		r := pooling.Record{Process: fmt.Sprint("p", i), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"),
+			Opinion: pooling.Mode(rapid.IntRange(0, 3).Draw(t, "opinion")), OpinionVersion: rapid.Uint32Range(0, 2).Draw(t, "said"),
 			Signs: rapid.SampledFrom([]uint64{pooling.Known, 1 << 38, 3}).Draw(t, "signs")}
 		for _, s := range []pooling.Sign{pooling.CallClean, pooling.CallFault, 38} {
 			r.Counts[s] = rapid.Uint32Range(0, 5).Draw(t, "count")
@@ -59,23 +59,23 @@
 	return e
 }
 
-func joined(how string, es ...pooling.Evidence) pooling.Evidence {
+func joinAll(how string, es ...pooling.Evidence) pooling.Evidence {
 	sum := pooling.Evidence{}
 	for i := range es {
-		sum.JoinDoctored(&es[i], how)
+		sum.JoinWithDefect(&es[i], how)
 	}
 	return sum
 }
 
-// laws tells which law of a join does not hold for three pieces of evidence; empty: all do.
-func laws(how string, a, b, c pooling.Evidence) string {
-	ab, bc := joined(how, a, b), joined(how, b, c)
+// brokenLaw tells which law of a join does not hold for three pieces of evidence; empty: all do.
+func brokenLaw(how string, a, b, c pooling.Evidence) string {
+	ab, bc := joinAll(how, a, b), joinAll(how, b, c)
 	switch {
-	case !cmp.Equal(joined(how, a, b), joined(how, b, a)):
+	case !cmp.Equal(joinAll(how, a, b), joinAll(how, b, a)):
 		return "commutes"
-	case !cmp.Equal(joined(how, ab, c), joined(how, a, bc)):
+	case !cmp.Equal(joinAll(how, ab, c), joinAll(how, a, bc)):
 		return "associates"
-	case !cmp.Equal(joined(how, ab, a, b, ab), ab):
+	case !cmp.Equal(joinAll(how, ab, a, b, ab), ab):
 		return "idempotent"
 	}
 	for _, e := range []pooling.Evidence{a, b} {
@@ -90,54 +90,54 @@
 	broken := ""
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEvidence(t, "a"), drawEvidence(t, "b"), drawEvidence(t, "c")
-		same(t, "", laws("", a, b, c))
+		requireEqual(t, "", brokenLaw("", a, b, c))
 		if broken == "" {
-			broken = laws("join adds", a, b, c)
+			broken = brokenLaw("join adds", a, b, c)
 		}
 	})
-	same(t, "idempotent", broken, "a join that adds is caught for repeating, and for nothing else first")
+	requireEqual(t, "idempotent", broken, "a join that adds is caught for repeating, and for nothing else first")
 }
 
 // ---- one process, step by step ----
 
-// one is a loop with its part, and the view that it is alone or with others.
-type one struct {
-	now  int64
-	loop *pooling.Loop
-	part *pooling.Part
-	out  fleet.Out
-	view fleet.View
-	ids  uint64
+// process is a loop with its part, and the view that it is alone or with others.
+type process struct {
+	now       int64
+	loop      *pooling.Loop
+	part      *pooling.Part
+	out       fleet.Out
+	view      fleet.View
+	callCount uint64
 	// epoch is that of others' evidence, less one
-	epoch uint32
-	sess  pooling.SessionID
-	c     pooling.ClientID
+	epoch     uint32
+	sessionID pooling.SessionID
+	clientID  pooling.ClientID
 }
 
 var key = pooling.Key("app", "127.0.0.1")
 
-func newOne(t testing.TB, how string, cfg pooling.Config, others ...fleet.Member) *one {
-	o := &one{now: 1, loop: pooling.NewLoop(7)}
+func newProcess(t testing.TB, how string, cfg pooling.Config, others ...fleet.Member) *process {
+	o := &process{now: 1, loop: pooling.NewLoop(7)}
 	cfg.Self, cfg.Loop = "self", o.loop
 	var err error
 	o.part, err = pooling.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	pooling.Doctor(o.part, o.loop, how)
+	pooling.InjectDefect(o.part, o.loop, how)
 	o.part.Start(o.now, &o.out)
 	o.view.Members = append(others, fleet.Member{Entry: fleet.Entry{Name: "self", Incarnation: 5, State: fleet.Serving}})
-	o.pass(11_000_000, 100_000)
-	o.c = o.session()
+	o.advance(11_000_000, 100_000)
+	o.clientID = o.session()
 	return o
 }
 
-func (o *one) session() pooling.ClientID {
-	o.sess++
-	return o.loop.Open(o.now, o.sess, "app", "127.0.0.1")
+func (o *process) session() pooling.ClientID {
+	o.sessionID++
+	return o.loop.Open(o.now, o.sessionID, "app", "127.0.0.1")
 }
 
-func (o *one) pass(d, step int64) {
+func (o *process) advance(d, step int64) {
 	for end := o.now + d; o.now < end; {
 		o.now += step
 		o.loop.Round(o.now)
@@ -146,37 +146,37 @@
 	}
 }
 
-func (o *one) call(free bool) *pooling.Call {
-	o.ids++
-	c := &pooling.Call{ID: o.ids, Client: o.c, Session: o.sess, Office: 1, Free: free}
-	o.see(c, pooling.CameSetUp, 0, "ask")
+func (o *process) call(free bool) *pooling.Call {
+	o.callCount++
+	c := &pooling.Call{ID: o.callCount, Client: o.clientID, Session: o.sessionID, Office: 1, Free: free}
+	o.observe(c, pooling.CameSetUp, 0, "ask")
 	return c
 }
 
-func (o *one) see(c *pooling.Call, what pooling.Happening, cause byte, text string) {
+func (o *process) observe(c *pooling.Call, what pooling.Happening, cause byte, text string) {
 	o.loop.Observe(o.now, pooling.Observation{What: what, Call: c, Cause: cause, Text: []byte(text)})
 }
 
-// answered plays a call that is answered and over, and tells its lane.
-func (o *one) answered(free bool) pooling.Lane {
+// playAnswered plays a call that is playAnswered and over, and tells its lane.
+func (o *process) playAnswered(free bool) pooling.Lane {
 	c := o.call(free)
 	lane := o.loop.Lane(o.now, c, pooling.SetUp)
-	o.see(c, pooling.Answered, 0, "done")
-	o.see(c, pooling.Over, 0, "")
+	o.observe(c, pooling.Answered, 0, "done")
+	o.observe(c, pooling.Over, 0, "")
 	return lane
 }
 
-// tried plays answered calls until one was tried on a shared lane; that one is returned, without its answer.
-func (o *one) tried(t testing.TB) *pooling.Call {
+// playUntilTrial plays answered calls until one was playUntilTrial on a shared lane; that one is returned, without its answer.
+func (o *process) playUntilTrial(t testing.TB) *pooling.Call {
 	for range 100_000 {
 		c := o.call(true)
 		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
 			return c
 		}
-		o.see(c, pooling.Answered, 0, "done")
-		o.see(c, pooling.Over, 0, "")
-		if o.ids%1000 == 0 {
-			o.pass(100_000, 100_000)
+		o.observe(c, pooling.Answered, 0, "done")
+		o.observe(c, pooling.Over, 0, "")
+		if o.callCount%1000 == 0 {
+			o.advance(100_000, 100_000)
 		}
 	}
 	t.Fatal("nothing was tried")
@@ -185,22 +185,22 @@
 
 // ---- what a guard is for, and that its test fails without it ----
 
-// evidence makes a process of others tell clean outcomes, or any other counts, of the client.
-func (o *one) evidence(t testing.TB, from string, signs uint64, opinion pooling.Mode, counts map[pooling.Sign]uint32) {
-	b := pooling.Body(key, signs, 9, o.epoch+1, uint32(opinion)+1, opinion, counts)
-	holds(t, len(b) <= fleet.MaxBody)
+// receiveEvidence makes a process of others tell clean outcomes, or any other counts, of the client.
+func (o *process) receiveEvidence(t testing.TB, from string, signs uint64, opinion pooling.Mode, counts map[pooling.Sign]uint32) {
+	b := pooling.EncodePayload(key, signs, 9, o.epoch+1, uint32(opinion)+1, opinion, counts)
+	requireTrue(t, len(b) <= fleet.MaxBody)
 	o.part.Message(o.now, fleet.Message{Kind: fleet.Pooling, From: from, To: "self", Body: b}, &o.out)
-	o.pass(1_000_000, 100_000)
+	o.advance(1_000_000, 100_000)
 }
 
 func serving(name string) fleet.Member {
 	return fleet.Member{Entry: fleet.Entry{Name: name, Incarnation: 1, State: fleet.Serving}}
 }
 
-func (o *one) mode() pooling.Mode { return o.loop.Verdict(key).Mode }
+func (o *process) mode() pooling.Mode { return o.loop.Verdict(key).Mode }
 
-// enough is more clean outcomes than a raise by call needs at full trust, and fewer than at half of it.
-var enough = map[pooling.Sign]uint32{pooling.CallClean: uint32(1.5 * pooling.Bound(1e-4, 1) / pooling.LeastHarm), pooling.Overlapped: 1000}
+// enoughClean is more clean outcomes than a raise by call needs at full trust, and fewer than at half of it.
+var enoughClean = map[pooling.Sign]uint32{pooling.CallClean: uint32(1.5 * pooling.RequiredLogRatio(1e-4, 1) / pooling.MinHarm), pooling.Overlapped: 1000}
 
 var guards = []struct {
 	name string
@@ -208,63 +208,63 @@
 	play func(t testing.TB, how string) string
 }{
 	{"witness does not win", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{})
-		c := o.tried(t)
-		o.see(c, pooling.Failed, wire.CauseMissing, "")
+		o := newProcess(t, how, pooling.Config{})
+		c := o.playUntilTrial(t)
+		o.observe(c, pooling.Failed, wire.CauseMissing, "")
 		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
 			return "the repeat was shared"
 		}
-		o.see(c, pooling.Answered, 0, "done")
+		o.observe(c, pooling.Answered, 0, "done")
 		for i := range 3000 {
-			if o.answered(true) != pooling.Own {
+			if o.playAnswered(true) != pooling.Own {
 				return "shared after a witness"
 			}
 			if i == 1000 {
-				o.pass(1_000_000, 100_000)
+				o.advance(1_000_000, 100_000)
 			}
 		}
 		return ""
 	}},
 	{"no decay", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{}, serving("other"))
-		o.loop.Count(o.c, pooling.CallClean, enough[pooling.CallClean])
-		o.loop.Count(o.c, pooling.Overlapped, 1000)
-		o.pass(1_000_000, 100_000)
-		same(t, pooling.ByCall, o.mode())
-		o.pass(2*pooling.HalfLife, 1_900_000)
+		o := newProcess(t, how, pooling.Config{}, serving("other"))
+		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
+		o.loop.Count(o.clientID, pooling.Overlapped, 1000)
+		o.advance(1_000_000, 100_000)
+		requireEqual(t, pooling.ByCall, o.mode())
+		o.advance(2*pooling.HalfLife, 1_900_000)
 		if o.mode() != pooling.BySession {
 			return "raised by what was seen two half-lives ago"
 		}
 		return ""
 	}},
 	{"cut-off process raises", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{}, serving("a"), serving("b"))
+		o := newProcess(t, how, pooling.Config{}, serving("a"), serving("b"))
 		o.view.Members[0].Suspect, o.view.Members[1].Suspect = true, true
-		o.pass(200_000, 100_000)
-		o.loop.Count(o.c, pooling.CallClean, enough[pooling.CallClean])
-		o.loop.Count(o.c, pooling.Overlapped, 1000)
-		o.pass(20_000_000, 100_000)
+		o.advance(200_000, 100_000)
+		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
+		o.loop.Count(o.clientID, pooling.Overlapped, 1000)
+		o.advance(20_000_000, 100_000)
 		if o.mode() != pooling.BySession {
 			return "raised while cut off"
 		}
 		o.view.Members[0].Suspect, o.view.Members[1].Suspect = false, false
-		o.pass(5_000_000, 100_000)
-		same(t, pooling.ByCall, o.mode(), "it goes on once it hears the others again")
+		o.advance(5_000_000, 100_000)
+		requireEqual(t, pooling.ByCall, o.mode(), "it goes on once it hears the others again")
 		return ""
 	}},
 	{"join adds", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{}, serving("other"))
+		o := newProcess(t, how, pooling.Config{}, serving("other"))
 		for range 4 { // the same message again and again
-			o.evidence(t, "other", pooling.Known, pooling.BySession, map[pooling.Sign]uint32{pooling.CallClean: 1000})
+			o.receiveEvidence(t, "other", pooling.Known, pooling.BySession, map[pooling.Sign]uint32{pooling.CallClean: 1000})
 		}
-		if n := o.part.All(key, pooling.CallClean); n > 500 {
+		if n := o.part.Weighted(key, pooling.CallClean); n > 500 {
 			return "what came again counted again"
 		}
 		return ""
 	}},
 	{"new process trusts fully", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{}, serving("other"))
-		o.evidence(t, "other", pooling.Known, pooling.ByCall, enough)
+		o := newProcess(t, how, pooling.Config{}, serving("other"))
+		o.receiveEvidence(t, "other", pooling.Known, pooling.ByCall, enoughClean)
 		if o.mode() != pooling.BySession {
 			return "raised at once by what others saw before"
 		}
@@ -272,12 +272,12 @@
 	}},
 	{"calls under way move", func(t testing.TB, how string) string {
 		for _, mode := range []pooling.Mode{pooling.ByCall, pooling.ByMessage} {
-			o := newOne(t, how, pooling.Config{})
+			o := newProcess(t, how, pooling.Config{})
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: mode})
 			c := o.call(true)
 			lane := o.loop.Lane(o.now, c, pooling.SetUp)
-			same(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken, pooling.ByMessage: pooling.Any}[mode], lane)
-			o.see(c, pooling.Answered, 0, "done")
+			requireEqual(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken, pooling.ByMessage: pooling.Any}[mode], lane)
+			o.observe(c, pooling.Answered, 0, "done")
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession})
 			for _, k := range []pooling.Kind{pooling.End, pooling.GiveUp, pooling.Heard} {
 				if o.loop.Lane(o.now, c, k) != pooling.Held {
@@ -288,30 +288,30 @@
 		return ""
 	}},
 	{"any class is tried", func(t testing.TB, how string) string {
-		o := newOne(t, how, pooling.Config{})
+		o := newProcess(t, how, pooling.Config{})
 		o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Trial: pooling.ByCall, Share: math.MaxUint32, Marked: math.MaxUint32})
 		for range 50 {
-			if o.answered(false) != pooling.Own {
+			if o.playAnswered(false) != pooling.Own {
 				return "a class that may not be repeated was tried"
 			}
 		}
-		o.answered(true)
-		same(t, pooling.Taken, o.answered(true))
+		o.playAnswered(true)
+		requireEqual(t, pooling.Taken, o.playAnswered(true))
 		return ""
 	}},
 	{"lower verdict not taken", func(t testing.TB, how string) string {
 		later := uint64(1)<<38 | pooling.Known
-		o := newOne(t, how, pooling.Config{}, serving("newer"))
-		o.evidence(t, "newer", later, pooling.BySession, map[pooling.Sign]uint32{38: 7})
-		o.loop.Count(o.c, pooling.CallClean, enough[pooling.CallClean])
-		o.loop.Count(o.c, pooling.Overlapped, 1000)
-		o.pass(1_000_000, 100_000)
-		same(t, pooling.ByCall, o.part.Opinion(key))
+		o := newProcess(t, how, pooling.Config{}, serving("newer"))
+		o.receiveEvidence(t, "newer", later, pooling.BySession, map[pooling.Sign]uint32{38: 7})
+		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
+		o.loop.Count(o.clientID, pooling.Overlapped, 1000)
+		o.advance(1_000_000, 100_000)
+		requireEqual(t, pooling.ByCall, o.part.Opinion(key))
 		if o.mode() != pooling.BySession {
 			return "above the verdict of a version that knows more signs"
 		}
-		o.evidence(t, "newer", later, pooling.ByCall, nil)
-		same(t, pooling.ByCall, o.mode(), "both agree")
+		o.receiveEvidence(t, "newer", later, pooling.ByCall, nil)
+		requireEqual(t, pooling.ByCall, o.mode(), "both agree")
 		return ""
 	}},
 	{"no confidence bound", func(t testing.TB, how string) string {
@@ -333,17 +333,17 @@
 	}},
 }
 
-func TestGuardsAreThereAndMissed(t *testing.T) {
+func TestEachGuardFailsWhenDisabled(t *testing.T) {
 	why := map[string]string{"witness does not win": "shared after a witness", "no decay": "raised by what was seen two half-lives ago",
 		"cut-off process raises": "raised while cut off", "join adds": "what came again counted again",
 		"new process trusts fully": "raised at once by what others saw before", "calls under way move": "moved at the fall",
 		"any class is tried":      "a class that may not be repeated was tried",
 		"lower verdict not taken": "above the verdict of a version that knows more signs", "no confidence bound": "an unsafe client was raised"}
-	same(t, len(why), len(guards))
+	requireEqual(t, len(why), len(guards))
 	for _, g := range guards {
 		t.Run(g.name, func(t *testing.T) {
-			same(t, "", g.play(t, ""))
-			same(t, why[g.name], g.play(t, g.name), "caught for its own reason")
+			requireEqual(t, "", g.play(t, ""))
+			requireEqual(t, why[g.name], g.play(t, g.name), "caught for its own reason")
 		})
 	}
 }
@@ -361,83 +361,83 @@
 	w.Procs[4].Cut = true
 	w.Idle(1_000_000)
 	w.Play(20_000, func() bool { return w.First != 0 })
-	holds(t, w.First != 0)
+	requireTrue(t, w.First != 0)
 	w.Idle(2_000_000)
 	for _, p := range w.Procs[:4] {
-		holds(t, p.Witness != 0)
+		requireTrue(t, p.Witness != 0)
 	}
-	same(t, int64(0), w.Procs[4].Witness)
+	requireEqual(t, int64(0), w.Procs[4].Witness)
 	w.Procs[4].Cut = false
 	w.Idle(5_000_000)
-	holds(t, w.Procs[4].Witness != 0)
-	same(t, w.Procs[0].Part.Digest(), w.Procs[4].Part.Digest())
+	requireTrue(t, w.Procs[4].Witness != 0)
+	requireEqual(t, w.Procs[0].Part.Digest(), w.Procs[4].Part.Digest())
 
 	// A process that starts now learns of it before it tries anybody.
 	w.Start(2)
 	w.Idle(3_000_000)
-	holds(t, w.Procs[2].Witness != 0)
+	requireTrue(t, w.Procs[2].Witness != 0)
 	harmed := w.Harm.Tried + w.Harm.Raised
 	w.Play(20_000, nil)
-	same(t, harmed, w.Harm.Tried+w.Harm.Raised)
-}
-
-// TestStoppedProcessWakes: its table has run out, whatever it said.
-func TestStoppedProcessWakes(t *testing.T) {
-	o := newOne(t, "", pooling.Config{}, serving("other"))
-	o.loop.Count(o.c, pooling.CallClean, enough[pooling.CallClean])
-	o.loop.Count(o.c, pooling.Overlapped, 1000)
-	o.pass(1_000_000, 100_000)
-	same(t, pooling.Taken, o.answered(true))
-	o.now += pooling.TableFor + 1_000_000
-	same(t, pooling.Own, o.answered(true), "before the part has moved")
+	requireEqual(t, harmed, w.Harm.Tried+w.Harm.Raised)
+}
+
+// TestStalledProcessResumes: its table has run out, whatever it said.
+func TestStalledProcessResumes(t *testing.T) {
+	o := newProcess(t, "", pooling.Config{}, serving("other"))
+	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
+	o.loop.Count(o.clientID, pooling.Overlapped, 1000)
+	o.advance(1_000_000, 100_000)
+	requireEqual(t, pooling.Taken, o.playAnswered(true))
+	o.now += pooling.TableLifetime + 1_000_000
+	requireEqual(t, pooling.Own, o.playAnswered(true), "before the part has moved")
 	o.part.Tick(o.now, &o.out)
-	same(t, pooling.Own, o.answered(true), "and right after")
-	o.pass(3_000_000, 100_000)
-	same(t, pooling.Taken, o.answered(true))
+	requireEqual(t, pooling.Own, o.playAnswered(true), "and right after")
+	o.advance(3_000_000, 100_000)
+	requireEqual(t, pooling.Taken, o.playAnswered(true))
 }
 
 // TestWatch: the verdict is reached and nothing goes by it.
 func TestWatch(t *testing.T) {
-	o := newOne(t, "", pooling.Config{Watch: true})
-	o.loop.Count(o.c, pooling.CallClean, enough[pooling.CallClean])
-	o.loop.Count(o.c, pooling.Overlapped, 1000)
-	o.pass(1_000_000, 100_000)
-	same(t, pooling.ByCall, o.part.Opinion(key))
-	same(t, pooling.BySession, o.mode())
+	o := newProcess(t, "", pooling.Config{Watch: true})
+	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
+	o.loop.Count(o.clientID, pooling.Overlapped, 1000)
+	o.advance(1_000_000, 100_000)
+	requireEqual(t, pooling.ByCall, o.part.Opinion(key))
+	requireEqual(t, pooling.BySession, o.mode())
 }
 
-// TestNewLifeIsToldAnew: a process that starts again has its peers' evidence within seconds, at half its weight.
-func TestNewLifeIsToldAnew(t *testing.T) {
+// TestRestartedProcessReceivesEvidence: a process that starts again has its peers' evidence within seconds, at half its weight.
+func TestRestartedProcessReceivesEvidence(t *testing.T) {
 	w := world(4, 9, populations.Habit{Way: populations.Stateless, Rate: 1})
 	w.Play(20_000, nil)
 	w.Idle(2_000_000)
 	k := pooling.Key("app0", "127.0.0.1")
-	had := w.Procs[1].Part.All(k, pooling.CallClean)
+	had := w.Procs[1].Part.Weighted(k, pooling.CallClean)
 	w.Start(1)
 	w.Idle(3_000_000)
-	has := w.Procs[1].Part.All(k, pooling.CallClean)
-	holds(t, had > 1000 && has > had/4 && has < had/2) // less its own last life, which nobody tells it
+	has := w.Procs[1].Part.Weighted(k, pooling.CallClean)
+	requireTrue(t, had > 1000 && has > had/4 && has < had/2) // less its own last life, which nobody tells it
 }
 
 // TestEpochs: a denial ends with its epoch alone, and a young one goes over into an epoch that began elsewhere.
 func TestEpochs(t *testing.T) {
-	o := newOne(t, "", pooling.Config{}, serving("other"))
-	o.loop.Count(o.c, pooling.StateMissing, 1)
-	o.pass(100_000_000, 1_000_000)
-	same(t, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
+	o := newProcess(t, "", pooling.Config{}, serving("other"))
+	o.loop.Count(o.clientID, pooling.StateMissing, 1)
+	o.advance(100_000_000, 1_000_000)
+	requireEqual(t, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
 	o.epoch = 1
-	o.evidence(t, "other", pooling.Known, pooling.ByCall, enough)
-	same(t, pooling.Verdict{Epoch: 2, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
-	o.pass(1_210_000_000, 1_000_000) // twice as long in the second epoch
+	o.receiveEvidence(t, "other", pooling.Known, pooling.ByCall, enoughClean)
+	requireEqual(t, pooling.Verdict{Epoch: 2, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
+	o.advance(1_210_000_000, 1_000_000) // twice as long in the second epoch
 	v := o.loop.Verdict(key)
-	same(t, []any{uint32(3), pooling.ByCall, o.part.Digest()}, []any{v.Epoch, v.Trial, uint64(0)})
+	requireEqual(t, []any{uint32(3), pooling.ByCall, o.part.Digest()}, []any{v.Epoch, v.Trial, uint64(0)})
 }
 
 // ---- bounds ----
 
 // TestBounds: garbage, more clients than fit, more denials than an entry holds, a ring that nobody empties.
 func TestBounds(t *testing.T) {
-	o := newOne(t, "", pooling.Config{}, serving("other"))
+	o := newProcess(t, "", pooling.Config{}, serving("other"))
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, fleet.MaxBody+8).Draw(t, "body")
 		o.part.Message(o.now, fleet.Message{From: "other", Body: b}, &o.out)
@@ -447,23 +447,23 @@
 		s := o.loop.Open(o.now, pooling.SessionID(1000+i), fmt.Sprint("app", i), "127.0.0.1")
 		o.loop.Count(s, pooling.StateMissing, 1)
 		if i%100 == 0 {
-			o.pass(100_000, 100_000)
+			o.advance(100_000, 100_000)
 		}
 	}
-	o.pass(1_000_000, 100_000)
+	o.advance(1_000_000, 100_000)
 	figures := map[string]uint64{}
 	o.part.Figures(func(name string, n uint64, _ bool) { figures[name] = n })
-	same(t, uint64(pooling.MaxClients), figures["pooling.clients"])
-	holds(t, figures["pooling.clients_refused"] != 0)
-	holds(t, len(o.out.Parts[fleet.Pooling]) <= fleet.MaxBody)
+	requireEqual(t, uint64(pooling.MaxClients), figures["pooling.clients"])
+	requireTrue(t, figures["pooling.clients_refused"] != 0)
+	requireTrue(t, len(o.out.Parts[fleet.Pooling]) <= fleet.MaxBody)
 	for _, m := range o.out.Send {
-		holds(t, len(m.Body) <= fleet.MaxBody)
+		requireTrue(t, len(m.Body) <= fleet.MaxBody)
 	}
 
 	for _, cfg := range []pooling.Config{{}, {Self: "a"}, {Self: "a", Loop: o.loop, Unsafe: 2}} {
 		_, err := pooling.New(cfg)
 		var bad *pooling.ConfigError
-		holds(t, errors.As(err, &bad))
+		requireTrue(t, errors.As(err, &bad))
 	}
 	l := pooling.NewLoop(1)
 	for i := range pooling.SessionID(1000) { // far more clients than the ring has slots
@@ -473,15 +473,15 @@
 	for now := int64(100_000); now < 1_000_000; now += 100_000 {
 		l.Round(now)
 		l.Round(now + 50_000)
-		n += l.Drained()[pooling.OwnClean]
+		n += l.DrainRing()[pooling.OwnClean]
 	}
-	same(t, uint32(3000), n, "nothing is lost while the ring is full")
+	requireEqual(t, uint32(3000), n, "nothing is lost while the ring is full")
 }
 
 // TestLoopBesidePart: the loop and the part are two goroutines; what crosses is the ring and the table alone. Under the race
 // detector it tells more.
 func TestLoopBesidePart(t *testing.T) {
-	o := newOne(t, "", pooling.Config{})
+	o := newProcess(t, "", pooling.Config{})
 	counted := make(chan uint32)
 	go func() {
 		n := uint32(0)
@@ -490,8 +490,8 @@
 			if o.loop.Lane(20_000_000+i*1000, c, pooling.SetUp) == pooling.Own {
 				n++
 			}
-			o.see(c, pooling.Answered, 0, "done")
-			o.see(c, pooling.Over, 0, "")
+			o.observe(c, pooling.Answered, 0, "done")
+			o.observe(c, pooling.Over, 0, "")
 			o.loop.Round(20_000_000 + i*1000)
 		}
 		for i := range int64(2) { // what is left
@@ -505,8 +505,8 @@
 		select {
 		case n := <-counted:
 			o.part.Tick(20_000_000+i*1000, &out)
-			all := o.part.All(key, pooling.OwnClean)
-			holds(t, n > 10_000 && all > 0 && all <= float64(n))
+			all := o.part.Weighted(key, pooling.OwnClean)
+			requireTrue(t, n > 10_000 && all > 0 && all <= float64(n))
 			return
 		default:
 		}
@@ -515,11 +515,11 @@
 
 // TestLoopAllocatesNothing: what the session code calls for each message.
 func TestLoopAllocatesNothing(t *testing.T) {
-	o := newOne(t, "", pooling.Config{})
+	o := newProcess(t, "", pooling.Config{})
 	text := bytes.Repeat([]byte("token-0123456789 "), 8)
-	c := &pooling.Call{Client: o.c, Session: o.sess, Office: 1, Free: true}
-	same(t, 0, testing.AllocsPerRun(1000, func() {
-		*c = pooling.Call{Client: o.c, Session: o.sess, Office: 1, Free: true}
+	c := &pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
+	requireEqual(t, 0, testing.AllocsPerRun(1000, func() {
+		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
 		o.loop.Observe(o.now, pooling.Observation{What: pooling.CameSetUp, Call: c, Text: text})
 		o.loop.Lane(o.now, c, pooling.SetUp)
 		o.loop.Observe(o.now, pooling.Observation{What: pooling.Answered, Call: c, Text: text})
@@ -531,11 +531,11 @@
 }
 
 func BenchmarkLoop(b *testing.B) {
-	o := newOne(b, "", pooling.Config{})
+	o := newProcess(b, "", pooling.Config{})
 	text := []byte("v=0 o=caller 4711 s=call token-0123456789 m=audio 4000")
 	c := &pooling.Call{}
 	for b.Loop() {
-		*c = pooling.Call{Client: o.c, Session: o.sess, Office: 1, Free: true}
+		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
 		o.loop.Observe(o.now, pooling.Observation{What: pooling.CameSetUp, Call: c, Text: text})
 		o.loop.Lane(o.now, c, pooling.SetUp)
 		o.loop.Observe(o.now, pooling.Observation{What: pooling.Answered, Call: c, Text: text})
@@ -550,7 +550,7 @@
 	for i := range 23 {
 		others = append(others, serving(fmt.Sprintf("p%02d", i)))
 	}
-	o := newOne(b, "", pooling.Config{}, others...)
+	o := newProcess(b, "", pooling.Config{}, others...)
 	var ids []pooling.ClientID
 	for i := range 1000 {
 		ids = append(ids, o.loop.Open(o.now, pooling.SessionID(5000+i), fmt.Sprint("app", i), "127.0.0.1"))
@@ -573,11 +573,11 @@
 // TestSigns: the table has a line for each sign, in order, and a witness denies something, nothing else does.
 func TestSigns(t *testing.T) {
 	for i, m := range pooling.Signs {
-		same(t, pooling.Sign(i+1), m.Sign)
-		same(t, m.Effect == pooling.Witness, m.Denies != 0, m.Name)
+		requireEqual(t, pooling.Sign(i+1), m.Sign)
+		requireEqual(t, m.Effect == pooling.Witness, m.Denies != 0, m.Name)
 	}
 	for _, e := range pooling.Errors {
-		holds(t, e.Advice() != "")
+		requireTrue(t, e.Advice() != "")
 	}
 }
 
@@ -595,7 +595,7 @@
 			} else {
 				tally.Clean++
 			}
-			if l := pooling.Likelihood(tally, 1e-4, least); l >= math.Log(100) {
+			if l := pooling.LogLikelihoodRatio(tally, 1e-4, least); l >= math.Log(100) {
 				raised++
 				break
 			} else if l < -50 {
@@ -604,6 +604,6 @@
 		}
 	}
 	// 1 in 100 is the bound here, so that 8,000 runs can tell; 5 deviations of counting are allowed for.
-	holds(t, float64(raised) < runs/100.+5*math.Sqrt(runs/100.))
-	holds(t, raised > runs/400) // the bound is not kept by raising nobody
+	requireTrue(t, float64(raised) < runs/100.+5*math.Sqrt(runs/100.))
+	requireTrue(t, raised > runs/400) // the bound is not kept by raising nobody
 }
--- a/internal/pooling/signs.go
+++ b/internal/pooling/signs.go
@@ -71,8 +71,8 @@
 	Witness                   // denies at once, whatever else was seen
 )
 
-// Meaning is a sign's line in the table.
-type Meaning struct {
+// SignInfo is a sign's line in the table.
+type SignInfo struct {
 	Sign   Sign
 	Name   string
 	Effect Effect
@@ -81,7 +81,7 @@
 }
 
 // Signs lists every sign of this version with what it proves.
-var Signs = []Meaning{
+var Signs = []SignInfo{
 	{OwnClean, "own-clean", Base, 0, "nothing about sharing; how often a plain set-up is answered on a connection of its own"},
 	{OwnFault, "own-fault", Base, 0, "that such refusals also come without sharing"},
 	{OwnMarkedClean, "own-marked-clean", Base, 0, "that the office takes its token where it gave it"},
@@ -132,8 +132,8 @@
 // Known is the set of signs that this version knows, as a mask.
 const Known uint64 = 1<<(lastSign+1) - 2
 
-// highest is the highest mode that a set of denials leaves.
-func (d Modes) highest() Mode {
+// highestAllowed is the highestAllowed mode that a set of denials leaves.
+func (d Modes) highestAllowed() Mode {
 	switch {
 	case d&(1<<ByCall) != 0:
 		return BySession
@@ -143,8 +143,8 @@
 	return ByMessage
 }
 
-// whole denies what is above each denied mode, too.
-func (d Modes) whole() Modes {
+// withHigherModes denies what is above each denied mode, too.
+func (d Modes) withHigherModes() Modes {
 	if d&(1<<ByCall) != 0 {
 		d |= DenyCall
 	}
