--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -1,108 +1,118 @@
-// Package pooling decides which connections of a caller may share connections to offices. A caller's connection is a session,
-// and its client is what it declares itself to be and where it comes from. Safe is what was observed to be so, and only for a
-// while: signs are taken on the loop, joined over the processes, and weighed into a verdict for each client. It has no clock,
-// goroutine or socket, and its only randomness is a seed's.
+// Package pooling decides which caller connections may share connections to offices. A caller's connection is a
+// session; its client is identified by the application that it declares and its source address. Sharing is only
+// considered safe for a client after it was observed to be safe, and only for a limited time: signs are counted on
+// the session loop, joined over the processes of the fleet, and evaluated into a verdict for each client. The package
+// has no clock, goroutine or socket, and its only randomness comes from a seed.
 package pooling
 
-// Mode is how a client's messages share connections to an office.
+// Mode is how the messages of a client share connections to an office.
 type Mode uint8
 
-// The modes, the safest first: a higher one holds all that the lower ones allow.
+// The modes, safest first. A higher mode includes everything that the lower ones allow.
 const (
-	BySession Mode = iota + 1 // a connection to each office for every caller's connection
-	ByCall                    // one of the pool for the length of a call
-	ByMessage                 // each message on any of the pool
+	BySession Mode = iota + 1 // each caller connection has its own connection to each office
+	ByCall                    // a call has a pooled connection to itself until it ends
+	ByMessage                 // each message may use any pooled connection
 )
 
-// ClientID names a client in this process, for as long as one of its sessions is open. 0: not known, always BySession.
+// ClientID identifies a client in this process while at least one of its sessions is open. 0 means unknown: the
+// client always goes by session.
 type ClientID uint32
 
-// SessionID names a caller's connection in this process; it is never given anew.
+// SessionID identifies a caller's connection in this process. IDs are never reused.
 type SessionID uint64
 
-// Kind is what a message to an office does to its call.
+// Kind is the effect that a message to an office has on its call.
 type Kind uint8
 
-// The kinds of message that go to an office.
+// The kinds of messages to an office.
 const (
 	SetUp  Kind = iota + 1 // an attempt of a call
-	GiveUp                 // takes a set-up back that has no answer yet
-	End                    // releases a call that stands
-	Heard                  // says that the office's release was taken
+	GiveUp                 // withdraws a set-up that has no answer yet
+	End                    // releases an established call
+	Heard                  // acknowledges the office's release
 )
 
-// Lane is the connection to an office on which a message goes.
+// Lane is the kind of connection to an office that carries a message.
 type Lane uint8
 
-// The lanes. An office that has none of a lane's connections open has one opened; one that cannot be had is no reason to take
-// another lane.
+// The lanes. If no connection of the chosen lane is open, one is opened. A connection that cannot be opened is no
+// reason to use another lane.
 const (
-	Own   Lane = iota + 1 // the session's own at that office; no other session's messages go there. It stays as long as the session
-	Taken                 // one of the pool that no other call holds, for the length of this call
-	Any                   // any of the pool; for what follows a set-up another than the set-up's, where there is one
-	Held                  // the one that the call's set-up went on; never returned for a set-up
+	// the session's own connection to the office; it carries no other session's messages and stays open as long as
+	// the session
+	Own   Lane = iota + 1
+	Taken      // a pooled connection that no other call uses, for the length of this call
+	Any        // any pooled connection; for messages after the set-up, a different one than the set-up's if there is one
+	Held       // the connection that carried the call's set-up; never returned for a set-up
 )
 
-// Call is what the session code keeps of a call, from its set-up to its end, and hands over with each question and each
-// observation. It is copied whole where the call moves (from the open call to the standing one).
+// Call is the state that the session code keeps for a call from its set-up to its end, and passes with each query and
+// observation. It is copied as a whole when the call changes from open to established.
 type Call struct {
 	ID      uint64
-	Client  ClientID  // of the connection that brought the set-up
-	Session SessionID // that connection
-	Office  uint64    // where its newest set-up goes or went: any number that two offices never share
-	Free    bool      // its class may be repeated freely
-	Lane    Lane      // what Lane returned for its newest set-up, kept here by Lane itself; 0: none has gone out
-	Memo    uint8     // pooling's own, as the next
-	Refused uint64    // office that refused it on a shared lane; 0: none has
+	Client  ClientID  // of the connection on which the set-up arrived
+	Session SessionID // the connection on which the set-up arrived
+	Office  uint64    // office that its newest set-up goes or went to: any number that is unique per office
+	Free    bool      // the call's class may be repeated freely
+	Lane    Lane      // what Laner.Lane returned for its newest set-up, stored here by that method; 0: none has been sent
+	Memo    uint8     // flags private to pooling, like the next field
+	Refused uint64    // office that refused the call on a shared lane; 0: none has
 }
 
-// Happening is what the session code saw.
+// Happening is the kind of an observation.
 type Happening uint8
 
-// What the session code tells. The word in brackets says what goes with it.
+// The observations that the session code reports. Brackets name the Observation fields that are set.
 const (
-	CameSetUp  Happening = iota + 1 // a set-up was taken from the caller [text: its description]
-	CameAgain                       // a set-up came under an id in use, or used within what is remembered [on]
-	CameEnd                         // a release or a give-up came from the callers [on: the session that brought it]
-	Answered                        // the office answered: the call stands [text: its description]
-	Failed                          // the office refused the newest set-up [cause]; not for one that we took back
-	EndHeard                        // the office has heard a release of ours
-	EndUnheard                      // it has not, in time, while its connection stood; the release is then sent again, by Lane
-	EndedThere                      // the office released a call that stood [cause]
-	Over                            // the call has ended for its caller, or never stood; comes once, last but for EndHeard
-	LaneLost                        // the connection that the newest set-up went on is lost; no sign of anything
+	CameSetUp Happening = iota + 1 // a set-up was accepted from the caller [Text: its description]
+	CameAgain                      // a set-up arrived under a call id in use or still remembered [On]
+	CameEnd                        // a release or give-up arrived from a caller [On: the session on which it arrived]
+	Answered                       // the office answered and the call is established [Text: its description]
+	Failed                         // the office refused the newest set-up [Cause]; not for a withdrawn one
+	EndHeard                       // the office acknowledged a release sent by this process
+	// no acknowledgement arrived in time while the connection was open; the release is then sent again, after asking
+	// Lane
+	EndUnheard
+	EndedThere // the office released an established call [Cause]
+	Over       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
+	LaneLost   // the connection that carried the newest set-up was lost; counts as no sign
 )
 
-// Observation is one happening with what goes with it. Text is only read before Observe returns.
+// Observation is one reported event with its details. Text is only read before Observe returns.
 type Observation struct {
 	What  Happening
 	Call  *Call
-	On    SessionID // the session that brought the message; 0: as Call.Session
-	Cause byte      // of the release
+	On    SessionID // the session on which the message arrived; 0: the same as Call.Session
+	Cause byte      // cause of the release
 	Text  []byte
 }
 
-// Laner is what the session code asks. All of it is called on the loop; Lane and Observe neither allocate nor block. Only Open
-// may allocate, once for each caller's connection. A nil Laner means that pooling is off: no call of it is made.
+// Laner is the interface that the session code uses. All methods run on the session loop; Lane and Observe neither
+// allocate nor block. Only Open may allocate, once per caller connection. A nil Laner means that pooling is off, and
+// no method is called.
 type Laner interface {
-	// Open tells of a caller's connection: the application that it declares (the site file's name for it) and its source
-	// address without the port. Each is cut to MaxName bytes.
+	// Open registers a caller's connection with the application that it declares (named as in the site file) and its
+	// source address without the port. Each is cut to MaxName bytes.
 	Open(now int64, s SessionID, application, source string) ClientID
-	// Closed tells that it ended. Its own connections to offices may then be closed, once nothing is open on them.
+	// Closed reports that the connection ended. Its own connections to offices may be closed once nothing is open on
+	// them.
 	Closed(now int64, c ClientID, s SessionID)
-	// Keep tells whether a session's own connections to offices must stay, though nothing is open on them. It is asked at a
-	// sweep; no: they may be closed, for the client's verdict has long let its calls go elsewhere.
+	// Keep reports whether a session's own connections to offices must stay open although nothing is open on them. It
+	// is called by the periodic sweep. They may be closed once the client's verdict has allowed sharing for long
+	// enough.
 	Keep(now int64, c ClientID, s SessionID) bool
-	// Lane tells on which connection a message of a call goes. For a set-up the answer is Own, Taken or Any, and is kept in
-	// c.Lane by Lane itself; CameSetUp was observed before the first. For what follows it is Held, or Any for an End while
-	// the set-up went on Any and the client's verdict still allows it: a call under way when a verdict falls stays on its
-	// connection. A repeat of a set-up that was refused on a shared lane goes on Own.
+	// Lane returns the connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also stores
+	// it in c.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an End
+	// if the set-up went on Any and the client's verdict still allows it: when a verdict falls, a call in progress
+	// stays on its connection. If a set-up was refused on a shared lane, its repeat goes on Own.
 	Lane(now int64, c *Call, k Kind) Lane
-	// Observe tells what was seen of a call.
+	// Observe reports an event of a call.
 	Observe(now int64, o Observation)
-	// Round is called at the end of each round of the loop: what was observed is handed on, as far as there is room.
+	// Round is called at the end of each round of the loop. It hands the observations over to the Part as far as the
+	// ring has room.
 	Round(now int64)
 }
 
-// MaxName bounds each half of a client's name, in bytes.
+// MaxName bounds the application and the source address of a client, in bytes each.
 const MaxName = 64
--- a/internal/pooling/errors.go
+++ b/internal/pooling/errors.go
@@ -6,42 +6,46 @@
 	"pewterwheel/internal/advice"
 )
 
-// BodyError is a message or a part of an entry that cannot be read. It is passed by; evidence goes on coming from others.
+// BodyError reports a message or a part of an entry that cannot be decoded. It is ignored; evidence from other
+// processes still arrives.
 type BodyError struct {
 	From string
 	Why  error
 }
 
 // Error implements error.
-func (e *BodyError) Error() string { return fmt.Sprintf("pooling: from %q: %v", e.From, e.Why) }
+func (e *BodyError) Error() string {
+	return fmt.Sprintf("pooling: payload from %q ignored: %v", e.From, e.Why)
+}
 
-// Unwrap gives the reason.
+// Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Why }
 
 // Advice implements advice.Advised.
 func (e *BodyError) Advice() string {
-	return "Look at that process's program version, and at the fleet's addresses: something else may be sending there."
+	return "Check that process's program version and the fleet's addresses: another program may be sending to them."
 }
 
-// ClientsError tells that no more clients fit: those left out go by session.
+// ClientsError reports that the client table is full. Clients that are left out go by session.
 type ClientsError struct{ Most int }
 
 // Error implements error.
 func (e *ClientsError) Error() string {
-	return fmt.Sprintf("pooling: %d clients are known and none may be forgotten", e.Most)
+	return fmt.Sprintf("pooling: client table is full: %d clients are known and none can be evicted", e.Most)
 }
 
 // Advice implements advice.Advised.
 func (e *ClientsError) Advice() string {
-	return "Nothing is wrong with calls; if offices run short of connections, let callers declare fewer applications or addresses."
+	return "Calls are not affected; if offices run short of connections, let callers use fewer applications or addresses."
 }
 
-// RecordsError tells that evidence of other processes no longer fits: verdicts go by what does, and are made later.
+// RecordsError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and take
+// longer.
 type RecordsError struct{ Most int }
 
 // Error implements error.
 func (e *RecordsError) Error() string {
-	return fmt.Sprintf("pooling: %d records of other processes are kept and there is no room for more", e.Most)
+	return fmt.Sprintf("pooling: record table is full: %d records of other processes are kept", e.Most)
 }
 
 // Advice implements advice.Advised.
@@ -49,33 +53,34 @@
 	return "Expected in fleets of hundreds; split the installation into clusters if clients are raised too slowly."
 }
 
-// CutError tells that most processes cannot be heard: nobody is raised, and nobody stays raised on what others saw.
+// CutError reports that most other processes are unreachable. No client is raised, and no client stays raised on the
+// evidence of others.
 type CutError struct{ Reached, Known int }
 
 // Error implements error.
 func (e *CutError) Error() string {
-	return fmt.Sprintf("pooling: %d of %d other processes are heard", e.Reached, e.Known)
+	return fmt.Sprintf("pooling: only %d of %d other processes are reachable", e.Reached, e.Known)
 }
 
 // Advice implements advice.Advised.
 func (e *CutError) Advice() string {
-	return "Mend the network between the processes; until then expect more connections at offices, by session."
+	return "Repair the network between the processes; until then clients go by session and offices see more connections."
 }
 
-// StillError tells that the part stood still for so long that its table ran out.
+// StillError reports that the Part was stalled for so long that its table expired.
 type StillError struct{ For int64 }
 
 // Error implements error.
 func (e *StillError) Error() string {
-	return fmt.Sprintf("pooling: nothing was done for %d ms", e.For/1000)
+	return fmt.Sprintf("pooling: processing stalled for %d ms", e.For/1000)
 }
 
 // Advice implements advice.Advised.
 func (e *StillError) Advice() string {
-	return "Look for what stopped the process (a stop signal, a starved machine); verdicts come back by themselves within seconds."
+	return "Find what stopped the process (stop signal, overloaded machine); verdicts recover by themselves in seconds."
 }
 
-// ConfigError tells what of a configuration cannot be gone by.
+// ConfigError reports an invalid configuration.
 type ConfigError struct{ What string }
 
 // Error implements error.
@@ -83,8 +88,8 @@
 
 // Advice implements advice.Advised.
 func (e *ConfigError) Advice() string {
-	return "Mend the [fleet] section of the site file and check it with config check."
+	return "Correct the [fleet] section of the site file and check it with config check."
 }
 
-// Errors lists every error type of the package.
+// Errors lists all error types of the package.
 var Errors = []advice.Advised{&BodyError{}, &ClientsError{}, &RecordsError{}, &CutError{}, &StillError{}, &ConfigError{}}
--- a/internal/pooling/evidence.go
+++ b/internal/pooling/evidence.go
@@ -2,30 +2,31 @@
 
 import "slices"
 
-// Counts counts signs by their number. They only grow within one epoch of a client in one life of a process.
+// Counts holds the number of observations of each sign, indexed by Sign. Within one epoch of a client and one life of
+// a process, counts only grow.
 type Counts [MaxSigns]uint32
 
-// Record is what one life of one process has counted of a client, in one epoch. Its process alone writes it.
+// Record holds what one life of a process has counted for a client in one epoch. Only that process writes it.
 type Record struct {
 	Process        string
-	Incarnation    uint64 // the process's incarnation
-	Opinion        Mode   // what that process would allow by its own signs; 0: it has not said
-	OpinionVersion uint32 // grows with each change of Opinion, within the life
-	Signs          uint64 // mask of the signs that its version knows
+	Incarnation    uint64 // incarnation of the process
+	Opinion        Mode   // mode that this process would allow on its own evidence; 0: not stated yet
+	OpinionVersion uint32 // incremented with each change of Opinion within the incarnation
+	Signs          uint64 // mask of the signs that the process's version knows
 	Counts         Counts
 }
 
-// Evidence is all that is known of a client. Join makes it a semilattice: epochs first, then denials by union and records one
-// by one, later lives before earlier ones, counts by their greatest. So it does not matter in which order, how often or by
-// which way anything arrives.
+// Evidence is everything known about a client. Join makes it a join-semilattice: the later epoch wins; within an
+// epoch denials are united and records are joined per process, where the later incarnation wins and each count is the
+// maximum of both. The result does not depend on the order, number or route of the messages.
 type Evidence struct {
-	Epoch    uint32 // begins anew after a denial, or an undecided test, has had its time; all else belongs to one epoch
-	Denied   Modes  // by a witness; nothing within the epoch takes it back
-	DeniedBy Sign   // the denying sign of the highest number, for the log
+	Epoch    uint32 // incremented when a denial or an undecided test has expired; all other fields belong to one epoch
+	Denied   Modes  // modes denied by a witness; not revoked within the epoch
+	DeniedBy Sign   // the highest-numbered sign that denied a mode, for the log
 	Records  []Record
 }
 
-// Join takes in other evidence of the same client. It tells whether anything changed.
+// Join merges other evidence of the same client and reports whether anything changed.
 func (e *Evidence) Join(o *Evidence) bool { return e.join(o, defectSet{}) }
 
 func (e *Evidence) join(o *Evidence, d defectSet) bool {
@@ -46,7 +47,7 @@
 	return changed
 }
 
-// find tells where a process's record is, or would be.
+// find returns the index of a process's record, or where to insert it.
 func (e *Evidence) find(process string) (int, bool) {
 	return slices.BinarySearchFunc(e.Records, process, func(r Record, p string) int {
 		switch {
@@ -59,7 +60,7 @@
 	})
 }
 
-// joinRecord joins one record of this epoch.
+// joinRecord merges a record of the same epoch and reports whether anything changed.
 func (e *Evidence) joinRecord(r *Record, d defectSet) bool {
 	i, found := e.find(r.Process)
 	if !found {
@@ -78,7 +79,7 @@
 		return true
 	}
 	was := *r
-	// Guards against a version that was told twice with two sets of signs: the wider one has seen more.
+	// If the same incarnation was reported with two sign masks, the union covers what either has seen.
 	r.Signs |= o.Signs
 	if o.OpinionVersion > r.OpinionVersion {
 		r.OpinionVersion, r.Opinion = o.OpinionVersion, o.Opinion
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -10,51 +10,53 @@
 	"pewterwheel/internal/wire"
 )
 
-// Bounds of what is kept on the loop.
+// Bounds of the state kept on the session loop. Times are microseconds.
 const (
-	maxLoopClients   = 4096   // with an open session, or counts that were not handed on
-	maxSessions      = 16384  // that are watched; those past it go by session
-	ringSize         = 256    // batches on their way to the part; a power of two
-	flushEvery       = 20_000 // microseconds between two hand-overs of counts; a witness goes at once
-	maxTokens        = 16     // tokens given to a session, and words sent by it, that are remembered
-	minTokenLength   = 8      // bytes of the shortest text that is taken for a token
-	maxTextScanned   = 512    // bytes of a description that are looked through
-	minSureOwnSetUps = 1000   // own set-ups without a miss after which a miss on a shared lane is a witness
+	maxLoopClients   = 4096   // clients with an open session or with counts that were not handed over
+	maxSessions      = 16384  // sessions that are tracked; any further ones go by session
+	ringSize         = 256    // batches waiting for the Part; a power of two
+	flushEvery       = 20_000 // time between two hand-overs of counts; a witness is handed over at once
+	maxTokens        = 16     // received tokens, and sent ones, remembered per session
+	minTokenLength   = 8      // bytes of the shortest word that is taken for a token
+	maxTextScanned   = 512    // bytes of a description that are scanned for tokens
+	minSureOwnSetUps = 1000   // clean own set-ups after which a missing parameter on a shared lane is a witness
 	ownKeepTime      = 60_000_000
 )
 
-// Memo bits of a call.
+// Flags in Call.Memo.
 const (
-	memoMarked     uint8 = 1 << iota // its set-up repeats a token that an office gave its session
-	memoRefused                      // a set-up of it was refused statefully
-	memoMissing                      // and on a shared lane, for want of something
-	memoEndMoved                     // its end went on another lane than the set-up
-	memoEndUnheard                   // and was not heard there
-	memoOpen                         // it counts among its session's open ones
-	memoSent                         // a set-up of it has gone out
-	memoTrial                        // on a shared lane, while its client went by session
+	memoMarked     uint8 = 1 << iota // the set-up repeats a token that an office gave its session
+	memoRefused                      // a set-up of the call was refused with a stateful cause
+	memoMissing                      // that refusal came on a shared lane because something was missing
+	memoEndMoved                     // the end was sent on another connection than the set-up
+	memoEndUnheard                   // and was not acknowledged there
+	memoOpen                         // the call is counted as open in its session
+	memoSent                         // a set-up of the call was sent
+	memoTrial                        // on trial: sent on a shared lane while the client went by session
 )
 
-// Verdict is what the table says of one client.
+// Verdict is the decision for one client.
 type Verdict struct {
 	Epoch          uint32
 	Mode           Mode
-	Trial          Mode   // the mode that is on trial; 0: none
-	Share          uint32 // part of plain set-ups that are tried, of 2^32
-	Marked         uint32 // the same of set-ups that repeat a token
-	Ends           bool   // ends may leave their set-up's connection
-	OwnNeverMissed bool   // no own connection has ever missed anything, in long enough
-	Since          int64  // when Mode was last changed
+	Trial          Mode   // mode on trial; 0: none
+	Share          uint32 // share of plain set-ups that are tried, in units of 2^-32
+	Marked         uint32 // the same for set-ups that repeat a token
+	Ends           bool   // ends may use another connection than their set-up
+	OwnNeverMissed bool   // no parameter was ever missing on an own connection, over enough set-ups
+	Since          int64  // time of the last change of Mode
 }
 
-// Table is what the loop goes by: immutable, put up whole.
+// Table holds the verdicts that the loop applies. It is immutable and replaced as a whole.
 type Table struct {
-	ValidUntil int64 // it holds before this alone: then every client goes by session, as a part that stands still can fell nobody
+	// the table is valid before this time; later every client goes by session, because a stalled Part cannot lower
+	// anyone
+	ValidUntil int64
 	Default    Verdict
 	verdicts   map[uint64]Verdict
 }
 
-// Of returns the verdict of a client by its key.
+// Of returns the verdict of the client with the given key.
 func (t *Table) Of(key uint64) Verdict {
 	if v, ok := t.verdicts[key]; ok {
 		return v
@@ -62,7 +64,7 @@
 	return t.Default
 }
 
-// Key is a client's key between processes, by the application that it declares and its source address.
+// Key returns the client key that processes exchange, from the declared application and the source address.
 func Key(application, source string) uint64 {
 	return xxhash.Sum64String(clientName(application, source))
 }
@@ -71,7 +73,7 @@
 	return application[:min(len(application), MaxName)] + "@" + source[:min(len(source), MaxName)]
 }
 
-// batch is what the loop has counted of a client since the last one.
+// batch holds the counts of a client since its last hand-over.
 type batch struct {
 	key    uint64
 	name   string
@@ -79,10 +81,10 @@
 	counts Counts
 }
 
-// ring hands batches from the loop to the part: one writes, one reads.
+// ring passes batches from the loop to the Part. It has one writer and one reader.
 type ring struct {
 	slots      [ringSize]batch
-	head, tail atomic.Uint64 // next to be read, next to be written
+	head, tail atomic.Uint64 // next slot to read, next slot to write
 }
 
 func (r *ring) push(b *batch) bool {
@@ -106,45 +108,47 @@
 	return true
 }
 
-// loopClient is a client as the loop knows it.
+// loopClient is the state of a client on the loop.
 type loopClient struct {
 	batch
 	sessions     int
 	dirty        bool
-	urgent       bool   // a witness is in it
-	verdictTable *Table // the table that verdict was read from
+	urgent       bool   // the counts include a witness
+	verdictTable *Table // the table that verdict was taken from
 	verdict      Verdict
-	denied       Modes // by a witness seen here, before the part has said so
+	denied       Modes // by a witness seen on this loop that the table may not yet contain
 	deniedEpoch  uint32
-	ownMissing   bool // an own connection has missed something, in whichever epoch
+	ownMissing   bool // something was missing on an own connection, in any epoch
 }
 
 type session struct {
-	client         ClientID
-	open           int
-	calls          uint32
-	ownAnswers     uint32 // set-ups answered on its own connections
-	shared         bool   // a set-up of it has gone on a shared lane: what its own connections refuse may have been left there
-	control        bool   // no set-up of it is tried: what its own connections refuse is what trials are held against
-	guarded        bool   // it has had a call that may not be repeated freely
+	client     ClientID
+	open       int
+	calls      uint32
+	ownAnswers uint32 // set-ups answered on its own connections
+	shared     bool   // a set-up went on a shared lane, so what its own connections miss may have been left there
+	// control group: no set-up is tried, so its refusals on own connections are the base rate for trials
+	control        bool
+	guarded        bool // it had a call that may not be repeated freely
 	receivedTokens [maxTokens]uint64
 	sentTokens     [maxTokens]uint64
 	receivedCount  uint8
 	sentCount      uint8
 }
 
-// Loop is the Laner: what pooling keeps on the loop. Its Part drains it; nothing else may be called off the loop.
+// Loop implements Laner and holds the pooling state of the session loop. Except for Verdict, its methods may only be
+// called on that loop. Its Part drains the ring.
 type Loop struct {
 	table        atomic.Pointer[Table]
 	ring         ring
-	ringFull     atomic.Uint64 // hand-overs that found the ring full: the counts stay and go with the next
-	droppedSigns atomic.Uint64 // signs lost, of clients for whom there was no room
+	ringFull     atomic.Uint64 // hand-overs that found the ring full; the counts are kept for a later one
+	droppedSigns atomic.Uint64 // sessions opened without room in the tables, whose signs are lost
 	random       *rand.PCG
 	now          int64
 	flushedAt    int64
 	urgent       bool
 	ids          map[uint64]ClientID
-	clients      []loopClient // by ClientID; 0 is nobody
+	clients      []loopClient // indexed by ClientID; 0 is unused
 	freeClients  []ClientID
 	dirtyClients []ClientID
 	sessions     map[SessionID]*session
@@ -154,7 +158,8 @@
 
 var _ Laner = (*Loop)(nil)
 
-// NewLoop returns a Loop that puts everybody by session until a Part puts up its first table. The seed draws its trials.
+// NewLoop returns a Loop that keeps every client by session until a Part publishes its first table. The seed
+// determines which set-ups are tried.
 func NewLoop(seed uint64) *Loop {
 	l := &Loop{random: rand.NewPCG(seed, 0x706f6f6c), ids: map[uint64]ClientID{}, clients: make([]loopClient, 1, 64),
 		dirtyClients: make([]ClientID, 0, maxLoopClients), sessions: map[SessionID]*session{}}
@@ -210,7 +215,7 @@
 	l.releaseIfUnused(x.client)
 }
 
-// releaseIfUnused lets a client's place be used again, once nothing of it is open or still to be handed on.
+// releaseIfUnused frees a client's slot once it has no open session and no counts to hand over.
 func (l *Loop) releaseIfUnused(id ClientID) {
 	if cl := &l.clients[id]; cl.sessions == 0 && !cl.dirty && cl.key != 0 {
 		delete(l.ids, cl.key)
@@ -231,26 +236,27 @@
 	return x.guarded || l.mode(cl, v) == BySession || now-v.Since < ownKeepTime
 }
 
-// verdict is what the table says of a client now.
+// verdict returns the verdict of a client at present.
 func (l *Loop) verdict(cl *loopClient) Verdict {
 	t := l.table.Load()
 	if cl.verdictTable != t {
 		cl.verdictTable, cl.verdict = t, t.Of(cl.key)
-		if cl.verdict.Epoch > cl.epoch { // what was counted belongs to an epoch that is over
+		if cl.verdict.Epoch > cl.epoch { // the counts belong to an epoch that is over
 			cl.epoch, cl.counts = cl.verdict.Epoch, Counts{}
 		}
 	}
 	if l.now >= t.ValidUntil {
-		// Guards against going on by what a part that stands still, or has just woken, once said.
+		// The Part is stalled or has just resumed, so its last verdict must not be used any longer.
 		return Verdict{Epoch: cl.epoch, Mode: BySession, Since: l.now}
 	}
 	return cl.verdict
 }
 
-// Verdict is what a client goes by now, by its key; for staff and measurements. It may be asked from any thread.
+// Verdict returns the present verdict for a client key, for operators and measurements. It may be called from any
+// goroutine.
 func (l *Loop) Verdict(key uint64) Verdict { return l.table.Load().Of(key) }
 
-// mode is the highest mode that a client may go by.
+// mode returns the highest mode that a client may use.
 func (l *Loop) mode(cl *loopClient, v Verdict) Mode {
 	m := max(v.Mode, BySession)
 	if v.Epoch <= cl.deniedEpoch {
@@ -259,7 +265,7 @@
 	return m
 }
 
-// trial is the mode on trial for a client; 0: none.
+// trial returns the mode on trial for a client; 0: none.
 func (l *Loop) trial(cl *loopClient, v Verdict) Mode {
 	if v.Trial == 0 || v.Epoch <= cl.deniedEpoch && v.Trial > cl.denied.highestAllowed() {
 		return 0
@@ -267,7 +273,7 @@
 	return v.Trial
 }
 
-// draw tells whether one of this share of 2^32 is draw.
+// draw returns true with a probability of share/2^32.
 func (l *Loop) draw(share uint32) bool { return uint32(l.random.Uint64()>>32) < share }
 
 // Lane implements Laner.
@@ -286,7 +292,7 @@
 	return c.Lane
 }
 
-// laneForSetUp chooses for a set-up.
+// laneForSetUp chooses the lane of a set-up.
 func (l *Loop) laneForSetUp(x *session, c *Call) Lane {
 	if x == nil {
 		return Own
@@ -295,7 +301,7 @@
 		x.guarded = true
 	}
 	if c.Memo&memoRefused != 0 || !c.Free && !l.defects.anyClass {
-		// What was observed is of classes that may be repeated; nothing was shown of the others, so they go by session.
+		// Evidence only covers classes that may be repeated freely, so all others go by session.
 		return Own
 	}
 	cl := &l.clients[x.client]
@@ -309,7 +315,8 @@
 	case trial <= mode || c.Memo&memoSent != 0:
 	case mode > BySession && l.draw(share):
 		mode = trial
-	case mode == BySession && !x.control && x.ownAnswers >= minOwnAnswers && l.draw(double(share)): // for only half of the sessions are tried
+	// doubled, because half of the sessions are the control group
+	case mode == BySession && !x.control && x.ownAnswers >= minOwnAnswers && l.draw(double(share)):
 		c.Memo |= memoTrial
 		mode = trial
 	}
@@ -324,8 +331,8 @@
 
 func double(share uint32) uint32 { return uint32(min(2*uint64(share), math.MaxUint32)) }
 
-// laneAfterSetUp chooses for what comes after a set-up. Only an end may leave the set-up's connection: a give-up could overtake its
-// set-up on another, and what is heard is told where it was said.
+// laneAfterSetUp chooses the lane of a message after the set-up. Only an end may use another connection than the
+// set-up: a give-up could overtake its set-up there, and an acknowledgement must go where the release came from.
 func (l *Loop) laneAfterSetUp(x *session, c *Call, k Kind) Lane {
 	if k != End || x == nil {
 		return Held
@@ -352,7 +359,7 @@
 	c := o.Call
 	x := l.sessions[c.Session]
 	if x == nil {
-		return // its signs would be laid to nobody
+		return // the client is unknown
 	}
 	id := x.client
 	cl := &l.clients[id]
@@ -421,7 +428,7 @@
 	}
 }
 
-// observeRefusal takes a refusal of a set-up.
+// observeRefusal records the refusal of a set-up.
 func (l *Loop) observeRefusal(x *session, cl *loopClient, c *Call, cause byte) {
 	id := x.client
 	if !stateful(cause) || c.Memo&memoRefused != 0 {
@@ -445,8 +452,9 @@
 	}
 }
 
-// outcomeSign is the sign of an answer or refusal; of is OwnClean or OwnFault. 0: it is none. What own connections refuse of a
-// session that has shared is no base any more; where it may be repeated, its trials tell the same.
+// outcomeSign returns the sign of an answer (of is OwnClean) or a refusal (of is OwnFault); 0: none. Once a session
+// has used shared lanes, refusals on its own connections no longer count for the base rate. For repeatable calls the
+// trials provide the same evidence.
 func (l *Loop) outcomeSign(x *session, c *Call, of Sign) Sign {
 	switch c.Lane {
 	case Own:
@@ -469,14 +477,14 @@
 	return of
 }
 
-// sharesOften tells whether about half of a session's set-ups are shared, as the test of guarded calls takes for granted. Guards
-// against passing it by what was clean while hardly anything could have been left behind.
+// sharesOften reports whether about half of a session's set-ups are shared, as the test of guarded calls assumes.
+// Otherwise clean outcomes could pass that test although hardly any state could have been left on shared connections.
 func (l *Loop) sharesOften(x *session) bool {
 	v := l.verdict(&l.clients[x.client])
 	return v.Mode > BySession || v.Share >= fraction32(maxTrialShare)
 }
 
-// recordWitness denies at once, here, and has it handed on with the round.
+// recordWitness denies modes on this loop at once and marks the client for hand-over at the end of the round.
 func (l *Loop) recordWitness(id ClientID, s Sign) {
 	cl := &l.clients[id]
 	v := l.verdict(cl)
@@ -502,7 +510,8 @@
 	}
 }
 
-// Round implements Laner. Counts for which the ring has no room stay and go with a later round; witnesses go first.
+// Round implements Laner. Counts for which the ring has no room are kept for a later round. Witnesses are handed over
+// first.
 func (l *Loop) Round(now int64) {
 	l.now = now
 	if len(l.dirtyClients) == 0 || !l.urgent && now-l.flushedAt < flushEvery {
@@ -535,7 +544,7 @@
 	l.dirtyClients = l.dirtyClients[:copy(l.dirtyClients, l.dirtyClients[n:])]
 }
 
-// repeatsToken notes a set-up's words and tells whether one of them is a token that an office gave.
+// repeatsToken records the words of a set-up and reports whether one of them is a token that an office gave.
 func (x *session) repeatsToken(text []byte) bool {
 	marked := false
 	for from, to := 0, 0; nextToken(text, &from, &to); {
@@ -550,7 +559,7 @@
 	return marked
 }
 
-// recordReceivedTokens notes the words of an office's answer that the session has not sent itself.
+// recordReceivedTokens records the words of an office's answer that the session has not sent itself.
 func (x *session) recordReceivedTokens(text []byte) {
 	for from, to := 0, 0; nextToken(text, &from, &to); {
 		if w := xxhash.Sum64(text[from:to]); !containsToken(&x.sentTokens, w) && !containsToken(&x.receivedTokens, w) {
@@ -569,7 +578,7 @@
 	return false
 }
 
-// nextToken finds the nextToken word of leastWord bytes or more.
+// nextToken finds the next word of at least minTokenLength bytes.
 func nextToken(text []byte, from, to *int) bool {
 	text = text[:min(len(text), maxTextScanned)]
 	for i := *to; i < len(text); {
@@ -587,7 +596,7 @@
 	return false
 }
 
-// tokenBytes are those that a token may be of.
+// tokenBytes marks the bytes that a token may contain.
 var tokenBytes = func() (l [256]bool) {
 	for c := range l {
 		l[c] = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
--- a/internal/pooling/part.go
+++ b/internal/pooling/part.go
@@ -9,109 +9,112 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Bounds and times of the part; times are microseconds.
+// Bounds and times of the Part; times are microseconds.
 const (
-	// MaxClients bounds the clients that are known. Who is past it goes by session, unless one can be forgotten.
+	// MaxClients bounds the clients that are tracked. Any further client goes by session unless another one can be
+	// evicted.
 	MaxClients = 1024
-	// MaxRecords bounds the records that are kept of other processes, over all clients.
+	// MaxRecords bounds the records of other processes over all clients.
 	MaxRecords = 16384
 	maxPeers   = 4096
 	maxPending = 512 // denials that some process has not acknowledged
 
-	tickInterval       = 100_000
-	tableLifetime      = 3_000_000     // a table holds for so long after it was put up
-	tableRefresh       = 1_000_000     // it is put up again this soon, though nothing changed
-	startDelay         = 10_000_000    // after a start: nobody is raised or tried before denials had time to come
-	stallGap           = 2_000_000     // two ticks so far apart: the part stood still
-	stallDelay         = 2_000_000     // then nobody is raised or tried for so long
-	entryInterval      = 250_000       // between two of the process's part of its entry
-	denialRetry        = 250_000       // between two repeats of a denial that was not acknowledged
-	fastRetries        = 40            // so often; then slowly
-	slowDenialRetry    = 5_000_000     // between two later repeats
-	evidenceInterval   = 200_000       // between two rounds of evidence
-	evidenceFanout     = 3             // processes that a round goes to
-	messagesPerPeer    = 3             // messages to each
-	fullResendInterval = 60_000_000    // after this a process is told everything anew: some of it may have been lost
-	digestRepairDelay  = 500_000       // a digest that differs for so long is healed
-	evaluateInterval   = 500_000       // a client is weighed no oftener, unless it is denied
-	halfLife           = 1_800_000_000 // after which clean outcomes count half
-	undecidedTimeout   = 4 * halfLife  // a test that has come to nothing begins anew
-	denialPeriod       = 600_000_000   // after a denial in the first epoch; in each further one it is twice as long
-	maxDenialDoublings = 6             // so often at the most, and at once where only the highest mode is denied
-	peerMemory         = 600_000_000   // a process that was heard counts as one to be heard for so long
-	isolationGrace     = 10_000_000    // after which a process that is cut off goes by its own evidence alone
-	clientIdleTime     = 10_000_000    // a client that is not denied may be forgotten after this much without a sign
-	reportInterval     = 60_000_000    // between two complaints of a kind
-	lateEvidenceWeight = 0.5           // for what was counted before this process first heard of it
-	minOrderedSetUps   = 200           // set-ups below which their order says nothing
+	tickInterval  = 100_000
+	tableLifetime = 3_000_000 // how long a published table is valid
+	tableRefresh  = 1_000_000 // a table is published again after this time even if nothing changed
+	// after a start no client is raised or tried for this long, so that denials can arrive first
+	startDelay       = 10_000_000
+	stallGap         = 2_000_000 // gap between two ticks from which the Part counts as stalled
+	stallDelay       = 2_000_000 // after a stall no client is raised or tried for this long
+	entryInterval    = 250_000   // least time between two versions of this process's part of the fleet entry
+	denialRetry      = 250_000   // time between two retries of an unacknowledged denial
+	fastRetries      = 40        // number of retries at that interval, before slowDenialRetry applies
+	slowDenialRetry  = 5_000_000 // time between two later retries
+	evidenceInterval = 200_000   // time between two rounds of sending evidence
+	evidenceFanout   = 3         // processes per round
+	messagesPerPeer  = 3         // messages per process and round
+	// after this time a process is sent all evidence again, as messages may have been lost
+	fullResendInterval = 60_000_000
+	digestRepairDelay  = 500_000       // how long a digest may differ before denials are sent to repair it
+	evaluateInterval   = 500_000       // least time between two evaluations of a client, unless it is denied
+	halfLife           = 1_800_000_000 // half-life of clean outcomes
+	undecidedTimeout   = 4 * halfLife  // an undecided test starts anew after this time
+	denialPeriod       = 600_000_000   // duration of a denial in the first epoch; doubled with each further epoch
+	maxDenialDoublings = 6             // maximum number of doublings; used at once if only the highest mode is denied
+	peerMemory         = 600_000_000   // how long a process that was reachable is counted as an expected one
+	isolationGrace     = 10_000_000    // after this time an isolated process uses its own evidence alone
+	clientIdleTime     = 10_000_000    // a client that is not denied may be evicted after this time without a sign
+	reportInterval     = 60_000_000    // time between two reports of a kind
+	lateEvidenceWeight = 0.5           // weight of clean outcomes counted before this process first received the record
+	minOrderedSetUps   = 200           // number of set-ups below which their order is not evaluated
 )
 
-// defectSet holds what tests switch off to see it missed.
+// defectSet selects safeguards to disable, so that tests can show that each one is needed.
 type defectSet struct {
-	witnessAsFault       bool // a witness counts as one more fault
-	noDecay              bool // what was clean once stays so
-	raisesWhileIsolated  bool // a process that is cut off goes on as ever
-	joinAdds             bool // joining adds instead of taking the greatest
-	fullTrust            bool // what others counted before counts in full
-	callsMove            bool // calls under way move at a fall
+	witnessAsFault       bool // a witness only counts as one more fault
+	noDecay              bool // clean outcomes do not decay
+	raisesWhileIsolated  bool // an isolated process continues as usual
+	joinAdds             bool // joining adds counts instead of taking their maximum
+	fullTrust            bool // older counts of other processes get full weight
+	callsMove            bool // calls in progress change connections when a verdict falls
 	anyClass             bool // classes that may not be repeated are tried, too
-	ignoresNewerVersions bool // the lower verdict of a version with further signs is not taken
+	ignoresNewerVersions bool // the lower verdict of a version that knows more signs is ignored
 }
 
-// Config is what a Part is made from.
+// Config is the configuration of a Part.
 type Config struct {
-	Self     string // this process's name in the fleet
-	Seed     uint64 // draws whom evidence goes to first
-	Loop     *Loop  // of the same process
+	Self     string // name of this process in the fleet
+	Seed     uint64 // seed for the order of the processes that evidence is sent to
+	Loop     *Loop  // the loop of the same process
 	Complain func(error)
-	// Unsafe bounds the probability that a client is raised to a mode that it does not bear; 0: 1 in 10,000.
+	// Unsafe bounds the probability that a client is raised to a mode that is not safe for it; 0: 1 in 10,000.
 	Unsafe float64
-	// Watch: verdicts are reached and shown, and the table keeps everybody by session. A session code that only tells and never
-	// asks makes no trials; what it tells of shared lanes counts all the same.
+	// Watch computes and reports verdicts, but the table keeps every client by session. Session code that only
+	// observes and never asks for a lane makes no trials; what it observes on shared lanes still counts.
 	Watch bool
-	// Signs is the mask of the signs that are gone by; 0: all that this version knows. For tests of versions.
+	// Signs is the mask of the signs that are evaluated; 0: all that this version knows. For tests of mixed versions.
 	Signs uint64
-	// Fixed raises after so many clean outcomes, whatever the test says, and no test denies; 0: the test decides. It is the
-	// baseline that measurements hold the test against, and nothing to be run.
+	// Fixed raises a client after this many clean outcomes regardless of the test, and no test denies; 0: the test
+	// decides. It is a baseline for measurements only and not for production.
 	Fixed float64
 }
 
-// peer is another process.
+// peer is another process of the fleet.
 type peer struct {
 	name         string
-	present      bool  // in the newest view
-	unavailable  bool  // or about to leave: nothing is expected of it
-	lastSeen     int64 // when it was last in a view and not suspected; 0: never
-	firstSeen    int64 // when it first was
+	present      bool  // in the latest view
+	unavailable  bool  // suspected or leaving: no messages are expected from it
+	lastSeen     int64 // when it was last in a view and not suspected; 0: never, or it is leaving
+	firstSeen    int64 // when it was first known
 	incarnation  uint64
 	signs        uint64
 	digest       uint64
 	differsSince int64 // since when its digest differs; 0: it does not
 	lastPart     []byte
-	sentChange   uint64 // evidence up to this change was sent to it
-	resentAt     int64  // when it was last begun anew
-	repairIndex  int    // place in the clients up to which denials were sent
+	sentChange   uint64 // evidence up to this value of changeCount was sent to it
+	resentAt     int64  // when sending all evidence last started over
+	repairIndex  int    // index in the client list up to which denials were sent
 }
 
-// client is what is known of a client, and what this process makes of it.
+// client holds what is known of a client and this process's conclusions.
 type client struct {
 	key      uint64
 	name     string
 	evidence Evidence
-	// weighted and weightedOwn are the outcomes as this process weighs them: decayed, and what it heard late at less trust. weightedOwn is of its
-	// weightedOwn alone.
+	// weighted and weightedOwn are the counts as this process weights them: decayed, and with a lower weight for
+	// records received late. weightedOwn only contains its own observations.
 	weighted, weightedOwn [MaxSigns]float64
 	decayedAt             int64
 	testingSince          int64  // since when sharing by message is tested
-	undecidedTests        uint32 // of it that came to nothing in this epoch
-	epochBegan            int64  // when the epoch began here
-	lastSignAt            int64  // when a sign last came
+	undecidedTests        uint32 // number of undecided tests of sharing by message in this epoch
+	epochBegan            int64  // when the epoch began in this process
+	lastSignAt            int64  // when a sign was last counted
 	deniedAt              int64
-	ownMissing            bool   // an own connection has missed something, in whichever epoch
-	lastChange            uint64 // the change in which this process's own record last changed
-	stale                 bool   // to be weighed
+	ownMissing            bool   // something was missing on an own connection, in any epoch
+	lastChange            uint64 // value of changeCount at the last change of this process's own record
+	stale                 bool   // needs to be evaluated
 	evaluatedAt           int64
-	endsPassed            bool // ends have passed their test
+	endsPassed            bool // the test of ends has passed
 	plainBase             baseRates
 	markedBase            baseRates
 	mode                  Mode
@@ -119,7 +122,7 @@
 	modeSince             int64
 }
 
-// pendingDenial is a denial that not everybody has acknowledged.
+// pendingDenial is a denial that not every process has acknowledged.
 type pendingDenial struct {
 	key            uint64
 	epoch          uint32
@@ -129,7 +132,7 @@
 	dueAt          int64
 }
 
-// Part is pooling's state machine in one process.
+// Part is the state machine of pooling in one process.
 type Part struct {
 	cfg            Config
 	knownSigns     uint64
@@ -138,44 +141,44 @@
 	startedAt      int64
 	tickedAt       int64
 	couldRaise     bool
-	pausedUntil    int64 // until when nobody is raised because the part stood still
+	pausedUntil    int64 // until when no client is raised, after a stall or an isolation
 	nextTick       int64
 	clients        map[uint64]*client
-	clientList     []*client // as they came to be known
+	clientList     []*client // in the order in which they became known
 	peers          map[string]*peer
-	peerList       []*peer // by name
+	peerList       []*peer // sorted by name
 	remoteRecords  int
 	changeCount    uint64
 	digest         uint64
 	pending        []pendingDenial
-	nextPeer       int // the next of names that evidence goes to
+	nextPeer       int // index in peerList of the next process that evidence is sent to
 	evidenceSentAt int64
 	entrySentAt    int64
 	entryBody      []byte
-	publishedAt    int64 // when the table was last put up
-	tableChanged   bool  // it differs from what was put up
-	isolatedSince  int64 // since when this process is cut off; 0: it is not
+	publishedAt    int64 // when the table was last published
+	tableChanged   bool  // the verdicts differ from the published table
+	isolatedSince  int64 // since when this process is isolated; 0: it is not
 	reportedAt     map[string]int64
 	defects        defectSet
-	// counts for staff
+	// counters for Figures
 	messagesIn, messagesOut, unreadable, refusedRecords, refusedClients, witnesses, falls, raises uint64
 }
 
 var _ fleet.Module = (*Part)(nil)
 
-// New returns a Part; the error is a *ConfigError.
+// New returns a Part. The error is a *ConfigError.
 func New(cfg Config) (*Part, error) {
 	if cfg.Self == "" {
-		return nil, &ConfigError{"the process has no name"}
+		return nil, &ConfigError{"process name is empty"}
 	}
 	if cfg.Loop == nil {
-		return nil, &ConfigError{"there is no loop to decide for"}
+		return nil, &ConfigError{"no session loop is given"}
 	}
 	if cfg.Unsafe == 0 {
 		cfg.Unsafe = defaultUnsafe
 	}
 	if !(cfg.Unsafe > 0 && cfg.Unsafe < 0.5) {
-		return nil, &ConfigError{fmt.Sprintf("a part of %v unsafe sessions cannot be gone by", cfg.Unsafe)}
+		return nil, &ConfigError{fmt.Sprintf("probability of unsafe sessions is %v, but must be above 0 and below 0.5", cfg.Unsafe)}
 	}
 	if cfg.Signs == 0 {
 		cfg.Signs = Known
@@ -195,13 +198,13 @@
 	p.startedAt, p.tickedAt, p.nextTick = now, now, now+tickInterval
 }
 
-// Done implements fleet.Module; the part asks for no acts.
+// Done implements fleet.Module. The Part requests no acts.
 func (p *Part) Done(int64, fleet.Act, error, *fleet.Out) {}
 
 // Next implements fleet.Module.
 func (p *Part) Next() int64 { return p.nextTick }
 
-// report hands an error on, one of a kind a minute.
+// report passes an error to Config.Complain, at most once a minute for each kind.
 func (p *Part) report(now int64, kind string, err error) {
 	if at, ok := p.reportedAt[kind]; !ok || now-at >= reportInterval {
 		p.reportedAt[kind] = now
@@ -223,7 +226,7 @@
 			continue
 		}
 		q := p.peer(now, m.Name)
-		if q.incarnation != m.Incarnation { // a later life knows nothing of what was told to the last
+		if q.incarnation != m.Incarnation { // a new incarnation has lost everything that was sent to the previous one
 			q.incarnation, q.sentChange, q.resentAt = m.Incarnation, 0, now
 		}
 		q.present, q.unavailable = true, m.Suspect || m.State == fleet.Leaving
@@ -255,7 +258,7 @@
 	p.evaluateStale(now, out)
 }
 
-// setIncarnation takes this process's incarnation: what it counted before it knew it was counted in this life.
+// setIncarnation sets this process's incarnation, also in the records that were counted before it was known.
 func (p *Part) setIncarnation(life uint64) {
 	p.incarnation = life
 	for _, c := range p.clientList {
@@ -282,7 +285,8 @@
 	return q
 }
 
-// updateIsolation tells whether most of those whom it should hear are not heard.
+// updateIsolation reports whether more than half of the expected processes are unreachable, and updates the state of
+// isolation.
 func (p *Part) updateIsolation(now int64) bool {
 	known, reached := 0, 0
 	for _, q := range p.peerList {
@@ -295,7 +299,8 @@
 	}
 	if 2*reached >= known || p.defects.raisesWhileIsolated {
 		if p.isolatedSince != 0 {
-			p.isolatedSince, p.pausedUntil = 0, max(p.pausedUntil, now+stallDelay) // what happened meanwhile has to come first
+			// denials from the time of the isolation must arrive first
+			p.isolatedSince, p.pausedUntil = 0, max(p.pausedUntil, now+stallDelay)
 			p.markAllStale()
 		}
 		return false
@@ -317,14 +322,14 @@
 // Tick implements fleet.Module.
 func (p *Part) Tick(now int64, out *fleet.Out) {
 	if gap := now - p.tickedAt; gap >= stallGap {
-		// Guards against a process that was stopped and wakes: what it knew is old, and a witness may have come since.
+		// The process was stopped and has resumed: its state is old, and a witness may have been reported meanwhile.
 		p.pausedUntil = now + stallDelay
 		p.markAllStale()
 		p.report(now, "still", &StillError{gap})
 	}
 	p.tickedAt, p.nextTick = now, now+tickInterval
 	p.updateIsolation(now)
-	if c := p.mayRaise(now); c != p.couldRaise { // whom this held back, or would have, is weighed anew
+	if c := p.mayRaise(now); c != p.couldRaise { // evaluate every client again, as raising was or is now suspended
 		p.couldRaise, p.tableChanged = c, true
 		p.markAllStale()
 	}
@@ -335,7 +340,7 @@
 	p.sendEvidence(now, out)
 }
 
-// evaluateStale weighs what changed and puts the verdicts up.
+// evaluateStale evaluates the clients that changed and publishes the verdicts.
 func (p *Part) evaluateStale(now int64, out *fleet.Out) {
 	for _, c := range p.clientList {
 		if c.stale && now-c.evaluatedAt >= evaluateInterval || now-c.evaluatedAt >= startDelay {
@@ -348,12 +353,12 @@
 	p.publishEntry(now, out)
 }
 
-// mayRaise tells whether somebody may be raised or tried now.
+// mayRaise reports whether clients may be raised or tried now.
 func (p *Part) mayRaise(now int64) bool {
 	return now-p.startedAt >= startDelay && now >= p.pausedUntil && p.isolatedSince == 0
 }
 
-// publish puts up a table of all verdicts.
+// publish publishes a table of all verdicts.
 func (p *Part) publish(now int64) {
 	p.tableChanged, p.publishedAt = false, now
 	t := &Table{ValidUntil: now + tableLifetime, Default: Verdict{Epoch: 1, Mode: BySession}, verdicts: make(map[uint64]Verdict, len(p.clientList))}
@@ -364,7 +369,7 @@
 	for _, c := range p.clientList {
 		v := Verdict{Epoch: c.evidence.Epoch, Mode: c.mode, Since: c.modeSince, Ends: c.endsPassed, OwnNeverMissed: !c.ownMissing && c.weighted[OwnClean]+c.weighted[OwnMarkedClean] >= minSureOwnSetUps}
 		if woke || p.cfg.Watch {
-			v.Mode = BySession // what came meanwhile may not have been heard yet
+			v.Mode = BySession // denials from the time of the stall may not have arrived yet
 		}
 		if next := c.mode + 1; calm && next <= c.evidence.Denied.highestAllowed() {
 			v.Trial = next
@@ -376,15 +381,15 @@
 	p.cfg.Loop.table.Store(t)
 }
 
-// signShare is how large a part of a client's calls bore a sign.
+// signShare returns the fraction of a client's calls that showed a sign.
 func signShare(of *[MaxSigns]float64, s Sign) float64 {
 	return min(1, of[s]/max(1, of[Serial]+of[Overlapped]))
 }
 
-// fraction32 is a share of 2^32.
+// fraction32 returns a share in units of 2^-32.
 func fraction32(share float64) uint32 { return uint32(share * math.MaxUint32) }
 
-// drain takes what the loop has counted.
+// drain takes the counts from the loop's ring.
 func (p *Part) drain(now int64, out *fleet.Out) {
 	for b := (batch{}); p.cfg.Loop.ring.pop(&b); {
 		c := p.client(now, b.key, b.epoch)
@@ -402,7 +407,7 @@
 			}
 		}
 		if b.epoch < c.evidence.Epoch {
-			if denies != 0 { // it was seen after all, so the new epoch has it, too
+			if denies != 0 { // the witness was seen nevertheless, so it denies in the present epoch, too
 				p.deny(now, c, denies, by, out)
 			}
 			continue
@@ -426,20 +431,22 @@
 	}
 }
 
-// markChanged notes that this process's own record of a client is to be told.
+// markChanged marks this process's own record of a client to be sent.
 func (p *Part) markChanged(c *client) {
 	p.changeCount++
 	c.lastChange = p.changeCount
 }
 
-// client returns a client, which is made room for if it is new; nil: there is none.
+// client returns the client with the given key. A new one is added, if necessary in place of an evicted one; nil:
+// there is no room.
 func (p *Part) client(now int64, key uint64, epoch uint32) *client {
 	if c := p.clients[key]; c != nil {
 		return c
 	}
 	if len(p.clientList) >= MaxClients {
 		worst := -1
-		for i, c := range p.clientList { // the least worth, by what was counted of it, and of those the oldest
+		// evict the client with the least evidence, and among equals the one without signs for longest
+		for i, c := range p.clientList {
 			if c.evidence.Denied != 0 || now-c.lastSignAt < clientIdleTime {
 				continue
 			}
@@ -464,12 +471,12 @@
 	return c
 }
 
-// evidenceSteps is how much was counted of a client, in steps of two.
+// evidenceSteps returns the amount of clean evidence of a client on a logarithmic scale of base 2.
 func (c *client) evidenceSteps() int {
 	return int(math.Log2(1 + c.weighted[OwnClean] + c.weighted[OwnMarkedClean] + c.weighted[CallClean] + c.weighted[MessageClean]))
 }
 
-// remoteRecordCount counts the records of other processes.
+// remoteRecordCount returns the number of a client's records of other processes.
 func (p *Part) remoteRecordCount(c *client) int {
 	n := len(c.evidence.Records)
 	if _, ok := c.evidence.find(p.cfg.Self); ok {
@@ -478,8 +485,8 @@
 	return n
 }
 
-// joinEvidence joinEvidence evidence into a client's and credits what is new in it. What was clean before this process first heard of the
-// record counts by the trust given; faults always count whole.
+// joinEvidence joins evidence into a client's and adds what is new to the weighted counts. Clean outcomes of a record
+// that this process did not know before are multiplied by trust; faults always count in full.
 func (p *Part) joinEvidence(now int64, c *client, e *Evidence, trust float64) {
 	if e.Epoch < c.evidence.Epoch {
 		return
@@ -490,7 +497,7 @@
 		c.evidence.Records = nil
 		c.beginEpoch(now)
 	}
-	before := make([]*Counts, len(e.Records)) // nil: this life of the process was not known
+	before := make([]*Counts, len(e.Records)) // nil: this incarnation of the process was not known
 	for i := range e.Records {
 		if j, ok := c.evidence.find(e.Records[i].Process); ok && c.evidence.Records[j].Incarnation >= e.Records[i].Incarnation {
 			old := c.evidence.Records[j].Counts
@@ -510,7 +517,7 @@
 				n -= before[i][s]
 			}
 			if n == 0 || p.knownSigns>>s&1 == 0 {
-				continue // a sign that is not known here is kept and joined, and not gone by
+				continue // unknown signs are kept and joined, but not evaluated
 			}
 			credit := float64(n)
 			if !known && isClean(Sign(s)) && !p.defects.fullTrust {
@@ -524,13 +531,13 @@
 	c.stale = true
 }
 
-// beginEpoch begins an epoch.
+// beginEpoch resets the state that belongs to one epoch.
 func (c *client) beginEpoch(now int64) {
 	c.weighted, c.weightedOwn, c.epochBegan, c.decayedAt, c.stale = [MaxSigns]float64{}, [MaxSigns]float64{}, now, now, true
 	c.testingSince, c.undecidedTests = now, 0
 }
 
-// isClean tells whether a sign speaks for sharing.
+// isClean reports whether a sign speaks in favour of sharing.
 func isClean(s Sign) bool {
 	switch s {
 	case CallClean, CallMarkedClean, MessageClean, MessageMarkedClean, EndClean, AfterClean:
@@ -539,7 +546,7 @@
 	return false
 }
 
-// deny takes modes from a client within its epoch, and has everybody told.
+// deny denies modes to a client within its epoch and sends the denial to all processes.
 func (p *Part) deny(now int64, c *client, modes Modes, by Sign, out *fleet.Out) {
 	if modes = modes.withHigherModes(); modes&^c.evidence.Denied == 0 {
 		return
@@ -547,7 +554,7 @@
 	p.witnesses++
 	p.joinDenial(now, c, &Evidence{Epoch: c.evidence.Epoch, Denied: modes, DeniedBy: by}, out)
 	if len(p.pending) >= maxPending {
-		p.pending = slices.Delete(p.pending, 0, 1) // its digest will tell that somebody lacks it
+		p.pending = slices.Delete(p.pending, 0, 1) // the digest exchange repairs it where it is missing
 	}
 	left := make([]*peer, 0, len(p.peerList))
 	for _, q := range p.peerList {
@@ -559,7 +566,7 @@
 	p.resendDenials(now, out)
 }
 
-// joinDenial joins a denial and puts the verdict down at once.
+// joinDenial joins a denial, lowers the verdict and publishes it at once.
 func (p *Part) joinDenial(now int64, c *client, e *Evidence, out *fleet.Out) {
 	was, epoch := c.evidence.Denied, c.evidence.Epoch
 	if was != 0 {
@@ -579,15 +586,15 @@
 	p.publish(now)
 }
 
-// denial is the client's denial as it is spoken.
+// denial returns the record of the client's denial for a payload.
 func (c *client) denial() denialRecord {
 	return denialRecord{Key: c.key, Epoch: c.evidence.Epoch, Modes: c.evidence.Denied, DeniedBy: c.evidence.DeniedBy}
 }
 
-// historyKey names a client in the history: by its key, which all processes share.
+// historyKey returns the name of a client in the history: its key, which is the same in all processes.
 func (c *client) historyKey() string { return fmt.Sprintf("%016x", c.key) }
 
-// endEpochs lets epochs end: those that are denied after their rest, those of a test that has come to nothing.
+// endEpochs starts a new epoch for clients whose denial has expired and for those whose test stayed undecided.
 func (p *Part) endEpochs(now int64) {
 	for _, c := range p.clientList {
 		over := c.evidence.Denied != 0 && now-c.deniedAt >= c.denialTime() ||
@@ -603,7 +610,7 @@
 	}
 }
 
-// denialTime is how long a denial stands at least. It goes by the epoch, which all processes share.
+// denialTime returns the least duration of a denial. It depends on the epoch, which all processes share.
 func (c *client) denialTime() int64 {
 	if c.evidence.Denied.highestAllowed() > BySession {
 		return denialPeriod << maxDenialDoublings
@@ -611,7 +618,7 @@
 	return denialPeriod << min(c.evidence.Epoch-1, maxDenialDoublings)
 }
 
-// tally are the outcomes that the test of a mode goes by.
+// tally returns the outcomes that the test of a mode is computed from.
 func (p *Part) tally(of *[MaxSigns]float64, m Mode, marked bool) Tally {
 	by := Sign(0)
 	if marked {
@@ -620,24 +627,25 @@
 	if m == ByMessage {
 		return Tally{of[MessageClean+by], of[MessageFault+by]}
 	}
-	// What was clean by message was so by call, too. A fault by message may be that of sharing by message alone.
+	// A clean outcome by message is also one by call. A fault by message may be due to sharing by message alone.
 	return Tally{of[CallClean+by] + of[MessageClean+by], of[CallFault+by]}
 }
 
-// test is one of those that a mode must pass.
+// test is one of the tests that a mode must pass.
 type test struct {
-	lowBaseRatio  float64 // that there is no harm, with the base taken low
-	highBaseRatio float64 // the same with the base taken high
+	lowBaseRatio  float64 // log likelihood ratio for no harm, at the low base rate
+	highBaseRatio float64 // the same at the high base rate
 	Tally
 	base, least float64
-	countedIn   Sign // where those clean outcomes are counted that belong to this mode alone
+	countedIn   Sign // sign under which the clean outcomes of this mode alone are counted
 }
 
 func newTest(t Tally, b *baseRates, least float64, counted Sign) test {
 	return test{logLikelihoodRatio(t, b.low, least), logLikelihoodRatio(t, b.high, least), t, b.low, least, counted}
 }
 
-// tests are those that a mode must pass for what has been seen of a client. A kind of message that never came needs none.
+// tests appends the tests that a mode must pass, given what was seen of a client. A kind of message that never
+// occurred needs no test.
 func (p *Part) tests(c *client, of *[MaxSigns]float64, m Mode, into []test) []test {
 	plain, marked := CallClean, CallMarkedClean
 	if m == ByMessage {
@@ -650,8 +658,8 @@
 		t = append(t, newTest(p.tally(of, m, true), &c.markedBase, minTestHarm(signShare(of, Marked), maxMarkedHarm), marked))
 	}
 	if m == ByCall && of[Guarded] > 0 {
-		// Of the sessions that are tried half of the set-ups are shared at the most, of a raised client nearly all: the harm
-		// that is looked for shows half as often.
+		// During trials at most half of the set-ups of a session are shared; after a raise nearly all are. The harm
+		// to be detected therefore shows half as often.
 		t = append(t, newTest(Tally{of[AfterClean], of[AfterFault]}, &c.plainBase, minTestHarm(signShare(of, Guarded), maxMarkedHarm)/2, AfterClean))
 	}
 	if m == ByMessage && of[Ended] > 0 {
@@ -660,7 +668,7 @@
 	return t
 }
 
-// requiredRatio is what each test of a mode must reach.
+// requiredRatio returns the log likelihood ratio that each test of a mode must reach.
 func (p *Part) requiredRatio(c *client, of *[MaxSigns]float64, m Mode) float64 {
 	epoch := c.evidence.Epoch
 	if m == ByMessage {
@@ -676,7 +684,7 @@
 	return n
 }
 
-// evaluate decays what is known of a client, tests it, and changes its verdict.
+// evaluate decays the evidence of a client, runs its tests and changes its verdict.
 func (p *Part) evaluate(now int64, c *client, out *fleet.Out) {
 	c.stale, c.evaluatedAt = false, now
 	p.decay(now, c)
@@ -694,7 +702,7 @@
 				if m == ByMessage {
 					modes = DenyMessage
 				}
-				p.deny(now, c, modes, Refuted, out) // it weighs anew
+				p.deny(now, c, modes, Refuted, out) // evaluates the client again
 				return
 			}
 			if c.opinion >= m {
@@ -733,10 +741,11 @@
 		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "verdict", Thing: c.historyKey(), Fence: uint64(c.evidence.Epoch),
 			N: int64(mode), Text: c.name + " " + mode.String()})
 	}
-	p.tableChanged = p.tableChanged || c.mode < c.evidence.Denied.highestAllowed() // the share of trials
+	// the share of trials may have changed
+	p.tableChanged = p.tableChanged || c.mode < c.evidence.Denied.highestAllowed()
 }
 
-// recordOpinion puts the changed opinion into this process's own record.
+// recordOpinion writes the changed opinion to this process's own record.
 func (p *Part) recordOpinion(now int64, c *client) {
 	r := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns}
 	if i, ok := c.evidence.find(p.cfg.Self); ok {
@@ -749,7 +758,8 @@
 	p.markChanged(c)
 }
 
-// limitByNewerVersions is the verdict that this process takes: its own opinion, or that of processes that go by signs which it does not know.
+// limitByNewerVersions returns the lowest of this process's opinion and those of processes that evaluate signs which
+// it does not know.
 func (p *Part) limitByNewerVersions(c *client, own Mode) Mode {
 	if p.defects.ignoresNewerVersions {
 		return own
@@ -767,8 +777,9 @@
 	return own
 }
 
-// decay lets what was seen fade once the client goes by it: from then on the test never ends. Before, it stays whole, for
-// Wald's bound is that of a test that forgets nothing; a test that comes to nothing begins anew instead.
+// decay reduces the weight of old evidence once a client is raised, since its test then never ends. Before, evidence
+// keeps its full weight: Wald's bound holds for a test that forgets nothing, and an undecided test starts anew
+// instead.
 func (p *Part) decay(now int64, c *client) {
 	dt := now - c.decayedAt
 	c.decayedAt = now
@@ -791,9 +802,9 @@
 		least := 0.
 		switch Sign(s) {
 		case OwnClean, OwnFault, OwnMarkedClean, OwnMarkedFault, AfterClean:
-			continue // a raised client has few set-ups on own connections, or none, and must not fall for that
+			continue // a raised client has few or no set-ups on own connections and must not be lowered for that
 		case Marked, Ended, Again, Guarded:
-			least = 1 // what was seen of the client's ways is not forgotten within the epoch
+			least = 1 // the client's habits are not forgotten within the epoch
 		}
 		if isByMessageSign(Sign(s)) && c.mode < ByMessage {
 			continue
@@ -803,11 +814,11 @@
 	}
 }
 
-// isByMessageSign tells whether a sign belongs to the test of sharing by message.
+// isByMessageSign reports whether a sign belongs to the test of sharing by message.
 func isByMessageSign(s Sign) bool { return s >= MessageClean && s <= EndFault }
 
-// clip takes from what was clean so much that a test stands no higher than the bound given. Guards against good of long ago
-// that outweighs the bad of now.
+// clip reduces the clean outcomes so that a test's ratio is no higher than most. Otherwise old clean outcomes could
+// outweigh recent faults.
 func (c *client) clip(t test, most float64) {
 	if t.lowBaseRatio <= most {
 		return
@@ -848,7 +859,7 @@
 	}
 }
 
-// joinDenials takes denials that another process told.
+// joinDenials joins denials received from another process.
 func (p *Part) joinDenials(now int64, denials []denialRecord, out *fleet.Out) {
 	for _, d := range denials {
 		if c := p.client(now, d.Key, d.Epoch); c != nil {
@@ -857,8 +868,8 @@
 	}
 }
 
-// joinFromPeer joins what was heard of a client's epoch and denials. A denial of ours that has not had its rest goes over into a
-// later epoch. Guards against an epoch that began where the witness had not been heard of.
+// joinFromPeer joins a client's epoch and denials received from another process. If that begins a later epoch, a
+// recent denial of the present one is carried over: the epoch may have begun where the witness was not known.
 func (p *Part) joinFromPeer(now int64, c *client, e *Evidence, out *fleet.Out) {
 	own, by := c.evidence.Denied, c.evidence.DeniedBy
 	carry := e.Epoch > c.evidence.Epoch && own != 0 && now-c.deniedAt < c.denialTime()/2
@@ -868,7 +879,7 @@
 	}
 }
 
-// acknowledged notes that a process has a denial, or a later epoch, in which it no longer stands.
+// acknowledged records that a process knows a denial, or a later epoch in which it no longer applies.
 func (p *Part) acknowledged(now int64, q *peer, a denialRecord, out *fleet.Out) {
 	for i := 0; i < len(p.pending); i++ {
 		w := &p.pending[i]
@@ -905,7 +916,7 @@
 		Signs: s.Signs, Counts: countsFromMap(r.Counts)}}}, lateEvidenceWeight)
 }
 
-// send makes a message; what it is long for is the caller's to bound.
+// send queues a message. The caller keeps its payload within the size limit; a larger one is dropped.
 func (p *Part) send(to string, s *payload, out *fleet.Out) {
 	s.Signs, s.Incarnation = p.knownSigns, p.incarnation
 	body := s.bytes()
@@ -916,13 +927,13 @@
 	out.Send = append(out.Send, fleet.Message{Kind: fleet.Pooling, From: p.cfg.Self, To: to, Body: body})
 }
 
-// resendDenials tells denials again to those that have not acknowledged them.
+// resendDenials sends denials again to the processes that have not acknowledged them.
 func (p *Part) resendDenials(now int64, out *fleet.Out) {
 	var due []*pendingDenial
 	for i := 0; i < len(p.pending); i++ {
 		w := &p.pending[i]
 		if c := p.clients[w.key]; c == nil || c.evidence.Epoch > w.epoch {
-			p.pending = slices.Delete(p.pending, i, i+1) // it no longer stands
+			p.pending = slices.Delete(p.pending, i, i+1) // it no longer applies
 			i--
 			continue
 		}
@@ -954,7 +965,7 @@
 	p.pending = slices.DeleteFunc(p.pending, func(w pendingDenial) bool { return len(w.unacknowledged) == 0 })
 }
 
-// sendEvidence tells evidence to the next few processes, and denials to those whose digest differs.
+// sendEvidence sends evidence to the next few processes, and denials to those whose digest differs.
 func (p *Part) sendEvidence(now int64, out *fleet.Out) {
 	if now-p.evidenceSentAt < evidenceInterval || len(p.peerList) == 0 {
 		return
@@ -988,7 +999,8 @@
 	}
 }
 
-// repairDenials sends the next denials to a process that lacks some, or has others: what it has comes the same way.
+// repairDenials sends the next denials to a process whose digest differs. The denials that this process lacks are
+// sent by the other one in the same way.
 func (p *Part) repairDenials(q *peer, out *fleet.Out) {
 	var s payload
 	for range p.clientList {
@@ -1008,7 +1020,8 @@
 	}
 }
 
-// sendEvidenceTo sends the own records that changed the longest ago of those that a process has not been told; false: none is left.
+// sendEvidenceTo sends the oldest changed own records that a process has not been sent, and reports whether any are
+// left.
 func (p *Part) sendEvidenceTo(q *peer, out *fleet.Out) bool {
 	var next []*client
 	for _, c := range p.clientList {
@@ -1043,7 +1056,8 @@
 	return len(s.Evidence) < len(next)
 }
 
-// publishEntry puts this process's part of its entry up: which signs it knows, the digest of its denials, and the newest of them.
+// publishEntry publishes this process's part of its fleet entry: the signs that it knows, the digest of its denials,
+// and the newest of them.
 func (p *Part) publishEntry(now int64, out *fleet.Out) {
 	if p.incarnation == 0 || p.entryBody != nil && now-p.entrySentAt < entryInterval {
 		return
--- a/internal/pooling/signs.go
+++ b/internal/pooling/signs.go
@@ -6,12 +6,13 @@
 	"pewterwheel/internal/wire"
 )
 
-// Sign is one sort of observation. Numbers are spoken between versions and never given anew; those of a newer version are
-// kept and joined without being understood.
+// Sign is a kind of observation. Its numbers are exchanged between program versions and never reassigned. Signs of a
+// newer version are kept and joined although their meaning is unknown.
 type Sign uint8
 
-// The signs. A call is guarded if it may not be repeated freely. A set-up is marked if it repeats a token that an office gave its session. Faults are refusals whose cause may
-// come of state that is not there (stateful); refusals for want of room are no sign of anything.
+// The signs. A call is guarded if it may not be repeated freely. A set-up is marked if it repeats a token that an
+// office gave its session. Faults are refusals whose cause may be missing connection state (see stateful); refusals
+// for lack of capacity are not counted.
 const (
 	OwnClean Sign = iota + 1
 	OwnFault
@@ -48,30 +49,30 @@
 	lastSign = Refuted
 )
 
-// MaxSigns bounds the numbers of signs, this version's and later ones'.
+// MaxSigns bounds the sign numbers of this and later versions.
 const MaxSigns = 40
 
-// Modes is a set of modes that are denied.
+// Modes is a set of denied modes.
 type Modes uint8
 
-// The sets that a witness may deny. Who is denied a mode is denied every mode above it.
+// The sets that a witness may deny. Denying a mode also denies every higher one.
 const (
 	DenyMessage Modes = 1 << ByMessage
 	DenyCall    Modes = 1<<ByCall | DenyMessage
 )
 
-// Effect is what a sign does to a verdict.
+// Effect is how a sign influences a verdict.
 type Effect uint8
 
 // The effects.
 const (
 	Test    Effect = iota + 1 // counts in the sequential test of a mode
-	Base                      // tells how often the same is refused on connections of its own
-	Demand                    // raises what the test must show; never lowers it below the stated confidence
-	Witness                   // denies at once, whatever else was seen
+	Base                      // measures how often the same kind of message is refused on the session's own connections
+	Demand                    // raises the ratio that the test must reach; never lowers it below the stated confidence
+	Witness                   // denies at once, regardless of other evidence
 )
 
-// SignInfo is a sign's line in the table.
+// SignInfo describes a sign in the Signs table.
 type SignInfo struct {
 	Sign   Sign
 	Name   string
@@ -80,7 +81,7 @@
 	Proves string
 }
 
-// Signs lists every sign of this version with what it proves.
+// Signs lists every sign of this version and what it proves, in the order of their numbers.
 var Signs = []SignInfo{
 	{OwnClean, "own-clean", Base, 0, "nothing about sharing; how often a plain set-up is answered on a connection of its own"},
 	{OwnFault, "own-fault", Base, 0, "that such refusals also come without sharing"},
@@ -116,7 +117,7 @@
 	{Refuted, "refuted", Witness, DenyCall, "that the sequential test came down on the other side, with its stated error"},
 }
 
-// String is the sign's name.
+// String returns the name of the sign.
 func (s Sign) String() string {
 	if s >= 1 && s <= lastSign {
 		return Signs[s-1].Name
@@ -124,15 +125,15 @@
 	return "later-sign"
 }
 
-// String names a mode as the log does.
+// String returns the name of the mode as it appears in the log.
 func (m Mode) String() string {
 	return [...]string{"none", "by-session", "by-call", "by-message"}[min(m, ByMessage)]
 }
 
-// Known is the set of signs that this version knows, as a mask.
+// Known is the mask of the signs that this version knows.
 const Known uint64 = 1<<(lastSign+1) - 2
 
-// highestAllowed is the highestAllowed mode that a set of denials leaves.
+// highestAllowed returns the highest mode that is not denied.
 func (d Modes) highestAllowed() Mode {
 	switch {
 	case d&(1<<ByCall) != 0:
@@ -143,7 +144,7 @@
 	return ByMessage
 }
 
-// withHigherModes denies what is above each denied mode, too.
+// withHigherModes adds every mode above a denied one.
 func (d Modes) withHigherModes() Modes {
 	if d&(1<<ByCall) != 0 {
 		d |= DenyCall
@@ -151,7 +152,7 @@
 	return d
 }
 
-// String names what is denied.
+// String lists the names of the denied modes.
 func (d Modes) String() string {
 	var names []string
 	for m := ByCall; m <= ByMessage; m++ {
@@ -162,7 +163,7 @@
 	return strings.Join(names, "+")
 }
 
-// stateful tells whether a refusal of this cause may come of state that is not on the connection.
+// stateful reports whether a refusal with this cause may be due to state that is missing on the connection.
 func stateful(cause byte) bool {
 	switch cause {
 	case wire.CauseNormal, wire.CauseBusy, wire.CauseFull, wire.CauseCut, wire.CauseCongestion, wire.CauseMoot:
--- a/internal/pooling/speak.go
+++ b/internal/pooling/speak.go
@@ -8,19 +8,20 @@
 	"pewterwheel/internal/fleet"
 )
 
-// What is spoken: CBOR maps with integer keys; a later version's further keys are passed over.
+// Payloads are CBOR maps with integer keys. Unknown keys of later versions are ignored.
 
-// payload is the body of a message, and the process's part of its entry.
+// payload is the body of a message, and this process's part of its fleet entry.
 type payload struct {
-	Signs       uint64           `cbor:"1,keyasint"`             // that the speaker's version knows
+	Signs       uint64           `cbor:"1,keyasint"`             // mask of the signs that the sender's version knows
 	Incarnation uint64           `cbor:"2,keyasint" json:"Life"` // the speaker's
-	Digest      uint64           `cbor:"3,keyasint,omitempty"`   // of all denials that the speaker knows
+	Digest      uint64           `cbor:"3,keyasint,omitempty"`   // of all denials that the sender knows
 	Denials     []denialRecord   `cbor:"4,keyasint,omitempty"`
 	Evidence    []evidenceRecord `cbor:"5,keyasint,omitempty"`
-	Acks        []denialRecord   `cbor:"6,keyasint,omitempty"` // denials that it has taken, as it now knows them
+	// denials that the sender received, in their present state
+	Acks []denialRecord `cbor:"6,keyasint,omitempty"`
 }
 
-// denialRecord is what stands denied of a client.
+// denialRecord holds the denied modes of a client.
 type denialRecord struct {
 	Key      uint64 `cbor:"1,keyasint"`
 	Epoch    uint32 `cbor:"2,keyasint"`
@@ -28,7 +29,7 @@
 	DeniedBy Sign   `cbor:"4,keyasint" json:"By"`
 }
 
-// evidenceRecord is the speaker's own record of a client, with what it knows to be denied.
+// evidenceRecord is the sender's own record of a client, with the denials that it knows.
 type evidenceRecord struct {
 	Key            uint64          `cbor:"1,keyasint"`
 	Epoch          uint32          `cbor:"2,keyasint"`
@@ -39,7 +40,7 @@
 	Counts         map[Sign]uint32 `cbor:"7,keyasint"`
 }
 
-// Bounds of one body.
+// Bounds of one payload.
 const (
 	maxPayloadDenials = 24
 	maxPayloadRecords = 16
@@ -50,21 +51,21 @@
 	decMode, _ = cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 
-	errTooLong      = errors.New("longer than a body may be")
-	errTooManyItems = errors.New("more in it than a body may hold")
-	errTooManyPeers = errors.New("more processes than are kept")
-	errZeroEpoch    = errors.New("an epoch that is none")
+	errTooLong      = errors.New("payload exceeds the size limit")
+	errTooManyItems = errors.New("payload has more items than allowed")
+	errTooManyPeers = errors.New("process table is full")
+	errZeroEpoch    = errors.New("epoch is 0")
 )
 
 func (s *payload) bytes() []byte {
 	b, err := encMode.Marshal(s)
 	if err != nil {
-		panic(err) // the type has nothing that cannot be written
+		panic(err) // cannot happen: every field type can be encoded
 	}
 	return b
 }
 
-// decodePayload reads a body.
+// decodePayload decodes and validates a payload.
 func decodePayload(from string, body []byte) (*payload, error) {
 	if len(body) > fleet.MaxBody {
 		return nil, &BodyError{from, errTooLong}
@@ -92,7 +93,7 @@
 	return s, nil
 }
 
-// toMap writes counts; those that are 0 are left out.
+// toMap returns the counts as a map, without those that are 0.
 func (c *Counts) toMap() map[Sign]uint32 {
 	m := make(map[Sign]uint32, 16)
 	for i, n := range c {
@@ -103,7 +104,7 @@
 	return m
 }
 
-// countsFromMap reads them back; numbers past MaxSigns are passed over.
+// countsFromMap is the inverse of toMap. Numbers from MaxSigns on are ignored.
 func countsFromMap(m map[Sign]uint32) (c Counts) {
 	for i := range c {
 		c[i] = m[Sign(i)]
@@ -111,7 +112,7 @@
 	return c
 }
 
-// digest is one denial's part in the digest, which is all of them by exclusive or.
+// digest returns the hash of one denial. The digest of a set is the exclusive or of its hashes.
 func (d denialRecord) digest() uint64 {
 	x := d.Key ^ uint64(d.Epoch)*0x9e3779b97f4a7c15 ^ uint64(d.Modes)<<56
 	x ^= x >> 31
