--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -43,7 +43,7 @@
 	// the session
 	Own   Lane = iota + 1
 	Taken      // a pooled connection that no other call uses, for the length of this call
-	Any        // any pooled connection; for messages after the set-up, a different one than the set-up's if there is one
+	Any        // any pooled connection; after the set-up a different one than the set-up's, if there is one
 	Held       // the connection that carried the call's set-up; never returned for a set-up
 )
 
@@ -55,7 +55,7 @@
 	Session SessionID // the connection on which the set-up arrived
 	Office  uint64    // office that its newest set-up goes or went to: any number that is unique per office
 	Free    bool      // the call's class may be repeated freely
-	Lane    Lane      // what Laner.Lane returned for its newest set-up, stored here by that method; 0: none has been sent
+	Lane    Lane      // returned by Laner.Lane for its newest set-up and stored here by it; 0: none was sent
 	Memo    uint8     // flags private to pooling, like the next field
 	Refused uint64    // office that refused the call on a shared lane; 0: none has
 }
@@ -94,21 +94,21 @@
 type Laner interface {
 	// Open registers a caller's connection with the application that it declares (named as in the site file) and its
 	// source address without the port. Each is cut to MaxName bytes.
-	Open(now int64, s SessionID, application, source string) ClientID
+	Open(now int64, session SessionID, application, source string) ClientID
 	// Closed reports that the connection ended. Its own connections to offices may be closed once nothing is open on
 	// them.
-	Closed(now int64, c ClientID, s SessionID)
+	Closed(now int64, client ClientID, session SessionID)
 	// Keep reports whether a session's own connections to offices must stay open although nothing is open on them. It
 	// is called by the periodic sweep. They may be closed once the client's verdict has allowed sharing for long
 	// enough.
-	Keep(now int64, c ClientID, s SessionID) bool
+	Keep(now int64, client ClientID, session SessionID) bool
 	// Lane returns the connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also stores
-	// it in c.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an End
+	// it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an End
 	// if the set-up went on Any and the client's verdict still allows it: when a verdict falls, a call in progress
 	// stays on its connection. If a set-up was refused on a shared lane, its repeat goes on Own.
-	Lane(now int64, c *Call, k Kind) Lane
+	Lane(now int64, call *Call, kind Kind) Lane
 	// Observe reports an event of a call.
-	Observe(now int64, o Observation)
+	Observe(now int64, observation Observation)
 	// Round is called at the end of each round of the loop. It hands the observations over to the Part as far as the
 	// ring has room.
 	Round(now int64)
--- a/internal/pooling/bound.go
+++ b/internal/pooling/bound.go
@@ -73,13 +73,15 @@
 
 // logLikelihoodRatio compares how well no harm and the least harm explain the outcomes. Greater harm explains clean
 // outcomes even worse, so the bound holds for it too.
-func logLikelihoodRatio(t Tally, base, least float64) float64 {
+func logLikelihoodRatio(tally Tally, base, least float64) float64 {
 	harmed := min(base+least, 0.999)
-	return t.Clean*math.Log((1-base)/(1-harmed)) - t.Fault*math.Log(harmed/base)
+	return tally.Clean*math.Log((1-base)/(1-harmed)) - tally.Fault*math.Log(harmed/base)
 }
 
 // minTestHarm is the least harm that a test must detect if it covers the given fraction of the client's calls.
-func minTestHarm(seen, most float64) float64 { return min(max(minHarm/max(seen, 1e-9), minHarm), most) }
+func minTestHarm(fraction, limit float64) float64 {
+	return min(max(minHarm/max(fraction, 1e-9), minHarm), limit)
+}
 
 // Trials. Until a verdict allows a mode, a share of the set-ups of repeatable classes is sent in that mode.
 const (
@@ -94,7 +96,7 @@
 
 // trialShare is the share of set-ups that may be tried after these outcomes, for a kind of set-up that makes up the
 // given fraction of all.
-func trialShare(t Tally, seen, most float64) float64 {
-	n := t.Clean + t.Fault
-	return min(most, max(minTrialShare, maxDisturbed/max(seen, 1e-9)*n/(t.Fault+3)))
+func trialShare(tally Tally, fraction, limit float64) float64 {
+	n := tally.Clean + tally.Fault
+	return min(limit, max(minTrialShare, maxDisturbed/max(fraction, 1e-9)*n/(tally.Fault+3)))
 }
--- a/internal/pooling/errors.go
+++ b/internal/pooling/errors.go
@@ -92,4 +92,5 @@
 }
 
 // Errors lists all error types of the package.
-var Errors = []advice.Advised{&BodyError{}, &ClientsError{}, &RecordsError{}, &CutError{}, &StillError{}, &ConfigError{}}
+var Errors = []advice.Advised{&BodyError{}, &ClientsError{}, &RecordsError{}, &CutError{}, &StillError{},
+	&ConfigError{}}
--- a/internal/pooling/evidence.go
+++ b/internal/pooling/evidence.go
@@ -27,20 +27,21 @@
 }
 
 // Join merges other evidence of the same client and reports whether anything changed.
-func (e *Evidence) Join(o *Evidence) bool { return e.join(o, defectSet{}) }
+func (e *Evidence) Join(other *Evidence) bool { return e.join(other, defectSet{}) }
 
-func (e *Evidence) join(o *Evidence, d defectSet) bool {
+func (e *Evidence) join(other *Evidence, defects defectSet) bool {
 	switch {
-	case o.Epoch < e.Epoch:
+	case other.Epoch < e.Epoch:
 		return false
-	case o.Epoch > e.Epoch:
-		*e = Evidence{Epoch: o.Epoch, Denied: o.Denied, DeniedBy: o.DeniedBy, Records: slices.Clone(o.Records)}
+	case other.Epoch > e.Epoch:
+		*e = Evidence{Epoch: other.Epoch, Denied: other.Denied, DeniedBy: other.DeniedBy,
+			Records: slices.Clone(other.Records)}
 		return true
 	}
-	changed := o.Denied&^e.Denied != 0 || o.DeniedBy > e.DeniedBy
-	e.Denied, e.DeniedBy = e.Denied|o.Denied, max(e.DeniedBy, o.DeniedBy)
-	for i := range o.Records {
-		if e.joinRecord(&o.Records[i], d) {
+	changed := other.Denied&^e.Denied != 0 || other.DeniedBy > e.DeniedBy
+	e.Denied, e.DeniedBy = e.Denied|other.Denied, max(e.DeniedBy, other.DeniedBy)
+	for i := range other.Records {
+		if e.joinRecord(&other.Records[i], defects) {
 			changed = true
 		}
 	}
@@ -61,37 +62,37 @@
 }
 
 // joinRecord merges a record of the same epoch and reports whether anything changed.
-func (e *Evidence) joinRecord(r *Record, d defectSet) bool {
+func (e *Evidence) joinRecord(r *Record, defects defectSet) bool {
 	i, found := e.find(r.Process)
 	if !found {
 		e.Records = slices.Insert(e.Records, i, *r)
 		return true
 	}
-	return e.Records[i].join(r, d)
+	return e.Records[i].join(r, defects)
 }
 
-func (r *Record) join(o *Record, d defectSet) bool {
+func (r *Record) join(other *Record, defects defectSet) bool {
 	switch {
-	case o.Incarnation < r.Incarnation:
+	case other.Incarnation < r.Incarnation:
 		return false
-	case o.Incarnation > r.Incarnation:
-		*r = *o
+	case other.Incarnation > r.Incarnation:
+		*r = *other
 		return true
 	}
-	was := *r
+	before := *r
 	// If the same incarnation was reported with two sign masks, the union covers what either has seen.
-	r.Signs |= o.Signs
-	if o.OpinionVersion > r.OpinionVersion {
-		r.OpinionVersion, r.Opinion = o.OpinionVersion, o.Opinion
-	} else if o.OpinionVersion == r.OpinionVersion {
-		r.Opinion = min(r.Opinion, o.Opinion)
+	r.Signs |= other.Signs
+	if other.OpinionVersion > r.OpinionVersion {
+		r.OpinionVersion, r.Opinion = other.OpinionVersion, other.Opinion
+	} else if other.OpinionVersion == r.OpinionVersion {
+		r.Opinion = min(r.Opinion, other.Opinion)
 	}
-	for i, n := range o.Counts {
-		if d.joinAdds {
+	for i, n := range other.Counts {
+		if defects.joinAdds {
 			r.Counts[i] += n
 		} else {
 			r.Counts[i] = max(r.Counts[i], n)
 		}
 	}
-	return *r != was
+	return *r != before
 }
--- a/internal/pooling/export_test.go
+++ b/internal/pooling/export_test.go
@@ -1,31 +1,33 @@
 package pooling
 
-// For tests of other packages' rigs: what a part and its loop are made worse by, and what is inside them.
+// This file gives the external tests of this package access to internals and lets them disable safeguards.
 
 var defectSets = map[string]defectSet{
-	"witness does not win": {witnessAsFault: true}, "no decay": {noDecay: true}, "cut-off process raises": {raisesWhileIsolated: true},
-	"join adds": {joinAdds: true}, "new process trusts fully": {fullTrust: true}, "calls under way move": {callsMove: true},
-	"any class is tried": {anyClass: true}, "lower verdict not taken": {ignoresNewerVersions: true},
+	"witness does not win": {witnessAsFault: true}, "no decay": {noDecay: true},
+	"cut-off process raises": {raisesWhileIsolated: true},
+	"join adds":              {joinAdds: true}, "new process trusts fully": {fullTrust: true},
+	"calls under way move": {callsMove: true},
+	"any class is tried":   {anyClass: true}, "lower verdict not taken": {ignoresNewerVersions: true},
 }
 
-// InjectDefect makes a part and its loop worse; unknown names do nothing.
-func InjectDefect(p *Part, l *Loop, how string) {
-	p.defects, l.defects = defectSets[how], defectSets[how]
+// InjectDefect disables the safeguard of the given name in a part and its loop. Unknown names have no effect.
+func InjectDefect(p *Part, l *Loop, name string) {
+	p.defects, l.defects = defectSets[name], defectSets[name]
 }
 
-// JoinWithDefect joins as a doctored part does.
-func (e *Evidence) JoinWithDefect(o *Evidence, how string) { e.join(o, defectSets[how]) }
+// JoinWithDefect joins with the safeguard of the given name disabled.
+func (e *Evidence) JoinWithDefect(o *Evidence, defect string) { e.join(o, defectSets[defect]) }
 
-// SetTable puts a verdict for every client up.
+// SetTable publishes a table with one verdict for every client.
 func (l *Loop) SetTable(until int64, v Verdict) { l.table.Store(&Table{ValidUntil: until, Default: v}) }
 
-// Count counts a sign for a client, as the loop does.
+// Count counts a sign n times for a client.
 func (l *Loop) Count(c ClientID, s Sign, n uint32) {
 	l.count(c, s)
 	l.clients[c].counts[s] += n - 1
 }
 
-// DrainRing empties the ring and sums it.
+// DrainRing empties the ring and returns the sum of its counts.
 func (l *Loop) DrainRing() (sum Counts) {
 	for b := (batch{}); l.ring.pop(&b); {
 		for s, n := range b.counts {
@@ -35,10 +37,10 @@
 	return sum
 }
 
-// DecodePayload reads a body.
+// DecodePayload decodes a payload.
 var DecodePayload = decodePayload
 
-// Weighted is what the part goes by for a client.
+// Weighted returns the weighted count of a sign of a client.
 func (p *Part) Weighted(key uint64, s Sign) float64 {
 	if c := p.clients[key]; c != nil {
 		return c.weighted[s]
@@ -46,7 +48,7 @@
 	return 0
 }
 
-// Opinion is the part's own, before those of other versions.
+// Opinion returns the part's own opinion, before those of newer versions are applied.
 func (p *Part) Opinion(key uint64) Mode {
 	if c := p.clients[key]; c != nil {
 		return c.opinion
@@ -54,19 +56,20 @@
 	return BySession
 }
 
-// Digest is that of the denials.
+// Digest returns the digest of all denials.
 func (p *Part) Digest() uint64 { return p.digest }
 
-// What tests go by.
+// Constants for tests.
 const (
 	HalfLife, TableLifetime, StartDelay, MinHarm = halfLife, tableLifetime, startDelay, minHarm
 )
 
-// RequiredLogRatio and LogLikelihoodRatio are those of the test.
+// RequiredLogRatio and LogLikelihoodRatio are the functions of the sequential test.
 var RequiredLogRatio, LogLikelihoodRatio = requiredLogRatio, logLikelihoodRatio
 
-// EncodePayload is a message with one record of the client of the given key.
+// EncodePayload returns a payload with one record of the client with the given key.
 func EncodePayload(key, signs, life uint64, epoch, said uint32, opinion Mode, counts map[Sign]uint32) []byte {
-	s := payload{Signs: signs, Incarnation: life, Evidence: []evidenceRecord{{Key: key, Epoch: epoch, Opinion: opinion, OpinionVersion: said, Counts: counts}}}
-	return s.bytes()
+	s := payload{Signs: signs, Incarnation: life, Evidence: []evidenceRecord{{Key: key, Epoch: epoch, Opinion: opinion,
+		OpinionVersion: said, Counts: counts}}}
+	return s.encode()
 }
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -56,8 +56,8 @@
 	verdicts   map[uint64]Verdict
 }
 
-// Of returns the verdict of the client with the given key.
-func (t *Table) Of(key uint64) Verdict {
+// Lookup returns the verdict of the client with the given key.
+func (t *Table) Lookup(key uint64) Verdict {
 	if v, ok := t.verdicts[key]; ok {
 		return v
 	}
@@ -168,7 +168,7 @@
 }
 
 // Open implements Laner.
-func (l *Loop) Open(now int64, s SessionID, application, source string) ClientID {
+func (l *Loop) Open(now int64, sessionID SessionID, application, source string) ClientID {
 	l.now = now
 	if len(l.sessions) >= maxSessions {
 		l.droppedSigns.Add(1)
@@ -191,28 +191,28 @@
 		l.clients[id] = loopClient{batch: batch{key: key, name: clientName(application, source), epoch: 1}}
 	}
 	l.clients[id].sessions++
-	x := &session{}
+	sess := &session{}
 	if n := len(l.freeSessions); n > 0 {
-		x, l.freeSessions = l.freeSessions[n-1], l.freeSessions[:n-1]
+		sess, l.freeSessions = l.freeSessions[n-1], l.freeSessions[:n-1]
 	}
-	*x = session{client: id, control: l.draw(1 << 31)}
-	l.sessions[s] = x
+	*sess = session{client: id, control: l.draw(1 << 31)}
+	l.sessions[sessionID] = sess
 	return id
 }
 
 // Closed implements Laner.
-func (l *Loop) Closed(now int64, c ClientID, s SessionID) {
-	x := l.sessions[s]
-	if x == nil {
+func (l *Loop) Closed(now int64, clientID ClientID, sessionID SessionID) {
+	sess := l.sessions[sessionID]
+	if sess == nil {
 		return
 	}
 	l.now = now
-	delete(l.sessions, s)
+	delete(l.sessions, sessionID)
 	if len(l.freeSessions) < 256 {
-		l.freeSessions = append(l.freeSessions, x)
+		l.freeSessions = append(l.freeSessions, sess)
 	}
-	l.clients[x.client].sessions--
-	l.releaseIfUnused(x.client)
+	l.clients[sess.client].sessions--
+	l.releaseIfUnused(sess.client)
 }
 
 // releaseIfUnused frees a client's slot once it has no open session and no counts to hand over.
@@ -225,22 +225,22 @@
 }
 
 // Keep implements Laner.
-func (l *Loop) Keep(now int64, c ClientID, s SessionID) bool {
-	x := l.sessions[s]
-	if x == nil {
+func (l *Loop) Keep(now int64, clientID ClientID, sessionID SessionID) bool {
+	sess := l.sessions[sessionID]
+	if sess == nil {
 		return false
 	}
 	l.now = now
-	cl := &l.clients[x.client]
+	cl := &l.clients[sess.client]
 	v := l.verdict(cl)
-	return x.guarded || l.mode(cl, v) == BySession || now-v.Since < ownKeepTime
+	return sess.guarded || l.mode(cl, v) == BySession || now-v.Since < ownKeepTime
 }
 
 // verdict returns the verdict of a client at present.
 func (l *Loop) verdict(cl *loopClient) Verdict {
 	t := l.table.Load()
 	if cl.verdictTable != t {
-		cl.verdictTable, cl.verdict = t, t.Of(cl.key)
+		cl.verdictTable, cl.verdict = t, t.Lookup(cl.key)
 		if cl.verdict.Epoch > cl.epoch { // the counts belong to an epoch that is over
 			cl.epoch, cl.counts = cl.verdict.Epoch, Counts{}
 		}
@@ -254,7 +254,7 @@
 
 // Verdict returns the present verdict for a client key, for operators and measurements. It may be called from any
 // goroutine.
-func (l *Loop) Verdict(key uint64) Verdict { return l.table.Load().Of(key) }
+func (l *Loop) Verdict(key uint64) Verdict { return l.table.Load().Lookup(key) }
 
 // mode returns the highest mode that a client may use.
 func (l *Loop) mode(cl *loopClient, v Verdict) Mode {
@@ -277,47 +277,47 @@
 func (l *Loop) draw(share uint32) bool { return uint32(l.random.Uint64()>>32) < share }
 
 // Lane implements Laner.
-func (l *Loop) Lane(now int64, c *Call, k Kind) Lane {
+func (l *Loop) Lane(now int64, call *Call, kind Kind) Lane {
 	l.now = now
-	x := l.sessions[c.Session]
-	if k != SetUp {
-		return l.laneAfterSetUp(x, c, k)
+	sess := l.sessions[call.Session]
+	if kind != SetUp {
+		return l.laneAfterSetUp(sess, call, kind)
 	}
-	c.Lane = l.laneForSetUp(x, c)
-	c.Memo |= memoSent
-	if x == nil {
-		return c.Lane
+	call.Lane = l.laneForSetUp(sess, call)
+	call.Memo |= memoSent
+	if sess == nil {
+		return call.Lane
 	}
-	x.shared = x.shared || c.Lane != Own
-	return c.Lane
+	sess.shared = sess.shared || call.Lane != Own
+	return call.Lane
 }
 
 // laneForSetUp chooses the lane of a set-up.
-func (l *Loop) laneForSetUp(x *session, c *Call) Lane {
-	if x == nil {
+func (l *Loop) laneForSetUp(sess *session, call *Call) Lane {
+	if sess == nil {
 		return Own
 	}
-	if !c.Free {
-		x.guarded = true
+	if !call.Free {
+		sess.guarded = true
 	}
-	if c.Memo&memoRefused != 0 || !c.Free && !l.defects.anyClass {
+	if call.Memo&memoRefused != 0 || !call.Free && !l.defects.anyClass {
 		// Evidence only covers classes that may be repeated freely, so all others go by session.
 		return Own
 	}
-	cl := &l.clients[x.client]
+	cl := &l.clients[sess.client]
 	v := l.verdict(cl)
 	share := v.Share
-	if c.Memo&memoMarked != 0 {
+	if call.Memo&memoMarked != 0 {
 		share = v.Marked
 	}
 	mode, trial := l.mode(cl, v), l.trial(cl, v)
 	switch {
-	case trial <= mode || c.Memo&memoSent != 0:
+	case trial <= mode || call.Memo&memoSent != 0:
 	case mode > BySession && l.draw(share):
 		mode = trial
 	// doubled, because half of the sessions are the control group
-	case mode == BySession && !x.control && x.ownAnswers >= minOwnAnswers && l.draw(double(share)):
-		c.Memo |= memoTrial
+	case mode == BySession && !sess.control && sess.ownAnswers >= minOwnAnswers && l.draw(double(share)):
+		call.Memo |= memoTrial
 		mode = trial
 	}
 	switch mode {
@@ -333,73 +333,73 @@
 
 // laneAfterSetUp chooses the lane of a message after the set-up. Only an end may use another connection than the
 // set-up: a give-up could overtake its set-up there, and an acknowledgement must go where the release came from.
-func (l *Loop) laneAfterSetUp(x *session, c *Call, k Kind) Lane {
-	if k != End || x == nil {
+func (l *Loop) laneAfterSetUp(sess *session, call *Call, kind Kind) Lane {
+	if kind != End || sess == nil {
 		return Held
 	}
-	cl := &l.clients[x.client]
-	if c.Memo&(memoEndMoved|memoEndUnheard) == 0 {
-		l.count(x.client, Ended)
+	cl := &l.clients[sess.client]
+	if call.Memo&(memoEndMoved|memoEndUnheard) == 0 {
+		l.count(sess.client, Ended)
 	}
 	v := l.verdict(cl)
 	allowed := l.mode(cl, v) >= ByMessage && v.Ends || l.trial(cl, v) == ByMessage
-	if l.defects.callsMove && !allowed && c.Lane != Own {
+	if l.defects.callsMove && !allowed && call.Lane != Own {
 		return Own
 	}
-	if c.Lane != Any || !allowed || c.Memo&memoEndUnheard != 0 {
+	if call.Lane != Any || !allowed || call.Memo&memoEndUnheard != 0 {
 		return Held
 	}
-	c.Memo |= memoEndMoved
+	call.Memo |= memoEndMoved
 	return Any
 }
 
 // Observe implements Laner.
 func (l *Loop) Observe(now int64, o Observation) {
 	l.now = now
-	c := o.Call
-	x := l.sessions[c.Session]
-	if x == nil {
+	call := o.Call
+	sess := l.sessions[call.Session]
+	if sess == nil {
 		return // the client is unknown
 	}
-	id := x.client
+	id := sess.client
 	cl := &l.clients[id]
-	marked := c.Memo&memoMarked != 0
+	marked := call.Memo&memoMarked != 0
 	switch o.What {
 	case CameSetUp:
-		if !c.Free {
+		if !call.Free {
 			l.count(id, Guarded)
 		}
-		if x.open > 0 {
+		if sess.open > 0 {
 			l.count(id, Overlapped)
-		} else if x.calls > 0 {
+		} else if sess.calls > 0 {
 			l.count(id, Serial)
 		}
-		x.calls++
-		x.open++
-		c.Memo |= memoOpen
-		if x.repeatsToken(o.Text) {
-			c.Memo |= memoMarked
+		sess.calls++
+		sess.open++
+		call.Memo |= memoOpen
+		if sess.repeatsToken(o.Text) {
+			call.Memo |= memoMarked
 			l.count(id, Marked)
 		}
 	case CameAgain:
-		if y := l.sessions[o.On]; y != nil && y != x && y.client == id {
+		if other := l.sessions[o.On]; other != nil && other != sess && other.client == id {
 			l.recordWitness(id, IDClash)
 		}
 		l.count(id, Again)
 	case CameEnd:
-		if o.On != 0 && o.On != c.Session {
+		if o.On != 0 && o.On != call.Session {
 			l.count(id, Crossed)
 		}
 	case Answered:
-		x.recordReceivedTokens(o.Text)
-		if c.Memo&memoRefused == 0 {
-			l.count(id, l.outcomeSign(x, c, OwnClean))
+		sess.recordReceivedTokens(o.Text)
+		if call.Memo&memoRefused == 0 {
+			l.count(id, l.outcomeSign(sess, call, OwnClean))
 		}
-		if c.Lane != Own {
+		if call.Lane != Own {
 			break
 		}
-		x.ownAnswers++
-		if c.Memo&memoMissing != 0 && c.Refused == c.Office {
+		sess.ownAnswers++
+		if call.Memo&memoMissing != 0 && call.Refused == call.Office {
 			if marked {
 				l.recordWitness(id, TokenBound)
 			} else {
@@ -407,46 +407,46 @@
 			}
 		}
 	case Failed:
-		l.observeRefusal(x, cl, c, o.Cause)
+		l.observeRefusal(sess, cl, call, o.Cause)
 	case EndHeard:
-		switch c.Memo & (memoEndMoved | memoEndUnheard) {
+		switch call.Memo & (memoEndMoved | memoEndUnheard) {
 		case memoEndMoved:
 			l.count(id, EndClean)
 		case memoEndMoved | memoEndUnheard:
 			l.count(id, EndFault)
 		}
-		c.Memo &^= memoEndMoved | memoEndUnheard
+		call.Memo &^= memoEndMoved | memoEndUnheard
 	case EndUnheard:
-		if c.Memo&memoEndMoved != 0 {
-			c.Memo |= memoEndUnheard
+		if call.Memo&memoEndMoved != 0 {
+			call.Memo |= memoEndUnheard
 		}
 	case Over:
-		if c.Memo&memoOpen != 0 {
-			c.Memo &^= memoOpen
-			x.open--
+		if call.Memo&memoOpen != 0 {
+			call.Memo &^= memoOpen
+			sess.open--
 		}
 	}
 }
 
 // observeRefusal records the refusal of a set-up.
-func (l *Loop) observeRefusal(x *session, cl *loopClient, c *Call, cause byte) {
-	id := x.client
-	if !stateful(cause) || c.Memo&memoRefused != 0 {
+func (l *Loop) observeRefusal(sess *session, cl *loopClient, call *Call, cause byte) {
+	id := sess.client
+	if !stateful(cause) || call.Memo&memoRefused != 0 {
 		return
 	}
-	c.Memo |= memoRefused
-	l.count(id, l.outcomeSign(x, c, OwnFault))
+	call.Memo |= memoRefused
+	l.count(id, l.outcomeSign(sess, call, OwnFault))
 	if cause != wire.CauseMissing {
 		return
 	}
 	switch {
-	case c.Lane != Own:
-		c.Memo |= memoMissing
-		c.Refused = c.Office
-		if v := l.verdict(cl); v.OwnNeverMissed && !cl.ownMissing && c.Memo&memoTrial == 0 {
+	case call.Lane != Own:
+		call.Memo |= memoMissing
+		call.Refused = call.Office
+		if v := l.verdict(cl); v.OwnNeverMissed && !cl.ownMissing && call.Memo&memoTrial == 0 {
 			l.recordWitness(id, MissingShared)
 		}
-	case !x.shared:
+	case !sess.shared:
 		cl.ownMissing = true
 		l.count(id, OwnMissing)
 	}
@@ -455,32 +455,32 @@
 // outcomeSign returns the sign of an answer (of is OwnClean) or a refusal (of is OwnFault); 0: none. Once a session
 // has used shared lanes, refusals on its own connections no longer count for the base rate. For repeatable calls the
 // trials provide the same evidence.
-func (l *Loop) outcomeSign(x *session, c *Call, of Sign) Sign {
-	switch c.Lane {
+func (l *Loop) outcomeSign(sess *session, call *Call, sign Sign) Sign {
+	switch call.Lane {
 	case Own:
 		switch {
-		case x.shared && c.Free:
+		case sess.shared && call.Free:
 			return 0
-		case x.shared && of == OwnClean && !l.sharesOften(x):
+		case sess.shared && sign == OwnClean && !l.sharesOften(sess):
 			return 0
-		case x.shared:
-			return of + AfterClean - OwnClean
+		case sess.shared:
+			return sign + AfterClean - OwnClean
 		}
 	case Taken:
-		of += CallClean - OwnClean
+		sign += CallClean - OwnClean
 	case Any:
-		of += MessageClean - OwnClean
+		sign += MessageClean - OwnClean
 	}
-	if c.Memo&memoMarked != 0 {
-		of += OwnMarkedClean - OwnClean
+	if call.Memo&memoMarked != 0 {
+		sign += OwnMarkedClean - OwnClean
 	}
-	return of
+	return sign
 }
 
 // sharesOften reports whether about half of a session's set-ups are shared, as the test of guarded calls assumes.
 // Otherwise clean outcomes could pass that test although hardly any state could have been left on shared connections.
-func (l *Loop) sharesOften(x *session) bool {
-	v := l.verdict(&l.clients[x.client])
+func (l *Loop) sharesOften(sess *session) bool {
+	v := l.verdict(&l.clients[sess.client])
 	return v.Mode > BySession || v.Share >= fraction32(maxTrialShare)
 }
 
--- a/internal/pooling/part.go
+++ b/internal/pooling/part.go
@@ -178,16 +178,18 @@
 		cfg.Unsafe = defaultUnsafe
 	}
 	if !(cfg.Unsafe > 0 && cfg.Unsafe < 0.5) {
-		return nil, &ConfigError{fmt.Sprintf("probability of unsafe sessions is %v, but must be above 0 and below 0.5", cfg.Unsafe)}
+		return nil, &ConfigError{fmt.Sprintf("probability of unsafe sessions is %v, but must be above 0 and below 0.5",
+			cfg.Unsafe)}
 	}
 	if cfg.Signs == 0 {
-		cfg.Signs = Known
+		cfg.Signs = KnownSigns
 	}
 	if cfg.Complain == nil {
 		cfg.Complain = func(error) {}
 	}
-	return &Part{cfg: cfg, knownSigns: cfg.Signs & Known, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)), clients: map[uint64]*client{},
-		peers: map[string]*peer{}, reportedAt: map[string]int64{}}, nil
+	return &Part{cfg: cfg, knownSigns: cfg.Signs & KnownSigns, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)),
+		clients: map[uint64]*client{},
+		peers:   map[string]*peer{}, reportedAt: map[string]int64{}}, nil
 }
 
 // Kind implements fleet.Module.
@@ -248,11 +250,11 @@
 		}
 	}
 	p.peerList = slices.DeleteFunc(p.peerList, func(q *peer) bool {
-		gone := !q.present && now-q.lastSeen >= peerMemory && now-q.firstSeen >= peerMemory
-		if gone {
+		forget := !q.present && now-q.lastSeen >= peerMemory && now-q.firstSeen >= peerMemory
+		if forget {
 			delete(p.peers, q.name)
 		}
-		return gone
+		return forget
 	})
 	p.updateIsolation(now)
 	p.evaluateStale(now, out)
@@ -361,29 +363,33 @@
 // publish publishes a table of all verdicts.
 func (p *Part) publish(now int64) {
 	p.tableChanged, p.publishedAt = false, now
-	t := &Table{ValidUntil: now + tableLifetime, Default: Verdict{Epoch: 1, Mode: BySession}, verdicts: make(map[uint64]Verdict, len(p.clientList))}
-	calm, woke := p.mayRaise(now), now < p.pausedUntil
-	if calm && len(p.clientList) < MaxClients {
-		t.Default.Trial, t.Default.Share, t.Default.Marked = ByCall, fraction32(minTrialShare), fraction32(minTrialShare)
+	table := &Table{ValidUntil: now + tableLifetime, Default: Verdict{Epoch: 1, Mode: BySession},
+		verdicts: make(map[uint64]Verdict, len(p.clientList))}
+	mayRaise, paused := p.mayRaise(now), now < p.pausedUntil
+	if mayRaise && len(p.clientList) < MaxClients {
+		table.Default.Trial, table.Default.Share, table.Default.Marked =
+			ByCall, fraction32(minTrialShare), fraction32(minTrialShare)
 	}
 	for _, c := range p.clientList {
-		v := Verdict{Epoch: c.evidence.Epoch, Mode: c.mode, Since: c.modeSince, Ends: c.endsPassed, OwnNeverMissed: !c.ownMissing && c.weighted[OwnClean]+c.weighted[OwnMarkedClean] >= minSureOwnSetUps}
-		if woke || p.cfg.Watch {
+		v := Verdict{Epoch: c.evidence.Epoch, Mode: c.mode, Since: c.modeSince, Ends: c.endsPassed,
+			OwnNeverMissed: !c.ownMissing && c.weighted[OwnClean]+c.weighted[OwnMarkedClean] >= minSureOwnSetUps}
+		if paused || p.cfg.Watch {
 			v.Mode = BySession // denials from the time of the stall may not have arrived yet
 		}
-		if next := c.mode + 1; calm && next <= c.evidence.Denied.highestAllowed() {
+		if next := c.mode + 1; mayRaise && next <= c.evidence.Denied.highestAllowed() {
 			v.Trial = next
-			plain, marked := trialShare(p.tally(&c.weighted, next, false), 1, maxTrialShare), trialShare(p.tally(&c.weighted, next, true), signShare(&c.weighted, Marked), maxMarkedTrialShare)
+			plain, marked := trialShare(p.tally(&c.weighted, next, false), 1, maxTrialShare),
+				trialShare(p.tally(&c.weighted, next, true), signShare(&c.weighted, Marked), maxMarkedTrialShare)
 			v.Share, v.Marked = fraction32(plain), fraction32(marked)
 		}
-		t.verdicts[c.key] = v
+		table.verdicts[c.key] = v
 	}
-	p.cfg.Loop.table.Store(t)
+	p.cfg.Loop.table.Store(table)
 }
 
 // signShare returns the fraction of a client's calls that showed a sign.
-func signShare(of *[MaxSigns]float64, s Sign) float64 {
-	return min(1, of[s]/max(1, of[Serial]+of[Overlapped]))
+func signShare(counts *[MaxSigns]float64, sign Sign) float64 {
+	return min(1, counts[sign]/max(1, counts[Serial]+counts[Overlapped]))
 }
 
 // fraction32 returns a share in units of 2^-32.
@@ -391,39 +397,39 @@
 
 // drain takes the counts from the loop's ring.
 func (p *Part) drain(now int64, out *fleet.Out) {
-	for b := (batch{}); p.cfg.Loop.ring.pop(&b); {
-		c := p.client(now, b.key, b.epoch)
+	for counted := (batch{}); p.cfg.Loop.ring.pop(&counted); {
+		c := p.client(now, counted.key, counted.epoch)
 		if c == nil {
 			continue
 		}
 		if c.name == "" {
-			c.name = b.name
+			c.name = counted.name
 		}
 		var denies Modes
 		by := Sign(0)
 		for s := TokenBound; s < Refuted; s++ {
-			if b.counts[s] > 0 && !p.defects.witnessAsFault {
+			if counted.counts[s] > 0 && !p.defects.witnessAsFault {
 				denies, by = denies|Signs[s-1].Denies, s
 			}
 		}
-		if b.epoch < c.evidence.Epoch {
+		if counted.epoch < c.evidence.Epoch {
 			if denies != 0 { // the witness was seen nevertheless, so it denies in the present epoch, too
 				p.deny(now, c, denies, by, out)
 			}
 			continue
 		}
-		if b.epoch > c.evidence.Epoch {
-			p.joinDenial(now, c, &Evidence{Epoch: b.epoch}, out)
+		if counted.epoch > c.evidence.Epoch {
+			p.joinDenial(now, c, &Evidence{Epoch: counted.epoch}, out)
 		}
-		mine := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns, Opinion: c.opinion}
+		own := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns, Opinion: c.opinion}
 		if i, ok := c.evidence.find(p.cfg.Self); ok {
-			mine = c.evidence.Records[i]
+			own = c.evidence.Records[i]
 		}
-		for i, n := range b.counts {
-			mine.Counts[i] += min(n, math.MaxUint32-mine.Counts[i])
+		for i, n := range counted.counts {
+			own.Counts[i] += min(n, math.MaxUint32-own.Counts[i])
 			c.weightedOwn[i] += float64(n)
 		}
-		p.joinEvidence(now, c, &Evidence{Epoch: c.evidence.Epoch, Records: []Record{mine}}, 1)
+		p.joinEvidence(now, c, &Evidence{Epoch: c.evidence.Epoch, Records: []Record{own}}, 1)
 		p.markChanged(c)
 		if denies != 0 {
 			p.deny(now, c, denies, by, out)
@@ -450,7 +456,9 @@
 			if c.evidence.Denied != 0 || now-c.lastSignAt < clientIdleTime {
 				continue
 			}
-			if worst < 0 || c.evidenceSteps() < p.clientList[worst].evidenceSteps() || c.evidenceSteps() == p.clientList[worst].evidenceSteps() && c.lastSignAt < p.clientList[worst].lastSignAt {
+			if worst < 0 || c.evidenceSteps() < p.clientList[worst].evidenceSteps() ||
+				c.evidenceSteps() == p.clientList[worst].evidenceSteps() &&
+					c.lastSignAt < p.clientList[worst].lastSignAt {
 				worst = i
 			}
 		}
@@ -459,12 +467,13 @@
 			p.report(now, "clients", &ClientsError{MaxClients})
 			return nil
 		}
-		gone := p.clientList[worst]
-		p.remoteRecords -= p.remoteRecordCount(gone)
-		delete(p.clients, gone.key)
+		evicted := p.clientList[worst]
+		p.remoteRecords -= p.remoteRecordCount(evicted)
+		delete(p.clients, evicted.key)
 		p.clientList = slices.Delete(p.clientList, worst, worst+1)
 	}
-	c := &client{key: key, evidence: Evidence{Epoch: max(epoch, 1)}, mode: BySession, opinion: BySession, epochBegan: now, lastSignAt: now, decayedAt: now,
+	c := &client{key: key, evidence: Evidence{Epoch: max(epoch, 1)}, mode: BySession, opinion: BySession,
+		epochBegan: now, lastSignAt: now, decayedAt: now,
 		modeSince: now, stale: true}
 	p.clients[key] = c
 	p.clientList = append(p.clientList, c)
@@ -473,7 +482,8 @@
 
 // evidenceSteps returns the amount of clean evidence of a client on a logarithmic scale of base 2.
 func (c *client) evidenceSteps() int {
-	return int(math.Log2(1 + c.weighted[OwnClean] + c.weighted[OwnMarkedClean] + c.weighted[CallClean] + c.weighted[MessageClean]))
+	return int(math.Log2(1 + c.weighted[OwnClean] + c.weighted[OwnMarkedClean] + c.weighted[CallClean] +
+		c.weighted[MessageClean]))
 }
 
 // remoteRecordCount returns the number of a client's records of other processes.
@@ -487,30 +497,31 @@
 
 // joinEvidence joins evidence into a client's and adds what is new to the weighted counts. Clean outcomes of a record
 // that this process did not know before are multiplied by trust; faults always count in full.
-func (p *Part) joinEvidence(now int64, c *client, e *Evidence, trust float64) {
-	if e.Epoch < c.evidence.Epoch {
+func (p *Part) joinEvidence(now int64, c *client, other *Evidence, weight float64) {
+	if other.Epoch < c.evidence.Epoch {
 		return
 	}
-	denied, was := c.evidence.Denied, p.remoteRecordCount(c)
-	if e.Epoch > c.evidence.Epoch {
+	denied, recordsBefore := c.evidence.Denied, p.remoteRecordCount(c)
+	if other.Epoch > c.evidence.Epoch {
 		denied = 0
 		c.evidence.Records = nil
 		c.beginEpoch(now)
 	}
-	before := make([]*Counts, len(e.Records)) // nil: this incarnation of the process was not known
-	for i := range e.Records {
-		if j, ok := c.evidence.find(e.Records[i].Process); ok && c.evidence.Records[j].Incarnation >= e.Records[i].Incarnation {
+	before := make([]*Counts, len(other.Records)) // nil: this incarnation of the process was not known
+	for i := range other.Records {
+		if j, ok := c.evidence.find(other.Records[i].Process); ok &&
+			c.evidence.Records[j].Incarnation >= other.Records[i].Incarnation {
 			old := c.evidence.Records[j].Counts
 			before[i] = &old
 		}
 	}
-	if !c.evidence.join(e, p.defects) {
+	if !c.evidence.join(other, p.defects) {
 		return
 	}
-	p.remoteRecords += p.remoteRecordCount(c) - was
+	p.remoteRecords += p.remoteRecordCount(c) - recordsBefore
 	p.tableChanged = p.tableChanged || c.evidence.Denied != denied
-	for i := range e.Records {
-		j, _ := c.evidence.find(e.Records[i].Process)
+	for i := range other.Records {
+		j, _ := c.evidence.find(other.Records[i].Process)
 		for s, n := range c.evidence.Records[j].Counts {
 			known := before[i] != nil
 			if known {
@@ -521,7 +532,7 @@
 			}
 			credit := float64(n)
 			if !known && isClean(Sign(s)) && !p.defects.fullTrust {
-				credit *= trust
+				credit *= weight
 			}
 			c.weighted[s] += credit
 			c.lastSignAt = now
@@ -533,7 +544,8 @@
 
 // beginEpoch resets the state that belongs to one epoch.
 func (c *client) beginEpoch(now int64) {
-	c.weighted, c.weightedOwn, c.epochBegan, c.decayedAt, c.stale = [MaxSigns]float64{}, [MaxSigns]float64{}, now, now, true
+	c.weighted, c.weightedOwn, c.epochBegan, c.decayedAt, c.stale =
+		[MaxSigns]float64{}, [MaxSigns]float64{}, now, now, true
 	c.testingSince, c.undecidedTests = now, 0
 }
 
@@ -556,32 +568,34 @@
 	if len(p.pending) >= maxPending {
 		p.pending = slices.Delete(p.pending, 0, 1) // the digest exchange repairs it where it is missing
 	}
-	left := make([]*peer, 0, len(p.peerList))
+	unacknowledged := make([]*peer, 0, len(p.peerList))
 	for _, q := range p.peerList {
 		if q.present {
-			left = append(left, q)
+			unacknowledged = append(unacknowledged, q)
 		}
 	}
-	p.pending = append(p.pending, pendingDenial{key: c.key, epoch: c.evidence.Epoch, modes: c.evidence.Denied, unacknowledged: left, dueAt: now})
+	p.pending = append(p.pending, pendingDenial{key: c.key, epoch: c.evidence.Epoch, modes: c.evidence.Denied,
+		unacknowledged: unacknowledged, dueAt: now})
 	p.resendDenials(now, out)
 }
 
 // joinDenial joins a denial, lowers the verdict and publishes it at once.
-func (p *Part) joinDenial(now int64, c *client, e *Evidence, out *fleet.Out) {
-	was, epoch := c.evidence.Denied, c.evidence.Epoch
-	if was != 0 {
+func (p *Part) joinDenial(now int64, c *client, other *Evidence, out *fleet.Out) {
+	denied, epoch := c.evidence.Denied, c.evidence.Epoch
+	if denied != 0 {
 		p.digest ^= c.denial().digest()
 	}
-	p.joinEvidence(now, c, e, lateEvidenceWeight)
+	p.joinEvidence(now, c, other, lateEvidenceWeight)
 	if c.evidence.Denied != 0 {
 		p.digest ^= c.denial().digest()
 	}
-	if c.evidence.Denied == 0 || c.evidence.Epoch == epoch && c.evidence.Denied == was {
+	if c.evidence.Denied == 0 || c.evidence.Epoch == epoch && c.evidence.Denied == denied {
 		return
 	}
 	c.deniedAt = now
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "witness", Thing: c.historyKey(), Fence: uint64(c.evidence.Epoch),
-		N: int64(c.evidence.Denied), Text: c.evidence.DeniedBy.String() + " denies " + c.evidence.Denied.String()})
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "witness", Thing: c.historyKey(),
+		Fence: uint64(c.evidence.Epoch),
+		N:     int64(c.evidence.Denied), Text: c.evidence.DeniedBy.String() + " denies " + c.evidence.Denied.String()})
 	p.evaluate(now, c, out)
 	p.publish(now)
 }
@@ -597,9 +611,9 @@
 // endEpochs starts a new epoch for clients whose denial has expired and for those whose test stayed undecided.
 func (p *Part) endEpochs(now int64) {
 	for _, c := range p.clientList {
-		over := c.evidence.Denied != 0 && now-c.deniedAt >= c.denialTime() ||
+		expired := c.evidence.Denied != 0 && now-c.deniedAt >= c.denialTime() ||
 			c.evidence.Denied == 0 && c.mode == BySession && now-c.epochBegan >= undecidedTimeout
-		if !over {
+		if !expired {
 			continue
 		}
 		if c.evidence.Denied != 0 {
@@ -619,16 +633,16 @@
 }
 
 // tally returns the outcomes that the test of a mode is computed from.
-func (p *Part) tally(of *[MaxSigns]float64, m Mode, marked bool) Tally {
-	by := Sign(0)
+func (p *Part) tally(counts *[MaxSigns]float64, mode Mode, marked bool) Tally {
+	offset := Sign(0)
 	if marked {
-		by = CallMarkedClean - CallClean
+		offset = CallMarkedClean - CallClean
 	}
-	if m == ByMessage {
-		return Tally{of[MessageClean+by], of[MessageFault+by]}
+	if mode == ByMessage {
+		return Tally{counts[MessageClean+offset], counts[MessageFault+offset]}
 	}
 	// A clean outcome by message is also one by call. A fault by message may be due to sharing by message alone.
-	return Tally{of[CallClean+by] + of[MessageClean+by], of[CallFault+by]}
+	return Tally{counts[CallClean+offset] + counts[MessageClean+offset], counts[CallFault+offset]}
 }
 
 // test is one of the tests that a mode must pass.
@@ -640,64 +654,68 @@
 	countedIn   Sign // sign under which the clean outcomes of this mode alone are counted
 }
 
-func newTest(t Tally, b *baseRates, least float64, counted Sign) test {
-	return test{logLikelihoodRatio(t, b.low, least), logLikelihoodRatio(t, b.high, least), t, b.low, least, counted}
+func newTest(tally Tally, base *baseRates, least float64, countedIn Sign) test {
+	return test{logLikelihoodRatio(tally, base.low, least), logLikelihoodRatio(tally, base.high, least), tally, base.low, least, countedIn}
 }
 
 // tests appends the tests that a mode must pass, given what was seen of a client. A kind of message that never
 // occurred needs no test.
-func (p *Part) tests(c *client, of *[MaxSigns]float64, m Mode, into []test) []test {
+func (p *Part) tests(c *client, counts *[MaxSigns]float64, mode Mode, into []test) []test {
 	plain, marked := CallClean, CallMarkedClean
-	if m == ByMessage {
+	if mode == ByMessage {
 		plain, marked = MessageClean, MessageMarkedClean
 	}
-	c.plainBase.update(Tally{of[OwnClean], of[OwnFault]})
-	t := append(into, newTest(p.tally(of, m, false), &c.plainBase, minHarm, plain))
-	if of[Marked] > 0 {
-		c.markedBase.update(Tally{of[OwnMarkedClean], of[OwnMarkedFault]})
-		t = append(t, newTest(p.tally(of, m, true), &c.markedBase, minTestHarm(signShare(of, Marked), maxMarkedHarm), marked))
+	c.plainBase.update(Tally{counts[OwnClean], counts[OwnFault]})
+	tests := append(into, newTest(p.tally(counts, mode, false), &c.plainBase, minHarm, plain))
+	if counts[Marked] > 0 {
+		c.markedBase.update(Tally{counts[OwnMarkedClean], counts[OwnMarkedFault]})
+		tests = append(tests, newTest(p.tally(counts, mode, true), &c.markedBase,
+			minTestHarm(signShare(counts, Marked), maxMarkedHarm), marked))
 	}
-	if m == ByCall && of[Guarded] > 0 {
+	if mode == ByCall && counts[Guarded] > 0 {
 		// During trials at most half of the set-ups of a session are shared; after a raise nearly all are. The harm
 		// to be detected therefore shows half as often.
-		t = append(t, newTest(Tally{of[AfterClean], of[AfterFault]}, &c.plainBase, minTestHarm(signShare(of, Guarded), maxMarkedHarm)/2, AfterClean))
+		tests = append(tests, newTest(Tally{counts[AfterClean], counts[AfterFault]}, &c.plainBase,
+			minTestHarm(signShare(counts, Guarded), maxMarkedHarm)/2, AfterClean))
 	}
-	if m == ByMessage && of[Ended] > 0 {
-		t = append(t, newTest(Tally{of[EndClean], of[EndFault]}, &baseRates{low: minBaseRate, high: minBaseRate}, minTestHarm(signShare(of, Ended), maxEndHarm), EndClean))
+	if mode == ByMessage && counts[Ended] > 0 {
+		tests = append(tests, newTest(Tally{counts[EndClean], counts[EndFault]},
+			&baseRates{low: minBaseRate, high: minBaseRate}, minTestHarm(signShare(counts, Ended), maxEndHarm), EndClean))
 	}
-	return t
+	return tests
 }
 
 // requiredRatio returns the log likelihood ratio that each test of a mode must reach.
-func (p *Part) requiredRatio(c *client, of *[MaxSigns]float64, m Mode) float64 {
+func (p *Part) requiredRatio(c *client, counts *[MaxSigns]float64, mode Mode) float64 {
 	epoch := c.evidence.Epoch
-	if m == ByMessage {
+	if mode == ByMessage {
 		epoch += c.undecidedTests
 	}
-	n := requiredLogRatio(p.cfg.Unsafe, epoch)
-	if of[Serial] >= minOrderedSetUps && of[Overlapped] < of[Serial]/minOrderedSetUps && of[Crossed] < of[Serial]/20 {
-		n += extraDemand
+	required := requiredLogRatio(p.cfg.Unsafe, epoch)
+	if counts[Serial] >= minOrderedSetUps && counts[Overlapped] < counts[Serial]/minOrderedSetUps &&
+		counts[Crossed] < counts[Serial]/20 {
+		required += extraDemand
 	}
-	if m == ByMessage && of[Again] > 0 {
-		n += extraDemand
+	if mode == ByMessage && counts[Again] > 0 {
+		required += extraDemand
 	}
-	return n
+	return required
 }
 
 // evaluate decays the evidence of a client, runs its tests and changes its verdict.
 func (p *Part) evaluate(now int64, c *client, out *fleet.Out) {
 	c.stale, c.evaluatedAt = false, now
 	p.decay(now, c)
-	of := &c.weighted
+	counts := &c.weighted
 	if p.isolatedSince != 0 && now-p.isolatedSince >= isolationGrace {
-		of = &c.weightedOwn
+		counts = &c.weightedOwn
 	}
 	opinion := BySession
 	var room [4]test
 	for m := ByCall; m <= c.evidence.Denied.highestAllowed(); m++ {
-		need, pass := p.requiredRatio(c, of, m), true
-		for _, t := range p.tests(c, of, m, room[:0]) {
-			if t.highBaseRatio <= refutedLogRatio && of == &c.weighted && p.cfg.Fixed == 0 {
+		need, pass := p.requiredRatio(c, counts, m), true
+		for _, t := range p.tests(c, counts, m, room[:0]) {
+			if t.highBaseRatio <= refutedLogRatio && counts == &c.weighted && p.cfg.Fixed == 0 {
 				modes := DenyCall
 				if m == ByMessage {
 					modes = DenyMessage
@@ -719,7 +737,7 @@
 		}
 		opinion = m
 	}
-	c.endsPassed = opinion == ByMessage && of[Ended] > 0
+	c.endsPassed = opinion == ByMessage && counts[Ended] > 0
 	if opinion != c.opinion {
 		c.opinion = opinion
 		p.recordOpinion(now, c)
@@ -738,8 +756,9 @@
 			c.testingSince = now
 		}
 		c.mode, c.modeSince, p.tableChanged = mode, now, true
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "verdict", Thing: c.historyKey(), Fence: uint64(c.evidence.Epoch),
-			N: int64(mode), Text: c.name + " " + mode.String()})
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Pooling, What: "verdict", Thing: c.historyKey(),
+			Fence: uint64(c.evidence.Epoch),
+			N:     int64(mode), Text: c.name + " " + mode.String()})
 	}
 	// the share of trials may have changed
 	p.tableChanged = p.tableChanged || c.mode < c.evidence.Denied.highestAllowed()
@@ -768,11 +787,11 @@
 		if !q.present || q.signs&^p.knownSigns == 0 {
 			continue
 		}
-		said := BySession
+		opinion := BySession
 		if i, ok := c.evidence.find(q.name); ok {
-			said = max(c.evidence.Records[i].Opinion, BySession)
+			opinion = max(c.evidence.Records[i].Opinion, BySession)
 		}
-		own = min(own, said)
+		own = min(own, opinion)
 	}
 	return own
 }
@@ -781,9 +800,9 @@
 // keeps its full weight: Wald's bound holds for a test that forgets nothing, and an undecided test starts anew
 // instead.
 func (p *Part) decay(now int64, c *client) {
-	dt := now - c.decayedAt
+	elapsed := now - c.decayedAt
 	c.decayedAt = now
-	if dt <= 0 || p.defects.noDecay || c.mode == BySession {
+	if elapsed <= 0 || p.defects.noDecay || c.mode == BySession {
 		return
 	}
 	if c.mode == ByMessage {
@@ -797,7 +816,7 @@
 			}
 		}
 	}
-	f := math.Exp2(-float64(dt) / halfLife)
+	factor := math.Exp2(-float64(elapsed) / halfLife)
 	for s := range c.weighted {
 		least := 0.
 		switch Sign(s) {
@@ -809,8 +828,8 @@
 		if isByMessageSign(Sign(s)) && c.mode < ByMessage {
 			continue
 		}
-		c.weighted[s] = max(min(c.weighted[s], least), c.weighted[s]*f)
-		c.weightedOwn[s] = max(min(c.weightedOwn[s], least), c.weightedOwn[s]*f)
+		c.weighted[s] = max(min(c.weighted[s], least), c.weighted[s]*factor)
+		c.weightedOwn[s] = max(min(c.weightedOwn[s], least), c.weightedOwn[s]*factor)
 	}
 }
 
@@ -819,12 +838,12 @@
 
 // clip reduces the clean outcomes so that a test's ratio is no higher than most. Otherwise old clean outcomes could
 // outweigh recent faults.
-func (c *client) clip(t test, most float64) {
-	if t.lowBaseRatio <= most {
+func (c *client) clip(t test, limit float64) {
+	if t.lowBaseRatio <= limit {
 		return
 	}
-	over := (t.lowBaseRatio - most) / math.Log((1-t.base)/(1-min(t.base+t.least, 0.999)))
-	c.weighted[t.countedIn] -= min(over, c.weighted[t.countedIn])
+	excess := (t.lowBaseRatio - limit) / math.Log((1-t.base)/(1-min(t.base+t.least, 0.999)))
+	c.weighted[t.countedIn] -= min(excess, c.weighted[t.countedIn])
 }
 
 // Message implements fleet.Module.
@@ -870,56 +889,59 @@
 
 // joinFromPeer joins a client's epoch and denials received from another process. If that begins a later epoch, a
 // recent denial of the present one is carried over: the epoch may have begun where the witness was not known.
-func (p *Part) joinFromPeer(now int64, c *client, e *Evidence, out *fleet.Out) {
+func (p *Part) joinFromPeer(now int64, c *client, other *Evidence, out *fleet.Out) {
 	own, by := c.evidence.Denied, c.evidence.DeniedBy
-	carry := e.Epoch > c.evidence.Epoch && own != 0 && now-c.deniedAt < c.denialTime()/2
-	p.joinDenial(now, c, e, out)
+	carry := other.Epoch > c.evidence.Epoch && own != 0 && now-c.deniedAt < c.denialTime()/2
+	p.joinDenial(now, c, other, out)
 	if carry {
 		p.deny(now, c, own, by, out)
 	}
 }
 
 // acknowledged records that a process knows a denial, or a later epoch in which it no longer applies.
-func (p *Part) acknowledged(now int64, q *peer, a denialRecord, out *fleet.Out) {
+func (p *Part) acknowledged(now int64, q *peer, ack denialRecord, out *fleet.Out) {
 	for i := 0; i < len(p.pending); i++ {
-		w := &p.pending[i]
-		if w.key != a.Key || a.Epoch < w.epoch || a.Epoch == w.epoch && w.modes&^a.Modes != 0 {
+		denial := &p.pending[i]
+		if denial.key != ack.Key || ack.Epoch < denial.epoch ||
+			ack.Epoch == denial.epoch && denial.modes&^ack.Modes != 0 {
 			continue
 		}
-		w.unacknowledged = slices.DeleteFunc(w.unacknowledged, func(x *peer) bool { return x == q })
-		if len(w.unacknowledged) == 0 {
+		denial.unacknowledged = slices.DeleteFunc(denial.unacknowledged, func(x *peer) bool { return x == q })
+		if len(denial.unacknowledged) == 0 {
 			p.pending = slices.Delete(p.pending, i, i+1)
 			i--
 		}
 	}
-	if c := p.clients[a.Key]; c != nil && a.Epoch > c.evidence.Epoch {
-		p.joinFromPeer(now, c, &Evidence{Epoch: a.Epoch, Denied: a.Modes.withHigherModes(), DeniedBy: a.DeniedBy}, out)
+	if c := p.clients[ack.Key]; c != nil && ack.Epoch > c.evidence.Epoch {
+		p.joinFromPeer(now, c, &Evidence{Epoch: ack.Epoch, Denied: ack.Modes.withHigherModes(),
+			DeniedBy: ack.DeniedBy}, out)
 	}
 }
 
 // receiveEvidence joins another process's own record.
-func (p *Part) receiveEvidence(now int64, q *peer, s *payload, r *evidenceRecord, out *fleet.Out) {
-	c := p.client(now, r.Key, r.Epoch)
+func (p *Part) receiveEvidence(now int64, from *peer, message *payload, record *evidenceRecord, out *fleet.Out) {
+	c := p.client(now, record.Key, record.Epoch)
 	if c == nil {
 		return
 	}
-	p.joinFromPeer(now, c, &Evidence{Epoch: r.Epoch, Denied: r.Modes, DeniedBy: r.DeniedBy}, out)
-	if r.Epoch != c.evidence.Epoch {
+	p.joinFromPeer(now, c, &Evidence{Epoch: record.Epoch, Denied: record.Modes, DeniedBy: record.DeniedBy}, out)
+	if record.Epoch != c.evidence.Epoch {
 		return
 	}
-	if _, found := c.evidence.find(q.name); !found && p.remoteRecords >= MaxRecords {
+	if _, found := c.evidence.find(from.name); !found && p.remoteRecords >= MaxRecords {
 		p.refusedRecords++
 		p.report(now, "records", &RecordsError{MaxRecords})
 		return
 	}
-	p.joinEvidence(now, c, &Evidence{Epoch: r.Epoch, Records: []Record{{Process: q.name, Incarnation: s.Incarnation, Opinion: r.Opinion, OpinionVersion: r.OpinionVersion,
-		Signs: s.Signs, Counts: countsFromMap(r.Counts)}}}, lateEvidenceWeight)
+	p.joinEvidence(now, c, &Evidence{Epoch: record.Epoch, Records: []Record{{Process: from.name,
+		Incarnation: message.Incarnation, Opinion: record.Opinion, OpinionVersion: record.OpinionVersion,
+		Signs: message.Signs, Counts: countsFromMap(record.Counts)}}}, lateEvidenceWeight)
 }
 
 // send queues a message. The caller keeps its payload within the size limit; a larger one is dropped.
-func (p *Part) send(to string, s *payload, out *fleet.Out) {
-	s.Signs, s.Incarnation = p.knownSigns, p.incarnation
-	body := s.bytes()
+func (p *Part) send(to string, message *payload, out *fleet.Out) {
+	message.Signs, message.Incarnation = p.knownSigns, p.incarnation
+	body := message.encode()
 	if len(body) > fleet.MaxBody {
 		return
 	}
@@ -1002,7 +1024,7 @@
 // repairDenials sends the next denials to a process whose digest differs. The denials that this process lacks are
 // sent by the other one in the same way.
 func (p *Part) repairDenials(q *peer, out *fleet.Out) {
-	var s payload
+	var message payload
 	for range p.clientList {
 		if q.repairIndex >= len(p.clientList) {
 			q.repairIndex = 0
@@ -1010,50 +1032,51 @@
 		c := p.clientList[q.repairIndex]
 		q.repairIndex++
 		if c.evidence.Denied != 0 {
-			if s.Denials = append(s.Denials, c.denial()); len(s.Denials) == maxPayloadDenials {
+			if message.Denials = append(message.Denials, c.denial()); len(message.Denials) == maxPayloadDenials {
 				break
 			}
 		}
 	}
-	if len(s.Denials) > 0 {
-		p.send(q.name, &s, out)
+	if len(message.Denials) > 0 {
+		p.send(q.name, &message, out)
 	}
 }
 
 // sendEvidenceTo sends the oldest changed own records that a process has not been sent, and reports whether any are
 // left.
 func (p *Part) sendEvidenceTo(q *peer, out *fleet.Out) bool {
-	var next []*client
+	var changed []*client
 	for _, c := range p.clientList {
 		if c.lastChange > q.sentChange {
-			next = append(next, c)
+			changed = append(changed, c)
 		}
 	}
-	slices.SortFunc(next, func(a, b *client) int {
+	slices.SortFunc(changed, func(a, b *client) int {
 		if a.lastChange < b.lastChange {
 			return -1
 		}
 		return 1
 	})
-	var s payload
+	var message payload
 	size := 64
-	for _, c := range next {
-		r := evidenceRecord{Key: c.key, Epoch: c.evidence.Epoch, Modes: c.evidence.Denied, DeniedBy: c.evidence.DeniedBy, Opinion: c.opinion}
+	for _, c := range changed {
+		r := evidenceRecord{Key: c.key, Epoch: c.evidence.Epoch, Modes: c.evidence.Denied,
+			DeniedBy: c.evidence.DeniedBy, Opinion: c.opinion}
 		if i, ok := c.evidence.find(p.cfg.Self); ok {
 			r.OpinionVersion, r.Counts = c.evidence.Records[i].OpinionVersion, c.evidence.Records[i].Counts.toMap()
 		}
 		size += 40 + 7*len(r.Counts)
-		if len(s.Evidence) == maxPayloadRecords || size > fleet.MaxBody {
+		if len(message.Evidence) == maxPayloadRecords || size > fleet.MaxBody {
 			break
 		}
-		s.Evidence = append(s.Evidence, r)
+		message.Evidence = append(message.Evidence, r)
 		q.sentChange = c.lastChange
 	}
-	if len(s.Evidence) == 0 {
+	if len(message.Evidence) == 0 {
 		return false
 	}
-	p.send(q.name, &s, out)
-	return len(s.Evidence) < len(next)
+	p.send(q.name, &message, out)
+	return len(message.Evidence) < len(changed)
 }
 
 // publishEntry publishes this process's part of its fleet entry: the signs that it knows, the digest of its denials,
@@ -1062,7 +1085,7 @@
 	if p.incarnation == 0 || p.entryBody != nil && now-p.entrySentAt < entryInterval {
 		return
 	}
-	s := payload{Signs: p.knownSigns, Incarnation: p.incarnation, Digest: p.digest}
+	message := payload{Signs: p.knownSigns, Incarnation: p.incarnation, Digest: p.digest}
 	var denied []*client
 	for _, c := range p.clientList {
 		if c.evidence.Denied != 0 {
@@ -1071,9 +1094,9 @@
 	}
 	slices.SortStableFunc(denied, func(a, b *client) int { return int(min(max(b.deniedAt-a.deniedAt, -1), 1)) })
 	for _, c := range denied[:min(len(denied), maxPayloadDenials)] {
-		s.Denials = append(s.Denials, c.denial())
+		message.Denials = append(message.Denials, c.denial())
 	}
-	body := s.bytes()
+	body := message.encode()
 	if slices.Equal(body, p.entryBody) {
 		return
 	}
@@ -1083,31 +1106,35 @@
 
 // Figures implements fleet.Module.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
-	var by [ByMessage + 1]uint64
+	var byMode [ByMessage + 1]uint64
 	denied := uint64(0)
 	for _, c := range p.clientList {
-		by[c.mode]++
+		byMode[c.mode]++
 		if c.evidence.Denied != 0 {
 			denied++
 		}
 	}
-	cut := uint64(0)
+	isolated := uint64(0)
 	if p.isolatedSince != 0 {
-		cut = 1
+		isolated = 1
 	}
 	for _, f := range []struct {
 		name  string
 		n     uint64
 		gauge bool
 	}{
-		{"pooling.clients", uint64(len(p.clientList)), true}, {"pooling.by_session", by[BySession], true},
-		{"pooling.by_call", by[ByCall], true}, {"pooling.by_message", by[ByMessage], true},
-		{"pooling.denied", denied, true}, {"pooling.records", uint64(p.remoteRecords), true}, {"pooling.cut", cut, true},
+		{"pooling.clients", uint64(len(p.clientList)), true}, {"pooling.by_session", byMode[BySession], true},
+		{"pooling.by_call", byMode[ByCall], true}, {"pooling.by_message", byMode[ByMessage], true},
+		{"pooling.denied", denied, true}, {"pooling.records", uint64(p.remoteRecords), true},
+		{"pooling.cut", isolated, true},
 		{"pooling.untold", uint64(len(p.pending)), true},
-		{"pooling.raises", p.raises, false}, {"pooling.falls", p.falls, false}, {"pooling.witnesses", p.witnesses, false},
-		{"pooling.messages_in", p.messagesIn, false}, {"pooling.messages_out", p.messagesOut, false}, {"pooling.garbled", p.unreadable, false},
+		{"pooling.raises", p.raises, false}, {"pooling.falls", p.falls, false},
+		{"pooling.witnesses", p.witnesses, false},
+		{"pooling.messages_in", p.messagesIn, false}, {"pooling.messages_out", p.messagesOut, false},
+		{"pooling.garbled", p.unreadable, false},
 		{"pooling.records_refused", p.refusedRecords, false}, {"pooling.clients_refused", p.refusedClients, false},
-		{"pooling.ring_full", p.cfg.Loop.ringFull.Load(), false}, {"pooling.signs_dropped", p.cfg.Loop.droppedSigns.Load(), false},
+		{"pooling.ring_full", p.cfg.Loop.ringFull.Load(), false},
+		{"pooling.signs_dropped", p.cfg.Loop.droppedSigns.Load(), false},
 	} {
 		put(f.name, f.n, f.gauge)
 	}
--- a/internal/pooling/pooling_test.go
+++ b/internal/pooling/pooling_test.go
@@ -24,8 +24,8 @@
 
 func requireEqual[T any](t tester, want, got T, why ...string) {
 	t.Helper()
-	if d := cmp.Diff(want, got); d != "" {
-		t.Fatalf("%s (-want +got):\n%s", why, d)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Fatalf("%s (-want +got):\n%s", why, diff)
 	}
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// ---- the join ----
+// ---- join of evidence ----
 
 func drawEvidence(t *rapid.T, name string) pooling.Evidence {
 	e := pooling.Evidence{Epoch: rapid.Uint32Range(1, 3).Draw(t, name+".epoch")}
@@ -46,8 +46,9 @@
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, name+".n") {
 		r := pooling.Record{Process: fmt.Sprint("p", i), Incarnation: rapid.Uint64Range(1, 2).Draw(t, "life"),
-			Opinion: pooling.Mode(rapid.IntRange(0, 3).Draw(t, "opinion")), OpinionVersion: rapid.Uint32Range(0, 2).Draw(t, "said"),
-			Signs: rapid.SampledFrom([]uint64{pooling.Known, 1 << 38, 3}).Draw(t, "signs")}
+			Opinion: pooling.Mode(rapid.IntRange(0, 3).Draw(t, "opinion")), OpinionVersion: rapid.Uint32Range(0,
+				2).Draw(t, "said"),
+			Signs: rapid.SampledFrom([]uint64{pooling.KnownSigns, 1 << 38, 3}).Draw(t, "signs")}
 		for _, s := range []pooling.Sign{pooling.CallClean, pooling.CallFault, 38} {
 			r.Counts[s] = rapid.Uint32Range(0, 5).Draw(t, "count")
 		}
@@ -59,23 +60,23 @@
 	return e
 }
 
-func joinAll(how string, es ...pooling.Evidence) pooling.Evidence {
+func joinAll(defect string, evidence ...pooling.Evidence) pooling.Evidence {
 	sum := pooling.Evidence{}
-	for i := range es {
-		sum.JoinWithDefect(&es[i], how)
+	for i := range evidence {
+		sum.JoinWithDefect(&evidence[i], defect)
 	}
 	return sum
 }
 
-// brokenLaw tells which law of a join does not hold for three pieces of evidence; empty: all do.
-func brokenLaw(how string, a, b, c pooling.Evidence) string {
-	ab, bc := joinAll(how, a, b), joinAll(how, b, c)
+// brokenLaw returns the name of a semilattice law that does not hold for three pieces of evidence; empty: all hold.
+func brokenLaw(defect string, a, b, c pooling.Evidence) string {
+	ab, bc := joinAll(defect, a, b), joinAll(defect, b, c)
 	switch {
-	case !cmp.Equal(joinAll(how, a, b), joinAll(how, b, a)):
+	case !cmp.Equal(joinAll(defect, a, b), joinAll(defect, b, a)):
 		return "commutes"
-	case !cmp.Equal(joinAll(how, ab, c), joinAll(how, a, bc)):
+	case !cmp.Equal(joinAll(defect, ab, c), joinAll(defect, a, bc)):
 		return "associates"
-	case !cmp.Equal(joinAll(how, ab, a, b, ab), ab):
+	case !cmp.Equal(joinAll(defect, ab, a, b, ab), ab):
 		return "idempotent"
 	}
 	for _, e := range []pooling.Evidence{a, b} {
@@ -95,12 +96,12 @@
 			broken = brokenLaw("join adds", a, b, c)
 		}
 	})
-	requireEqual(t, "idempotent", broken, "a join that adds is caught for repeating, and for nothing else first")
+	requireEqual(t, "idempotent", broken, "a join that adds must first be detected as not idempotent")
 }
 
-// ---- one process, step by step ----
+// ---- one process ----
 
-// process is a loop with its part, and the view that it is alone or with others.
+// process is a Loop with its Part and the fleet view that the Part receives.
 type process struct {
 	now       int64
 	loop      *pooling.Loop
@@ -108,7 +109,7 @@
 	out       fleet.Out
 	view      fleet.View
 	callCount uint64
-	// epoch is that of others' evidence, less one
+	// epoch is the epoch of other processes' evidence, less one.
 	epoch     uint32
 	sessionID pooling.SessionID
 	clientID  pooling.ClientID
@@ -116,7 +117,7 @@
 
 var key = pooling.Key("app", "127.0.0.1")
 
-func newProcess(t testing.TB, how string, cfg pooling.Config, others ...fleet.Member) *process {
+func newProcess(t testing.TB, defect string, cfg pooling.Config, others ...fleet.Member) *process {
 	o := &process{now: 1, loop: pooling.NewLoop(7)}
 	cfg.Self, cfg.Loop = "self", o.loop
 	var err error
@@ -124,9 +125,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pooling.InjectDefect(o.part, o.loop, how)
+	pooling.InjectDefect(o.part, o.loop, defect)
 	o.part.Start(o.now, &o.out)
-	o.view.Members = append(others, fleet.Member{Entry: fleet.Entry{Name: "self", Incarnation: 5, State: fleet.Serving}})
+	o.view.Members = append(others, fleet.Member{Entry: fleet.Entry{Name: "self", Incarnation: 5,
+		State: fleet.Serving}})
 	o.advance(11_000_000, 100_000)
 	o.clientID = o.session()
 	return o
@@ -137,8 +139,8 @@
 	return o.loop.Open(o.now, o.sessionID, "app", "127.0.0.1")
 }
 
-func (o *process) advance(d, step int64) {
-	for end := o.now + d; o.now < end; {
+func (o *process) advance(duration, step int64) {
+	for end := o.now + duration; o.now < end; {
 		o.now += step
 		o.loop.Round(o.now)
 		o.part.View(o.now, &o.view, &o.out)
@@ -153,11 +155,11 @@
 	return c
 }
 
-func (o *process) observe(c *pooling.Call, what pooling.Happening, cause byte, text string) {
-	o.loop.Observe(o.now, pooling.Observation{What: what, Call: c, Cause: cause, Text: []byte(text)})
+func (o *process) observe(c *pooling.Call, event pooling.Happening, cause byte, text string) {
+	o.loop.Observe(o.now, pooling.Observation{What: event, Call: c, Cause: cause, Text: []byte(text)})
 }
 
-// playAnswered plays a call that is playAnswered and over, and tells its lane.
+// playAnswered plays a call that is answered and ends, and returns its lane.
 func (o *process) playAnswered(free bool) pooling.Lane {
 	c := o.call(free)
 	lane := o.loop.Lane(o.now, c, pooling.SetUp)
@@ -166,7 +168,7 @@
 	return lane
 }
 
-// playUntilTrial plays answered calls until one was playUntilTrial on a shared lane; that one is returned, without its answer.
+// playUntilTrial plays answered calls until one is tried on a shared lane, and returns that one without an answer.
 func (o *process) playUntilTrial(t testing.TB) *pooling.Call {
 	for range 100_000 {
 		c := o.call(true)
@@ -183,10 +185,11 @@
 	return nil
 }
 
-// ---- what a guard is for, and that its test fails without it ----
+// ---- safeguards: each test must fail when its safeguard is disabled ----
 
-// receiveEvidence makes a process of others tell clean outcomes, or any other counts, of the client.
-func (o *process) receiveEvidence(t testing.TB, from string, signs uint64, opinion pooling.Mode, counts map[pooling.Sign]uint32) {
+// receiveEvidence delivers counts for the client from another process.
+func (o *process) receiveEvidence(t testing.TB, from string, signs uint64, opinion pooling.Mode,
+	counts map[pooling.Sign]uint32) {
 	b := pooling.EncodePayload(key, signs, 9, o.epoch+1, uint32(opinion)+1, opinion, counts)
 	requireTrue(t, len(b) <= fleet.MaxBody)
 	o.part.Message(o.now, fleet.Message{Kind: fleet.Pooling, From: from, To: "self", Body: b}, &o.out)
@@ -199,25 +202,28 @@
 
 func (o *process) mode() pooling.Mode { return o.loop.Verdict(key).Mode }
 
-// enoughClean is more clean outcomes than a raise by call needs at full trust, and fewer than at half of it.
-var enoughClean = map[pooling.Sign]uint32{pooling.CallClean: uint32(1.5 * pooling.RequiredLogRatio(1e-4, 1) / pooling.MinHarm), pooling.Overlapped: 1000}
+// enoughClean holds more clean outcomes than raising to by-call needs at full weight, and fewer than at half of it.
+var enoughClean = map[pooling.Sign]uint32{
+	pooling.CallClean:  uint32(1.5 * pooling.RequiredLogRatio(1e-4, 1) / pooling.MinHarm),
+	pooling.Overlapped: 1000,
+}
 
-var guards = []struct {
+var safeguards = []struct {
 	name string
-	// play returns why the guard is not there; empty: it is.
-	play func(t testing.TB, how string) string
+	// play returns how the missing safeguard showed; empty: the safeguard works.
+	play func(t testing.TB, defect string) string
 }{
-	{"witness does not win", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{})
+	{"witness does not win", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{})
 		c := o.playUntilTrial(t)
 		o.observe(c, pooling.Failed, wire.CauseMissing, "")
 		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
-			return "the repeat was shared"
+			return "the repeat went on a shared lane"
 		}
 		o.observe(c, pooling.Answered, 0, "done")
 		for i := range 3000 {
 			if o.playAnswered(true) != pooling.Own {
-				return "shared after a witness"
+				return "a set-up was shared after a witness"
 			}
 			if i == 1000 {
 				o.advance(1_000_000, 100_000)
@@ -225,8 +231,8 @@
 		}
 		return ""
 	}},
-	{"no decay", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{}, serving("other"))
+	{"no decay", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{}, serving("other"))
 		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
 		o.loop.Count(o.clientID, pooling.Overlapped, 1000)
 		o.advance(1_000_000, 100_000)
@@ -237,8 +243,8 @@
 		}
 		return ""
 	}},
-	{"cut-off process raises", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{}, serving("a"), serving("b"))
+	{"cut-off process raises", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{}, serving("a"), serving("b"))
 		o.view.Members[0].Suspect, o.view.Members[1].Suspect = true, true
 		o.advance(200_000, 100_000)
 		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
@@ -249,47 +255,50 @@
 		}
 		o.view.Members[0].Suspect, o.view.Members[1].Suspect = false, false
 		o.advance(5_000_000, 100_000)
-		requireEqual(t, pooling.ByCall, o.mode(), "it goes on once it hears the others again")
+		requireEqual(t, pooling.ByCall, o.mode(), "raised once the other processes are reachable again")
 		return ""
 	}},
-	{"join adds", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{}, serving("other"))
-		for range 4 { // the same message again and again
-			o.receiveEvidence(t, "other", pooling.Known, pooling.BySession, map[pooling.Sign]uint32{pooling.CallClean: 1000})
+	{"join adds", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{}, serving("other"))
+		for range 4 { // the same message four times
+			o.receiveEvidence(t, "other", pooling.KnownSigns, pooling.BySession,
+				map[pooling.Sign]uint32{pooling.CallClean: 1000})
 		}
 		if n := o.part.Weighted(key, pooling.CallClean); n > 500 {
-			return "what came again counted again"
+			return "repeated messages were counted again"
 		}
 		return ""
 	}},
-	{"new process trusts fully", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{}, serving("other"))
-		o.receiveEvidence(t, "other", pooling.Known, pooling.ByCall, enoughClean)
+	{"new process trusts fully", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{}, serving("other"))
+		o.receiveEvidence(t, "other", pooling.KnownSigns, pooling.ByCall, enoughClean)
 		if o.mode() != pooling.BySession {
 			return "raised at once by what others saw before"
 		}
 		return ""
 	}},
-	{"calls under way move", func(t testing.TB, how string) string {
+	{"calls under way move", func(t testing.TB, defect string) string {
 		for _, mode := range []pooling.Mode{pooling.ByCall, pooling.ByMessage} {
-			o := newProcess(t, how, pooling.Config{})
+			o := newProcess(t, defect, pooling.Config{})
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: mode})
 			c := o.call(true)
 			lane := o.loop.Lane(o.now, c, pooling.SetUp)
-			requireEqual(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken, pooling.ByMessage: pooling.Any}[mode], lane)
+			requireEqual(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken,
+				pooling.ByMessage: pooling.Any}[mode], lane)
 			o.observe(c, pooling.Answered, 0, "done")
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession})
 			for _, k := range []pooling.Kind{pooling.End, pooling.GiveUp, pooling.Heard} {
 				if o.loop.Lane(o.now, c, k) != pooling.Held {
-					return "moved at the fall"
+					return "changed connections when the verdict fell"
 				}
 			}
 		}
 		return ""
 	}},
-	{"any class is tried", func(t testing.TB, how string) string {
-		o := newProcess(t, how, pooling.Config{})
-		o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Trial: pooling.ByCall, Share: math.MaxUint32, Marked: math.MaxUint32})
+	{"any class is tried", func(t testing.TB, defect string) string {
+		o := newProcess(t, defect, pooling.Config{})
+		o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Trial: pooling.ByCall,
+			Share: math.MaxUint32, Marked: math.MaxUint32})
 		for range 50 {
 			if o.playAnswered(false) != pooling.Own {
 				return "a class that may not be repeated was tried"
@@ -299,9 +308,9 @@
 		requireEqual(t, pooling.Taken, o.playAnswered(true))
 		return ""
 	}},
-	{"lower verdict not taken", func(t testing.TB, how string) string {
-		later := uint64(1)<<38 | pooling.Known
-		o := newProcess(t, how, pooling.Config{}, serving("newer"))
+	{"lower verdict not taken", func(t testing.TB, defect string) string {
+		later := uint64(1)<<38 | pooling.KnownSigns
+		o := newProcess(t, defect, pooling.Config{}, serving("newer"))
 		o.receiveEvidence(t, "newer", later, pooling.BySession, map[pooling.Sign]uint32{38: 7})
 		o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
 		o.loop.Count(o.clientID, pooling.Overlapped, 1000)
@@ -314,9 +323,9 @@
 		requireEqual(t, pooling.ByCall, o.mode(), "both agree")
 		return ""
 	}},
-	{"no confidence bound", func(t testing.TB, how string) string {
+	{"no confidence bound", func(t testing.TB, defect string) string {
 		cfg := pooling.Config{}
-		if how != "" {
+		if defect != "" {
 			cfg.Fixed = 100
 		}
 		r := rand.New(rand.NewPCG(5, 6))
@@ -334,16 +343,19 @@
 }
 
 func TestEachGuardFailsWhenDisabled(t *testing.T) {
-	why := map[string]string{"witness does not win": "shared after a witness", "no decay": "raised by what was seen two half-lives ago",
-		"cut-off process raises": "raised while cut off", "join adds": "what came again counted again",
-		"new process trusts fully": "raised at once by what others saw before", "calls under way move": "moved at the fall",
-		"any class is tried":      "a class that may not be repeated was tried",
-		"lower verdict not taken": "above the verdict of a version that knows more signs", "no confidence bound": "an unsafe client was raised"}
-	requireEqual(t, len(why), len(guards))
-	for _, g := range guards {
+	why := map[string]string{"witness does not win": "a set-up was shared after a witness",
+		"no decay":               "raised by what was seen two half-lives ago",
+		"cut-off process raises": "raised while cut off", "join adds": "repeated messages were counted again",
+		"new process trusts fully": "raised at once by what others saw before",
+		"calls under way move":     "changed connections when the verdict fell",
+		"any class is tried":       "a class that may not be repeated was tried",
+		"lower verdict not taken":  "above the verdict of a version that knows more signs",
+		"no confidence bound":      "an unsafe client was raised"}
+	requireEqual(t, len(why), len(safeguards))
+	for _, g := range safeguards {
 		t.Run(g.name, func(t *testing.T) {
 			requireEqual(t, "", g.play(t, ""))
-			requireEqual(t, why[g.name], g.play(t, g.name), "caught for its own reason")
+			requireEqual(t, why[g.name], g.play(t, g.name), "detected for the expected reason")
 		})
 	}
 }
@@ -351,10 +363,12 @@
 // ---- several processes ----
 
 func world(n int, seed uint64, h populations.Habit) *populations.World {
-	return populations.New(populations.Config{Processes: n, Sessions: 6, Every: 500, Delay: 30_000, Loss: 0.05, Seed: seed}, h)
+	return populations.New(populations.Config{Processes: n, Sessions: 6, Every: 500, Delay: 30_000, Loss: 0.05,
+		Seed: seed}, h)
 }
 
-// TestWitnessInAPartition: one process is cut off when a witness comes; it is told once it can be, and raises nobody before.
+// A process that is isolated when a witness is reported must learn of it once it is reachable, and must raise no
+// client before.
 func TestWitnessInAPartition(t *testing.T) {
 	h := populations.Habit{Way: populations.Token, Rate: 0.5, Cause: wire.CauseMissing}
 	w := world(5, 3, h)
@@ -372,7 +386,7 @@
 	requireTrue(t, w.Procs[4].Witness != 0)
 	requireEqual(t, w.Procs[0].Part.Digest(), w.Procs[4].Part.Digest())
 
-	// A process that starts now learns of it before it tries anybody.
+	// A restarted process must learn of the denial before it tries any client.
 	w.Start(2)
 	w.Idle(3_000_000)
 	requireTrue(t, w.Procs[2].Witness != 0)
@@ -381,7 +395,7 @@
 	requireEqual(t, harmed, w.Harm.Tried+w.Harm.Raised)
 }
 
-// TestStalledProcessResumes: its table has run out, whatever it said.
+// A process that was stopped must not use its expired table when it resumes.
 func TestStalledProcessResumes(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{}, serving("other"))
 	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
@@ -396,7 +410,7 @@
 	requireEqual(t, pooling.Taken, o.playAnswered(true))
 }
 
-// TestWatch: the verdict is reached and nothing goes by it.
+// With Watch, a verdict is computed but not applied.
 func TestWatch(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{Watch: true})
 	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
@@ -406,7 +420,7 @@
 	requireEqual(t, pooling.BySession, o.mode())
 }
 
-// TestRestartedProcessReceivesEvidence: a process that starts again has its peers' evidence within seconds, at half its weight.
+// A restarted process must receive the evidence of the other processes within seconds, at half its weight.
 func TestRestartedProcessReceivesEvidence(t *testing.T) {
 	w := world(4, 9, populations.Habit{Way: populations.Stateless, Rate: 1})
 	w.Play(20_000, nil)
@@ -416,32 +430,37 @@
 	w.Start(1)
 	w.Idle(3_000_000)
 	has := w.Procs[1].Part.Weighted(k, pooling.CallClean)
-	requireTrue(t, had > 1000 && has > had/4 && has < had/2) // less its own last life, which nobody tells it
+	// without the counts of its own previous incarnation, which no other process sends
+	requireTrue(t, had > 1000 && has > had/4 && has < had/2)
 }
 
-// TestEpochs: a denial ends with its epoch alone, and a young one goes over into an epoch that began elsewhere.
+// A denial must only end with its epoch, and a recent one must be carried over into an epoch that began elsewhere.
 func TestEpochs(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{}, serving("other"))
 	o.loop.Count(o.clientID, pooling.StateMissing, 1)
 	o.advance(100_000_000, 1_000_000)
-	requireEqual(t, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
+	requireEqual(t, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since},
+		o.loop.Verdict(key))
 	o.epoch = 1
-	o.receiveEvidence(t, "other", pooling.Known, pooling.ByCall, enoughClean)
-	requireEqual(t, pooling.Verdict{Epoch: 2, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since}, o.loop.Verdict(key))
-	o.advance(1_210_000_000, 1_000_000) // twice as long in the second epoch
+	o.receiveEvidence(t, "other", pooling.KnownSigns, pooling.ByCall, enoughClean)
+	requireEqual(t, pooling.Verdict{Epoch: 2, Mode: pooling.BySession, Since: o.loop.Verdict(key).Since},
+		o.loop.Verdict(key))
+	o.advance(1_210_000_000, 1_000_000) // a denial lasts twice as long in the second epoch
 	v := o.loop.Verdict(key)
 	requireEqual(t, []any{uint32(3), pooling.ByCall, o.part.Digest()}, []any{v.Epoch, v.Trial, uint64(0)})
 }
 
 // ---- bounds ----
 
-// TestBounds: garbage, more clients than fit, more denials than an entry holds, a ring that nobody empties.
+// Payloads of random bytes, more clients than the table holds, more denials than an entry holds, and a ring that is
+// not drained must not exceed the bounds or lose counts.
 func TestBounds(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{}, serving("other"))
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, fleet.MaxBody+8).Draw(t, "body")
 		o.part.Message(o.now, fleet.Message{From: "other", Body: b}, &o.out)
-		o.part.View(o.now, &fleet.View{Members: []fleet.Member{{Entry: fleet.Entry{Name: "other", Parts: map[fleet.Kind][]byte{fleet.Pooling: b}}}}}, &o.out)
+		o.part.View(o.now, &fleet.View{Members: []fleet.Member{{Entry: fleet.Entry{Name: "other",
+			Parts: map[fleet.Kind][]byte{fleet.Pooling: b}}}}}, &o.out)
 	})
 	for i := range uint32(3000) {
 		s := o.loop.Open(o.now, pooling.SessionID(1000+i), fmt.Sprint("app", i), "127.0.0.1")
@@ -466,7 +485,7 @@
 		requireTrue(t, errors.As(err, &bad))
 	}
 	l := pooling.NewLoop(1)
-	for i := range pooling.SessionID(1000) { // far more clients than the ring has slots
+	for i := range pooling.SessionID(1000) { // more clients than the ring has slots
 		l.Count(l.Open(1, i+1, fmt.Sprint("app", i), "127.0.0.1"), pooling.OwnClean, 3)
 	}
 	n := uint32(0)
@@ -478,8 +497,8 @@
 	requireEqual(t, uint32(3000), n, "nothing is lost while the ring is full")
 }
 
-// TestLoopBesidePart: the loop and the part are two goroutines; what crosses is the ring and the table alone. Under the race
-// detector it tells more.
+// The loop and the Part run in two goroutines and only share the ring and the table. The race detector makes this
+// test stricter.
 func TestLoopBesidePart(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{})
 	counted := make(chan uint32)
@@ -494,7 +513,7 @@
 			o.observe(c, pooling.Over, 0, "")
 			o.loop.Round(20_000_000 + i*1000)
 		}
-		for i := range int64(2) { // what is left
+		for i := range int64(2) { // hand over the remaining counts
 			o.loop.Round(50_000_000 + i*1_000_000)
 		}
 		counted <- n
@@ -513,7 +532,7 @@
 	}
 }
 
-// TestLoopAllocatesNothing: what the session code calls for each message.
+// The methods that the session code calls for each message must not allocate.
 func TestLoopAllocatesNothing(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{})
 	text := bytes.Repeat([]byte("token-0123456789 "), 8)
@@ -544,7 +563,7 @@
 	}
 }
 
-// BenchmarkTick is a tenth of a second of a part with 1,000 clients that all call, among 24 processes.
+// BenchmarkTick measures 100 ms of a Part with 1,000 clients that all make calls, in a fleet of 24 processes.
 func BenchmarkTick(b *testing.B) {
 	var others []fleet.Member
 	for i := range 23 {
@@ -570,7 +589,7 @@
 	}
 }
 
-// TestSigns: the table has a line for each sign, in order, and a witness denies something, nothing else does.
+// The table must list each sign in order, and exactly the witnesses must deny a mode.
 func TestSigns(t *testing.T) {
 	for i, m := range pooling.Signs {
 		requireEqual(t, pooling.Sign(i+1), m.Sign)
@@ -581,8 +600,8 @@
 	}
 }
 
-// TestConfidence: the test keeps its stated error where the harm is just the least that it must find. It is played without
-// any witness, on outcomes alone.
+// The sequential test must keep its stated error rate if the harm is just the least that it must detect. Only
+// outcomes are simulated, without any witness.
 func TestConfidence(t *testing.T) {
 	const runs, least = 8_000, 1. / 20
 	r := rand.New(rand.NewPCG(11, 12))
@@ -603,7 +622,7 @@
 			}
 		}
 	}
-	// 1 in 100 is the bound here, so that 8,000 runs can tell; 5 deviations of counting are allowed for.
+	// The bound is 1 in 100 here so that 8,000 runs suffice; 5 standard deviations are allowed.
 	requireTrue(t, float64(raised) < runs/100.+5*math.Sqrt(runs/100.))
-	requireTrue(t, raised > runs/400) // the bound is not kept by raising nobody
+	requireTrue(t, raised > runs/400) // the bound must not be kept by raising no client
 }
--- a/internal/pooling/speak.go
+++ b/internal/pooling/speak.go
@@ -48,8 +48,9 @@
 
 var (
 	encMode, _ = cbor.CoreDetEncOptions().EncMode()
-	decMode, _ = cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
+	decMode, _ = cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 64, MaxNestedLevels: 6,
+		IndefLength: cbor.IndefLengthForbidden,
+		TagsMd:      cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 
 	errTooLong      = errors.New("payload exceeds the size limit")
 	errTooManyItems = errors.New("payload has more items than allowed")
@@ -57,7 +58,7 @@
 	errZeroEpoch    = errors.New("epoch is 0")
 )
 
-func (s *payload) bytes() []byte {
+func (s *payload) encode() []byte {
 	b, err := encMode.Marshal(s)
 	if err != nil {
 		panic(err) // cannot happen: every field type can be encoded
