--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -39,8 +39,8 @@
 // The lanes. If no connection of the chosen lane is open, one is opened. A connection that cannot be opened is no
 // reason to use another lane.
 const (
-	// the session's own connection to the office; it carries no other session's messages and stays open as long as
-	// the session
+	// Own is the session's own connection to the office. It carries no other session's messages and stays open as
+	// long as the session.
 	Own   Lane = iota + 1
 	Taken      // a pooled connection that no other call uses, for the length of this call
 	Any        // any pooled connection; after the set-up a different one than the set-up's, if there is one
@@ -71,8 +71,8 @@
 	Answered                       // the office answered and the call is established [Text: its description]
 	Failed                         // the office refused the newest set-up [Cause]; not for a withdrawn one
 	EndHeard                       // the office acknowledged a release sent by this process
-	// no acknowledgement arrived in time while the connection was open; the release is then sent again, after asking
-	// Lane
+	// EndUnheard: no acknowledgement arrived in time while the connection was open. The release is then sent again,
+	// after another call of Lane.
 	EndUnheard
 	EndedThere // the office released an established call [Cause]
 	Over       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
@@ -103,8 +103,8 @@
 	// enough.
 	Keep(now int64, client ClientID, session SessionID) bool
 	// Lane returns the connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also stores
-	// it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an End
-	// if the set-up went on Any and the client's verdict still allows it: when a verdict falls, a call in progress
+	// it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an
+	// End if the set-up went on Any and the client's verdict still allows it: when a verdict falls, a call in progress
 	// stays on its connection. If a set-up was refused on a shared lane, its repeat goes on Own.
 	Lane(now int64, call *Call, kind Kind) Lane
 	// Observe reports an event of a call.
--- a/internal/pooling/corpus_test.go
+++ b/internal/pooling/corpus_test.go
@@ -32,7 +32,8 @@
 		"own":     {Signs: KnownSigns, Incarnation: 1_700_000_000_000_001, Digest: 0xfedcba9876543210},
 		"denials": {Signs: KnownSigns, Incarnation: 5, Denials: denials},
 		"acks":    {Signs: KnownSigns, Incarnation: 5, Acks: denials[:1]},
-		"evidence": {Signs: KnownSigns, Incarnation: 5, Evidence: []evidenceRecord{{Key: 7, Epoch: 2, Modes: DenyMessage,
+		"evidence": {Signs: KnownSigns, Incarnation: 5, Evidence: []evidenceRecord{{Key: 7, Epoch: 2,
+			Modes:    DenyMessage,
 			DeniedBy: IDClash, Opinion: ByCall, OpinionVersion: 900, Counts: each.toMap()}}},
 		"most": most,
 	} {
--- a/internal/pooling/errors.go
+++ b/internal/pooling/errors.go
@@ -36,7 +36,7 @@
 
 // Advice implements advice.Advised.
 func (e *ClientsError) Advice() string {
-	return "Calls are not affected; if offices run short of connections, let callers use fewer applications or addresses."
+	return "Calls are not affected; if offices lack connections, let callers use fewer applications or addresses."
 }
 
 // RecordsError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and take
@@ -64,7 +64,7 @@
 
 // Advice implements advice.Advised.
 func (e *CutError) Advice() string {
-	return "Repair the network between the processes; until then clients go by session and offices see more connections."
+	return "Repair the network between the processes; until then clients go by session, with more connections at offices."
 }
 
 // StillError reports that the Part was stalled for so long that its table expired.
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -49,8 +49,8 @@
 
 // Table holds the verdicts that the loop applies. It is immutable and replaced as a whole.
 type Table struct {
-	// the table is valid before this time; later every client goes by session, because a stalled Part cannot lower
-	// anyone
+	// ValidUntil is when the table expires. After that every client goes by session, because a stalled Part cannot
+	// lower any.
 	ValidUntil int64
 	Default    Verdict
 	verdicts   map[uint64]Verdict
@@ -127,7 +127,8 @@
 	calls      uint32
 	ownAnswers uint32 // set-ups answered on its own connections
 	shared     bool   // a set-up went on a shared lane, so what its own connections miss may have been left there
-	// control group: no set-up is tried, so its refusals on own connections are the base rate for trials
+	// control marks a session of the control group: none of its set-ups is tried, so its refusals on own connections
+	// are the base rate for trials.
 	control        bool
 	guarded        bool // it had a call that may not be repeated freely
 	receivedTokens [maxTokens]uint64
@@ -315,7 +316,7 @@
 	case trial <= mode || call.Memo&memoSent != 0:
 	case mode > BySession && l.draw(share):
 		mode = trial
-	// doubled, because half of the sessions are the control group
+	// The share is doubled because half of the sessions are the control group.
 	case mode == BySession && !sess.control && sess.ownAnswers >= minOwnAnswers && l.draw(double(share)):
 		call.Memo |= memoTrial
 		mode = trial
--- a/internal/pooling/part.go
+++ b/internal/pooling/part.go
@@ -22,7 +22,7 @@
 	tickInterval  = 100_000
 	tableLifetime = 3_000_000 // how long a published table is valid
 	tableRefresh  = 1_000_000 // a table is published again after this time even if nothing changed
-	// after a start no client is raised or tried for this long, so that denials can arrive first
+	// After a start no client is raised or tried for this long, so that denials can arrive first.
 	startDelay       = 10_000_000
 	stallGap         = 2_000_000 // gap between two ticks from which the Part counts as stalled
 	stallDelay       = 2_000_000 // after a stall no client is raised or tried for this long
@@ -33,7 +33,7 @@
 	evidenceInterval = 200_000   // time between two rounds of sending evidence
 	evidenceFanout   = 3         // processes per round
 	messagesPerPeer  = 3         // messages per process and round
-	// after this time a process is sent all evidence again, as messages may have been lost
+	// After this time a process is sent all evidence again, as messages may have been lost.
 	fullResendInterval = 60_000_000
 	digestRepairDelay  = 500_000       // how long a digest may differ before denials are sent to repair it
 	evaluateInterval   = 500_000       // least time between two evaluations of a client, unless it is denied
@@ -451,7 +451,7 @@
 	}
 	if len(p.clientList) >= MaxClients {
 		worst := -1
-		// evict the client with the least evidence, and among equals the one without signs for longest
+		// Evict the client with the least evidence, and among equals the one without signs for longest.
 		for i, c := range p.clientList {
 			if c.evidence.Denied != 0 || now-c.lastSignAt < clientIdleTime {
 				continue
@@ -473,8 +473,7 @@
 		p.clientList = slices.Delete(p.clientList, worst, worst+1)
 	}
 	c := &client{key: key, evidence: Evidence{Epoch: max(epoch, 1)}, mode: BySession, opinion: BySession,
-		epochBegan: now, lastSignAt: now, decayedAt: now,
-		modeSince: now, stale: true}
+		epochBegan: now, lastSignAt: now, decayedAt: now, modeSince: now, stale: true}
 	p.clients[key] = c
 	p.clientList = append(p.clientList, c)
 	return c
@@ -655,7 +654,8 @@
 }
 
 func newTest(tally Tally, base *baseRates, least float64, countedIn Sign) test {
-	return test{logLikelihoodRatio(tally, base.low, least), logLikelihoodRatio(tally, base.high, least), tally, base.low, least, countedIn}
+	return test{logLikelihoodRatio(tally, base.low, least), logLikelihoodRatio(tally, base.high, least),
+		tally, base.low, least, countedIn}
 }
 
 // tests appends the tests that a mode must pass, given what was seen of a client. A kind of message that never
@@ -680,7 +680,8 @@
 	}
 	if mode == ByMessage && counts[Ended] > 0 {
 		tests = append(tests, newTest(Tally{counts[EndClean], counts[EndFault]},
-			&baseRates{low: minBaseRate, high: minBaseRate}, minTestHarm(signShare(counts, Ended), maxEndHarm), EndClean))
+			&baseRates{low: minBaseRate, high: minBaseRate}, minTestHarm(signShare(counts, Ended), maxEndHarm),
+			EndClean))
 	}
 	return tests
 }
--- a/internal/pooling/signs.go
+++ b/internal/pooling/signs.go
@@ -67,7 +67,7 @@
 // The effects.
 const (
 	Test     Effect = iota + 1 // counts in the sequential test of a mode
-	BaseRate                   // measures how often the same kind of message is refused on the session's own connections
+	BaseRate                   // measures how often the same is refused on the session's own connections
 	Demand                     // raises the ratio that the test must reach; never lowers it below the stated confidence
 	Witness                    // denies at once, regardless of other evidence
 )
