--- a/internal/pooling/evidence.go
+++ b/internal/pooling/evidence.go
@@ -2,51 +2,53 @@
 
 import "slices"
 
-// Counts counts signs by their number. They only grow within one epoch of a client in one life of a process.
+// Counts holds the number of observations of each sign, indexed by Sign. Within one epoch of a client and one life of
+// a process, counts only grow.
 type Counts [MaxSigns]uint32
 
-// Record is what one life of one process has counted of a client, in one epoch. Its process alone writes it.
+// Record holds what one life of a process has counted for a client in one epoch. Only that process writes it.
 type Record struct {
-	Process string
-	Life    uint64 // the process's incarnation
-	Opinion Mode   // what that process would allow by its own signs; 0: it has not said
-	Said    uint32 // grows with each change of Opinion, within the life
-	Signs   uint64 // mask of the signs that its version knows
-	Counts  Counts
+	Process        string
+	Incarnation    uint64 // incarnation of the process
+	Opinion        Mode   // mode that this process would allow on its own evidence; 0: not stated yet
+	OpinionVersion uint32 // incremented with each change of Opinion within the incarnation
+	Signs          uint64 // mask of the signs that the process's version knows
+	Counts         Counts
 }
 
-// Evidence is all that is known of a client. Join makes it a semilattice: epochs first, then denials by union and records one
-// by one, later lives before earlier ones, counts by their greatest. So it does not matter in which order, how often or by
-// which way anything arrives.
+// Evidence is everything known about a client. Join makes it a join-semilattice: the later epoch wins; within an
+// epoch denials are united and records are joined per process, where the later incarnation wins and each count is the
+// maximum of both. The result does not depend on the order, number or route of the messages.
 type Evidence struct {
-	Epoch   uint32 // begins anew after a denial, or an undecided test, has had its time; all else belongs to one epoch
-	Denied  Modes  // by a witness; nothing within the epoch takes it back
-	By      Sign   // the denying sign of the highest number, for the log
-	Records []Record
+	Epoch    uint32 // incremented when a denial or an undecided test has expired; all other fields belong to one epoch
+	Denied   Modes  // modes denied by a witness; not revoked within the epoch
+	DeniedBy Sign   // the highest-numbered sign that denied a mode, for the log
+	Records  []Record
 }
 
-// Join takes in other evidence of the same client. It tells whether anything changed.
-func (e *Evidence) Join(o *Evidence) bool { return e.join(o, doctor{}) }
+// Join merges other evidence of the same client and reports whether anything changed.
+func (e *Evidence) Join(other *Evidence) bool { return e.join(other, defectSet{}) }
 
-func (e *Evidence) join(o *Evidence, d doctor) bool {
+func (e *Evidence) join(other *Evidence, defects defectSet) bool {
 	switch {
-	case o.Epoch < e.Epoch:
+	case other.Epoch < e.Epoch:
 		return false
-	case o.Epoch > e.Epoch:
-		*e = Evidence{Epoch: o.Epoch, Denied: o.Denied, By: o.By, Records: slices.Clone(o.Records)}
+	case other.Epoch > e.Epoch:
+		*e = Evidence{Epoch: other.Epoch, Denied: other.Denied, DeniedBy: other.DeniedBy,
+			Records: slices.Clone(other.Records)}
 		return true
 	}
-	changed := o.Denied&^e.Denied != 0 || o.By > e.By
-	e.Denied, e.By = e.Denied|o.Denied, max(e.By, o.By)
-	for i := range o.Records {
-		if e.take(&o.Records[i], d) {
+	changed := other.Denied&^e.Denied != 0 || other.DeniedBy > e.DeniedBy
+	e.Denied, e.DeniedBy = e.Denied|other.Denied, max(e.DeniedBy, other.DeniedBy)
+	for i := range other.Records {
+		if e.joinRecord(&other.Records[i], defects) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// find tells where a process's record is, or would be.
+// find returns the index of a process's record, or where to insert it.
 func (e *Evidence) find(process string) (int, bool) {
 	return slices.BinarySearchFunc(e.Records, process, func(r Record, p string) int {
 		switch {
@@ -59,38 +61,38 @@
 	})
 }
 
-// take joins one record of this epoch.
-func (e *Evidence) take(r *Record, d doctor) bool {
+// joinRecord merges a record of the same epoch and reports whether anything changed.
+func (e *Evidence) joinRecord(r *Record, defects defectSet) bool {
 	i, found := e.find(r.Process)
 	if !found {
 		e.Records = slices.Insert(e.Records, i, *r)
 		return true
 	}
-	return e.Records[i].join(r, d)
+	return e.Records[i].join(r, defects)
 }
 
-func (r *Record) join(o *Record, d doctor) bool {
+func (r *Record) join(other *Record, defects defectSet) bool {
 	switch {
-	case o.Life < r.Life:
+	case other.Incarnation < r.Incarnation:
 		return false
-	case o.Life > r.Life:
-		*r = *o
+	case other.Incarnation > r.Incarnation:
+		*r = *other
 		return true
 	}
-	was := *r
-	// Guards against a version that was told twice with two sets of signs: the wider one has seen more.
-	r.Signs |= o.Signs
-	if o.Said > r.Said {
-		r.Said, r.Opinion = o.Said, o.Opinion
-	} else if o.Said == r.Said {
-		r.Opinion = min(r.Opinion, o.Opinion)
+	before := *r
+	// If the same incarnation was reported with two sign masks, the union covers what either has seen.
+	r.Signs |= other.Signs
+	if other.OpinionVersion > r.OpinionVersion {
+		r.OpinionVersion, r.Opinion = other.OpinionVersion, other.Opinion
+	} else if other.OpinionVersion == r.OpinionVersion {
+		r.Opinion = min(r.Opinion, other.Opinion)
 	}
-	for i, n := range o.Counts {
-		if d.adds {
+	for i, n := range other.Counts {
+		if defects.joinAdds {
 			r.Counts[i] += n
 		} else {
 			r.Counts[i] = max(r.Counts[i], n)
 		}
 	}
-	return *r != was
+	return *r != before
 }
--- a/internal/pooling/export_test.go
+++ b/internal/pooling/export_test.go
@@ -1,30 +1,34 @@
 package pooling
 
-// For tests of other packages' rigs: what a part and its loop are made worse by, and what is inside them.
+// This file gives the external tests of this package access to internals and lets them disable safeguards.
 
-var doctors = map[string]doctor{
-	"witness does not win": {witnessLoses: true}, "no decay": {noDecay: true}, "cut-off process raises": {cutRaises: true},
-	"join adds": {adds: true}, "new process trusts fully": {trusts: true}, "calls under way move": {moves: true},
-	"any class is tried": {anyClass: true}, "lower verdict not taken": {alone: true},
+var defectSets = map[string]defectSet{
+	"witness does not win": {witnessAsFault: true}, "no decay": {noDecay: true},
+	"cut-off process raises": {raisesWhileIsolated: true},
+	"join adds":              {joinAdds: true}, "new process trusts fully": {fullTrust: true},
+	"calls under way move": {callsMove: true},
+	"any class is tried":   {anyClass: true}, "lower verdict not taken": {ignoresNewerVersions: true},
 }
 
-// Doctor makes a part and its loop worse; unknown names do nothing.
-func Doctor(p *Part, l *Loop, how string) { p.doctor, l.doctor = doctors[how], doctors[how] }
+// InjectDefect disables the safeguard of the given name in a part and its loop. Unknown names have no effect.
+func InjectDefect(p *Part, l *Loop, name string) {
+	p.defects, l.defects = defectSets[name], defectSets[name]
+}
 
-// JoinDoctored joins as a doctored part does.
-func (e *Evidence) JoinDoctored(o *Evidence, how string) { e.join(o, doctors[how]) }
+// JoinWithDefect joins with the safeguard of the given name disabled.
+func (e *Evidence) JoinWithDefect(o *Evidence, defect string) { e.join(o, defectSets[defect]) }
 
-// SetTable puts a verdict for every client up.
-func (l *Loop) SetTable(until int64, v Verdict) { l.table.Store(&Table{Until: until, Unknown: v}) }
+// SetTable publishes a table with one verdict for every client.
+func (l *Loop) SetTable(until int64, v Verdict) { l.table.Store(&Table{ValidUntil: until, Default: v}) }
 
-// Count counts a sign for a client, as the loop does.
+// Count counts a sign n times for a client.
 func (l *Loop) Count(c ClientID, s Sign, n uint32) {
 	l.count(c, s)
 	l.clients[c].counts[s] += n - 1
 }
 
-// Drained empties the ring and sums it.
-func (l *Loop) Drained() (sum Counts) {
+// DrainRing empties the ring and returns the sum of its counts.
+func (l *Loop) DrainRing() (sum Counts) {
 	for b := (batch{}); l.ring.pop(&b); {
 		for s, n := range b.counts {
 			sum[s] += n
@@ -33,18 +37,18 @@
 	return sum
 }
 
-// Hear reads a body.
-var Hear = hear
+// DecodePayload decodes a payload.
+var DecodePayload = decodePayload
 
-// All is what the part goes by for a client.
-func (p *Part) All(key uint64, s Sign) float64 {
+// Weighted returns the weighted count of a sign of a client.
+func (p *Part) Weighted(key uint64, s Sign) float64 {
 	if c := p.clients[key]; c != nil {
-		return c.all[s]
+		return c.weighted[s]
 	}
 	return 0
 }
 
-// Opinion is the part's own, before those of other versions.
+// Opinion returns the part's own opinion, before those of newer versions are applied.
 func (p *Part) Opinion(key uint64) Mode {
 	if c := p.clients[key]; c != nil {
 		return c.opinion
@@ -52,19 +56,20 @@
 	return BySession
 }
 
-// Digest is that of the denials.
+// Digest returns the digest of all denials.
 func (p *Part) Digest() uint64 { return p.digest }
 
-// What tests go by.
+// Constants for tests.
 const (
-	HalfLife, TableFor, Settle, LeastHarm = halfLife, tableFor, settle, leastHarm
+	HalfLife, TableLifetime, StartDelay, MinHarm = halfLife, tableLifetime, startDelay, minHarm
 )
 
-// Bound and Likelihood are those of the test.
-var Bound, Likelihood = bound, likelihood
+// RequiredLogRatio and LogLikelihoodRatio are the functions of the sequential test.
+var RequiredLogRatio, LogLikelihoodRatio = requiredLogRatio, logLikelihoodRatio
 
-// Body is a message with one record of the client of the given key.
-func Body(key, signs, life uint64, epoch, said uint32, opinion Mode, counts map[Sign]uint32) []byte {
-	s := speech{Signs: signs, Life: life, Evidence: []saidRecord{{Key: key, Epoch: epoch, Opinion: opinion, Said: said, Counts: counts}}}
-	return s.bytes()
+// EncodePayload returns a payload with one record of the client with the given key.
+func EncodePayload(key, signs, life uint64, epoch, said uint32, opinion Mode, counts map[Sign]uint32) []byte {
+	s := payload{Signs: signs, Incarnation: life, Evidence: []evidenceRecord{{Key: key, Epoch: epoch, Opinion: opinion,
+		OpinionVersion: said, Counts: counts}}}
+	return s.encode()
 }
