--- a/internal/lease/api.go
+++ b/internal/lease/api.go
@@ -1,31 +1,35 @@
-// Package lease decides who alone may act on a thing for a while: by a majority of the thing's electors, on monotonic
-// clocks of bounded drift, without a disk. It has no clock, goroutine or socket.
+// Package lease decides which single process may act on a resource for a limited time: by a majority of the resource's
+// electors, on monotonic clocks of bounded drift, without disk storage. It has no clock, goroutine or socket of its
+// own.
 package lease
 
 import "pewterwheel/internal/fleet"
 
-// Grant is what a holder has.
+// Grant is a lease held by this process.
 type Grant struct {
-	Fence uint64 // higher than that of every earlier holder; whoever is told to act refuses a lower one
-	Until int64  // the holder acts before this alone, by its own clock
-	Value []byte // the thing's record, the newest that a majority of its electors has stored
+	// Fencing number, higher than that of every earlier holder; the receiver of an action refuses a lower one.
+	Fence uint64
+	Until int64  // the holder acts only before this time, by its own clock
+	Value []byte // record of the resource, the newest that a majority of its electors has stored
 	Write uint64 // number of the write that stored it; 0: none
 }
 
-// Lessor is how the other parts of a process ask for leases. It is called from the goroutine of the parts alone.
+// Lessor is the interface through which other modules of the process use leases. It is called only from the modules'
+// goroutine.
 type Lessor interface {
-	// Claim asks for a thing, and goes on renewing it, until Release.
-	Claim(now int64, thing string, out *fleet.Out)
-	// Release gives a thing up, so that another may have it at once.
-	Release(now int64, thing string, out *fleet.Out)
-	// Held returns what this process holds now; false: it may not act.
-	Held(now int64, thing string) (Grant, bool)
-	// Write replaces the thing's record, while it is held; MaxRecord bytes at the most. It returns the write's number, and
-	// the write has happened for every later holder once Held shows that number, or a higher one, under the same fence.
-	Write(now int64, thing string, value []byte, out *fleet.Out) (uint64, error)
-	// Holder is who was last heard to hold a thing, and under which number. It is a hint: nobody may act on it.
-	Holder(thing string) (name string, fence uint64)
+	// Claim requests a lease on a resource and keeps renewing it until Release.
+	Claim(now int64, resource string, out *fleet.Out)
+	// Release gives up the lease, so that another process can claim the resource at once.
+	Release(now int64, resource string, out *fleet.Out)
+	// Held returns the current grant of this process; if it returns false, the process may not act.
+	Held(now int64, resource string) (Grant, bool)
+	// Write replaces the record of a resource while its lease is held; at most MaxRecord bytes. It returns the number
+	// of the write. The write has taken effect for every later holder once Held returns this number or a higher one
+	// under the same fence.
+	Write(now int64, resource string, value []byte, out *fleet.Out) (uint64, error)
+	// Holder returns the last known holder of a resource and its fence. It is only a hint: nothing may act on it.
+	Holder(resource string) (name string, fence uint64)
 }
 
-// MaxRecord bounds the record of a thing, in bytes.
+// MaxRecord is the maximum size of a resource's record in bytes.
 const MaxRecord = 512
--- a/internal/lease/claimant.go
+++ b/internal/lease/claimant.go
@@ -9,39 +9,39 @@
 	"pewterwheel/internal/fleet"
 )
 
-// What a claim is doing.
+// phase is the state of a claim.
 type phase uint8
 
 const (
-	resting phase = iota // until next, or until an elector says that the thing is free
-	asking               // for votes under a new fence
-	storing              // has them, and stores the record that it was told under its own fence
+	backingOff      phase = iota // until nextAction, or until an elector reports that the resource is free
+	requestingVotes              // requesting votes under a new fence
+	storingRecord                // has the votes and stores the learned record under its own fence
 	holding
 )
 
-// claim is what this process wants of one thing, from Claim to Release.
+// claim is the state of this process's claim to one resource, from Claim to Release.
 type claim struct {
-	thing string
-	phase phase
-	fence uint64 // of the attempt or the grant
-	high  uint64 // the highest fence heard of the thing
-	hint  hint
-	until int64 // held before this alone; 0: not held
-	next  int64 // when something is to be done
-	began int64 // of the attempt
-	full  int64 // when the electors were last asked all
-	pause int64 // distance of repeats
-	tries uint  // attempts in a row that came to nothing
-	noted Reason
-
-	voters []voter
-	rounds [16]round // the last questions, by seq
-	both   bool      // the electors of the roster before are asked, too
-
-	// The record: the newest that the voters told, then what is being stored, what is to be stored next, and what is stored.
-	told, flight, after, stored record
-	toldFence                   uint64
-	last                        uint64 // number of the newest write asked for
+	resource       string
+	phase          phase
+	fence          uint64 // of the attempt or the grant
+	highestFence   uint64 // highest fence seen for the resource
+	holderHint     hint
+	expiresAt      int64 // the lease is held only before this time; 0: not held
+	nextAction     int64 // time of the next retry or renewal
+	attemptStart   int64 // start time of the current attempt
+	lastBroadcast  int64 // time of the last request to all electors
+	retryInterval  int64 // current delay between retries
+	failedAttempts uint  // consecutive failed attempts
+	notedReason    Reason
+
+	voters      []voter
+	requests    [16]request // most recent requests, indexed by sequence number
+	askPrevious bool        // the electors of the previous roster are asked as well
+
+	// Records: the newest that the voters reported, the one being stored, the next to be stored, and the last stored.
+	learnedRecord, inFlight, queued, stored record
+	learnedFence                            uint64
+	lastWrite                               uint64 // number of the newest write requested
 }
 
 type record struct {
@@ -49,61 +49,65 @@
 	value []byte
 }
 
-// round is a question: when it was asked, and which write it carried.
-type round struct {
-	seq   uint64
-	sent  int64
-	write uint64
-	hold  bool
+// request is a message sent to the electors: when it was sent and which write it carried.
+type request struct {
+	seq    uint64
+	sentAt int64
+	write  uint64
+	isHold bool
 }
 
-// voter is an elector as the claimant sees it, in this attempt. A time of 0: never.
+// voter is the claimant's view of an elector during the current attempt. A time of 0 means never.
 type voter struct {
-	name       string
-	isNew, old bool
-	voted      bool
-	sent       int64 // when the newest question was sent for which it voted
-	kept       bool
-	keptSent   int64 // when the newest question was sent by which it kept the record, and the number of it
-	keptWrite  uint64
-	young      bool // it says that the old majority is needed, too
-	asNew      bool // it has learnt the thing under the roster of the question, and votes as one of its electors
-	// Why it does not vote now, until when it will not, and whom it votes for.
-	reason      Reason
-	blocked     int64
-	holder      string
-	holderFence uint64
+	name                  string
+	inCurrent, inPrevious bool
+	voted                 bool
+	voteSentAt            int64 // send time of the newest request that it voted for
+	stored                bool
+	storedSentAt          int64 // send time and write number of the newest request whose record it stored
+	storedWrite           uint64
+	needsPrevious         bool // it reports that a majority of the previous electors is still required
+	// It has learned the resource under the request's roster and votes as one of that roster's electors.
+	votesInCurrent bool
+	// Why it refuses to vote, until when, and which process it votes for.
+	reason       Reason
+	blockedUntil int64
+	holder       string
+	holderFence  uint64
 }
 
-func (p *Part) claim(thing string) *claim {
-	if i, ok := p.findClaim(thing); ok {
+func (p *Part) findClaim(resource string) *claim {
+	if i, ok := p.claimIndex(resource); ok {
 		return p.claims[i]
 	}
 	return nil
 }
 
-func (p *Part) findClaim(thing string) (int, bool) {
-	return slices.BinarySearchFunc(p.claims, thing, func(c *claim, s string) int { return strings.Compare(c.thing, s) })
+func (p *Part) claimIndex(resource string) (int, bool) {
+	return slices.BinarySearchFunc(p.claims, resource,
+		func(c *claim, s string) int { return strings.Compare(c.resource, s) })
 }
 
-// Claim asks for a thing, and goes on renewing it, until Release. A name that is empty or over MaxName is passed by.
-func (p *Part) Claim(now int64, thing string, out *fleet.Out) {
-	p.at(now)
-	i, ok := p.findClaim(thing)
-	if ok || len(thing) == 0 || len(thing) > MaxName {
+// Claim requests a lease on a resource and keeps renewing it until Release. An empty name, or one longer than MaxName,
+// is ignored.
+func (p *Part) Claim(now int64, resource string, out *fleet.Out) {
+	p.advanceClock(now)
+	i, ok := p.claimIndex(resource)
+	if ok || len(resource) == 0 || len(resource) > MaxName {
 		return
 	}
-	c := &claim{thing: thing, next: p.now}
-	p.setVoters(c)
+	c := &claim{resource: resource, nextAction: p.now}
+	p.resetVoters(c)
 	p.claims = slices.Insert(p.claims, i, c)
-	p.claimTick(c, out)
-	p.end(out)
+	p.tickClaim(c, out)
+	p.flush(out)
 }
 
-// Release gives a thing up, so that another may have it at once. A write that is not stored yet may happen or not.
-func (p *Part) Release(now int64, thing string, out *fleet.Out) {
-	p.at(now)
-	i, ok := p.findClaim(thing)
+// Release gives up the lease, so that another process can claim the resource at once. A write that is not stored yet
+// may or may not take effect.
+func (p *Part) Release(now int64, resource string, out *fleet.Out) {
+	p.advanceClock(now)
+	i, ok := p.claimIndex(resource)
 	if !ok {
 		return
 	}
@@ -111,399 +115,421 @@
 	p.claims = slices.Delete(p.claims, i, i+1)
 	if c.phase == holding {
 		p.counts.releases++
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "released", Thing: thing, Fence: c.fence})
-		p.retell = true
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "released", Thing: resource, Fence: c.fence})
+		p.publishPending = true
 	}
-	p.letGo(c, out)
-	p.end(out)
+	p.sendRelease(c, out)
+	p.flush(out)
 }
 
-// letGo tells the electors that a fence is given up.
-func (p *Part) letGo(c *claim, out *fleet.Out) {
-	if c.phase == resting {
+// sendRelease tells the electors that a fence is given up.
+func (p *Part) sendRelease(c *claim, out *fleet.Out) {
+	if c.phase == backingOff {
 		return
 	}
 	for i := range c.voters {
-		if v := &c.voters[i]; v.isNew || c.both {
-			p.send(v.name, body{Type: typRelease, Thing: c.thing, Roster: p.roster, Life: p.cfg.Incarnation, Fence: c.fence}, out)
+		if v := &c.voters[i]; v.inCurrent || c.askPrevious {
+			p.send(v.name, body{Type: typRelease, Thing: c.resource, Roster: p.roster, Incarnation: p.cfg.Incarnation,
+				Fence: c.fence}, out)
 		}
 	}
 }
 
-// Held returns what this process holds now; false: it may not act.
-func (p *Part) Held(now int64, thing string) (Grant, bool) {
-	c := p.claim(thing)
-	if c == nil || c.phase != holding || max(now, p.now) >= c.until {
+// Held returns the current grant of this process; if it returns false, the process may not act.
+func (p *Part) Held(now int64, resource string) (Grant, bool) {
+	c := p.findClaim(resource)
+	if c == nil || c.phase != holding || max(now, p.now) >= c.expiresAt {
 		return Grant{}, false
 	}
-	return Grant{Fence: c.fence, Until: c.until, Value: c.stored.value, Write: c.stored.write}, true
+	return Grant{Fence: c.fence, Until: c.expiresAt, Value: c.stored.value, Write: c.stored.write}, true
 }
 
-// Write replaces the thing's record, while it is held. The errors are *NotHeldError and *RecordSizeError. The number counts
-// under the grant's fence: the write has happened once Held shows it, or a higher one, under the fence of the call.
-func (p *Part) Write(now int64, thing string, value []byte, out *fleet.Out) (uint64, error) {
-	p.at(now)
+// Write replaces the record of a resource while its lease is held. The errors are *NotHeldError and *RecordSizeError.
+// The number is valid under the grant's fence: the write has taken effect once Held returns this number or a higher one
+// under the same fence as at the time of the call.
+func (p *Part) Write(now int64, resource string, value []byte, out *fleet.Out) (uint64, error) {
+	p.advanceClock(now)
 	if len(value) > MaxRecord {
-		return 0, &RecordSizeError{Thing: thing, Size: len(value)}
+		return 0, &RecordSizeError{Resource: resource, Size: len(value)}
 	}
-	if _, ok := p.Held(now, thing); !ok {
-		return 0, &NotHeldError{Thing: thing}
+	if _, ok := p.Held(now, resource); !ok {
+		return 0, &NotHeldError{Resource: resource}
 	}
-	c := p.claim(thing)
-	c.last++
-	rec := record{c.last, bytes.Clone(value)}
-	if c.flight.write > c.stored.write {
-		c.after = rec // one at a time. Guards against a holder that writes so often that no write of its own is ever seen stored.
+	c := p.findClaim(resource)
+	c.lastWrite++
+	rec := record{c.lastWrite, bytes.Clone(value)}
+	if c.inFlight.write > c.stored.write {
+		// One write at a time: otherwise a holder that writes often would never see any of its writes stored.
+		c.queued = rec
 	} else {
-		c.flight = rec
-		p.ask(c, true, out)
+		c.inFlight = rec
+		p.sendRequest(c, true, out)
 	}
-	p.end(out)
+	p.flush(out)
 	return rec.write, nil
 }
 
-// due is when a claim wants its tick: its next repeat, or its end.
-func (c *claim) due() int64 {
+// dueAt returns when the claim needs its next tick: at its next retry or renewal, or at its expiry.
+func (c *claim) dueAt() int64 {
 	if c.phase == holding {
-		return min(c.next, c.until)
+		return min(c.nextAction, c.expiresAt)
 	}
-	return c.next
+	return c.nextAction
 }
 
-// setVoters makes the list of who votes by the rosters that are known now. What was heard of them counts no more.
-func (p *Part) setVoters(c *claim) {
-	c.voters, c.rounds = nil, [16]round{}
-	for _, name := range p.electors(c.thing) {
-		c.voters = append(c.voters, voter{name: name, isNew: true})
+// resetVoters rebuilds the list of voters from the current rosters and discards all earlier answers.
+func (p *Part) resetVoters(c *claim) {
+	c.voters, c.requests = nil, [16]request{}
+	for _, name := range p.electors(c.resource) {
+		c.voters = append(c.voters, voter{name: name, inCurrent: true})
 	}
-	for _, name := range p.oldElectors(c.thing) {
+	for _, name := range p.previousElectors(c.resource) {
 		if i := slices.IndexFunc(c.voters, func(v voter) bool { return v.name == name }); i >= 0 {
-			c.voters[i].old = true
+			c.voters[i].inPrevious = true
 		} else {
-			c.voters = append(c.voters, voter{name: name, old: true})
+			c.voters = append(c.voters, voter{name: name, inPrevious: true})
 		}
 	}
-	c.both = p.now < p.young
+	c.askPrevious = p.now < p.bothMajoritiesUntil
 }
 
-// claimTick does what is due: an end, an attempt, a renewal, a repeat.
-func (p *Part) claimTick(c *claim, out *fleet.Out) {
-	if c.phase == holding && p.now >= c.until {
+// tickClaim does what is due: expiry, a new attempt, a renewal or a retry.
+func (p *Part) tickClaim(c *claim, out *fleet.Out) {
+	if c.phase == holding && p.now >= c.expiresAt {
 		p.counts.lapses++
-		p.retell = true
-		if c.last > c.stored.write {
+		p.publishPending = true
+		if c.lastWrite > c.stored.write {
 			p.counts.lostWrites++
 		}
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "lapsed", Thing: c.thing, Fence: c.fence, Until: c.until})
-		p.letGo(c, out)
-		c.phase, c.next, c.tries = resting, p.now, 0
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "lapsed", Thing: c.resource, Fence: c.fence,
+			Until: c.expiresAt})
+		p.sendRelease(c, out)
+		c.phase, c.nextAction, c.failedAttempts = backingOff, p.now, 0
 	}
-	if p.now < c.next {
+	if p.now < c.nextAction {
 		return
 	}
 	switch c.phase {
-	case resting:
-		p.attempt(c, out)
-	case asking, storing:
-		// An attempt that another claimant has some votes of ends soon. Guards against two that wait for each other's.
-		taken := slices.ContainsFunc(c.voters, func(v voter) bool { return v.reason == Taken && p.now < v.blocked })
-		if age := p.now - c.began; age >= p.cfg.Lease/3 || taken && age >= p.cfg.Lease/16 {
-			p.fail(c, out)
+	case backingOff:
+		p.startAttempt(c, out)
+	case requestingVotes, storingRecord:
+		// End the attempt early if another claimant has some of the votes, so that two claimants do not wait for each
+		// other's votes.
+		taken := slices.ContainsFunc(c.voters, func(v voter) bool {
+			return v.reason == Taken &&
+				p.now < v.blockedUntil
+		})
+		if age := p.now - c.attemptStart; age >= p.cfg.Lease/3 || taken && age >= p.cfg.Lease/16 {
+			p.abandonAttempt(c, out)
 			return
 		}
-		p.ask(c, false, out)
+		p.sendRequest(c, false, out)
 	case holding:
-		p.ask(c, p.now-c.full >= p.cfg.Lease/3, out)
+		p.sendRequest(c, p.now-c.lastBroadcast >= p.cfg.Lease/3, out)
 	}
 }
 
-// attempt asks for votes under a fence higher than all that were heard of.
-func (p *Part) attempt(c *claim, out *fleet.Out) {
+// startAttempt requests votes under a fence higher than any seen so far.
+func (p *Part) startAttempt(c *claim, out *fleet.Out) {
 	p.counts.attempts++
-	c.fence = max(c.high, p.base) + 1
-	c.high = c.fence
-	p.heardFence(c.fence)
-	p.setVoters(c)
-	c.phase, c.began, c.until = asking, p.now, 0
-	c.told, c.flight, c.after, c.stored, c.toldFence, c.last = record{}, record{}, record{}, record{}, 0, 0
-	p.ask(c, true, out)
+	c.fence = max(c.highestFence, p.highestFence) + 1
+	c.highestFence = c.fence
+	p.observeFence(c.fence)
+	p.resetVoters(c)
+	c.phase, c.attemptStart, c.expiresAt = requestingVotes, p.now, 0
+	c.learnedRecord, c.inFlight, c.queued, c.stored, c.learnedFence, c.lastWrite = record{}, record{}, record{},
+		record{}, 0, 0
+	p.sendRequest(c, true, out)
 }
 
-// ask sends a question: all electors, or those whose answer is missing.
-func (p *Part) ask(c *claim, all bool, out *fleet.Out) {
+// sendRequest sends a request to all electors, or only to those that have not answered.
+func (p *Part) sendRequest(c *claim, all bool, out *fleet.Out) {
 	if all {
-		c.full, c.pause = p.now, p.retry
+		c.lastBroadcast, c.retryInterval = p.now, p.retryInterval
 	}
-	if p.now < p.young {
-		c.both = true
+	if p.now < p.bothMajoritiesUntil {
+		c.askPrevious = true
 	}
-	b := p.question(c)
+	msg := p.newRequest(c)
 	for i := range c.voters {
-		if v := &c.voters[i]; (v.isNew || c.both) && (all || !c.fresh(v)) {
-			p.send(v.name, b, out)
+		if v := &c.voters[i]; (v.inCurrent || c.askPrevious) && (all || !c.answeredLatest(v)) {
+			p.send(v.name, msg, out)
 		}
 	}
-	c.next = p.now + c.pause + p.jitter(c.pause/2)
-	c.pause = min(2*c.pause, p.cfg.Lease/12)
+	c.nextAction = p.now + c.retryInterval + p.jitter(c.retryInterval/2)
+	c.retryInterval = min(2*c.retryInterval, p.cfg.Lease/12)
 	if c.phase == holding {
-		c.next = min(c.next, max(c.full+p.cfg.Lease/3, p.now+1))
+		c.nextAction = min(c.nextAction, max(c.lastBroadcast+p.cfg.Lease/3, p.now+1))
 	} else {
-		c.next = min(c.next, max(c.began+p.cfg.Lease/3, p.now+1))
+		c.nextAction = min(c.nextAction, max(c.attemptStart+p.cfg.Lease/3, p.now+1))
 	}
-	if c.phase == holding && p.renewed(c) {
-		c.next = max(c.full+p.cfg.Lease/3, p.now+1)
+	if c.phase == holding && p.majorityAnsweredLatest(c) {
+		c.nextAction = max(c.lastBroadcast+p.cfg.Lease/3, p.now+1)
 	}
 }
 
-// question makes a round and the message for it.
-func (p *Part) question(c *claim) body {
-	p.seq++
-	r := &c.rounds[p.seq%uint64(len(c.rounds))]
-	*r = round{seq: p.seq, sent: p.now, hold: c.phase != asking}
-	b := body{Type: typClaim, Thing: c.thing, Roster: p.roster, Life: p.cfg.Incarnation, Fence: c.fence, Seq: p.seq}
-	if r.hold {
-		b.Type, b.RecFence, b.Write, b.Value = typHold, c.fence, c.flight.write, c.flight.value
-		r.write = c.flight.write
-	}
-	return b
+// newRequest records a request and returns its message.
+func (p *Part) newRequest(c *claim) body {
+	p.lastSeq++
+	question := &c.requests[p.lastSeq%uint64(len(c.requests))]
+	*question = request{seq: p.lastSeq, sentAt: p.now, isHold: c.phase != requestingVotes}
+	msg := body{Type: typClaim, Thing: c.resource, Roster: p.roster, Incarnation: p.cfg.Incarnation, Fence: c.fence,
+		Seq: p.lastSeq}
+	if question.isHold {
+		msg.Type, msg.RecordFence, msg.Write, msg.Value = typHold, c.fence, c.inFlight.write, c.inFlight.value
+		question.write = c.inFlight.write
+	}
+	return msg
 }
 
-// fresh: the voter has answered to what is asked now.
-func (c *claim) fresh(v *voter) bool {
-	if c.phase == asking {
-		return v.voted && v.sent >= c.full
+// answeredLatest reports whether the voter has answered the current request.
+func (c *claim) answeredLatest(v *voter) bool {
+	if c.phase == requestingVotes {
+		return v.voted && v.voteSentAt >= c.lastBroadcast
 	}
-	return v.kept && v.keptSent >= c.full && v.keptWrite >= c.flight.write
+	return v.stored && v.storedSentAt >= c.lastBroadcast && v.storedWrite >= c.inFlight.write
 }
 
-// renewed: a majority has answered to the last question to all.
-func (p *Part) renewed(c *claim) bool { return p.count(c, c.fresh) }
+// majorityAnsweredLatest reports whether a majority has answered the last request sent to all.
+func (p *Part) majorityAnsweredLatest(c *claim) bool { return p.hasMajority(c, c.answeredLatest) }
 
-// needBoth: the majority of the old electors counts, too.
-func (p *Part) needBoth(c *claim) bool {
-	if p.doctor.oneMajority {
+// needsBothMajorities reports whether a majority of the previous electors is required as well.
+func (p *Part) needsBothMajorities(c *claim) bool {
+	if p.overrides.currentMajorityOnly {
 		return false
 	}
-	if p.now < p.young {
+	if p.now < p.bothMajoritiesUntil {
 		return true
 	}
 	for i := range c.voters {
-		if v := &c.voters[i]; v.isNew && v.young {
+		if v := &c.voters[i]; v.inCurrent && v.needsPrevious {
 			return true
 		}
 	}
 	return false
 }
 
-// count says whether a majority of the electors, or of both rosters' where it must be, is so.
-func (p *Part) count(c *claim, is func(*voter) bool) bool {
-	var n, has, oldN, oldHas int
+// hasMajority reports whether the condition holds for a majority of the electors, in both rosters where both are
+// required.
+func (p *Part) hasMajority(c *claim, condition func(*voter) bool) bool {
+	var total, count, previousTotal, previousCount int
 	for i := range c.voters {
 		v := &c.voters[i]
 		yes := 0
-		if is(v) {
+		if condition(v) {
 			yes = 1
 		}
-		if v.isNew {
-			n++
-			if v.asNew || v.sent == 0 {
-				has += yes
+		if v.inCurrent {
+			total++
+			if v.votesInCurrent || v.voteSentAt == 0 {
+				count += yes
 			}
 		}
-		if v.old {
-			oldN, oldHas = oldN+1, oldHas+yes
+		if v.inPrevious {
+			previousTotal, previousCount = previousTotal+1, previousCount+yes
 		}
 	}
-	if n == 0 || has < p.majority(n) {
+	if total == 0 || count < p.majority(total) {
 		return false
 	}
-	return !p.needBoth(c) || oldN > 0 && oldHas >= p.majority(oldN)
+	return !p.needsBothMajorities(c) || previousTotal > 0 && previousCount >= p.majority(previousTotal)
 }
 
-// span is how long a vote counts here from when it was asked for: less than at any elector, by the drift.
-func (p *Part) span() int64 {
-	if p.doctor.noMargin {
+// voteDuration is how long a vote counts here, from the time its request was sent. It is shorter than at any elector by
+// the drift margin.
+func (p *Part) voteDuration() int64 {
+	if p.overrides.noDriftMargin {
 		return p.cfg.Lease
 	}
-	return p.cfg.Lease - p.margin
+	return p.cfg.Lease - p.driftMargin
 }
 
-// votesUntil is until when a majority's votes last.
-func (p *Part) votesUntil(c *claim) int64 {
-	most := func(pick, counts func(*voter) bool) int64 {
-		var sent []int64
-		n := 0
+// votesExpireAt returns until when a majority of the votes is valid.
+func (p *Part) votesExpireAt(c *claim) int64 {
+	majorityExpiry := func(included, counts func(*voter) bool) int64 {
+		var sentTimes []int64
+		total := 0
 		for i := range c.voters {
-			if v := &c.voters[i]; pick(v) {
-				if n++; v.voted && counts(v) {
-					sent = append(sent, v.sent)
+			if v := &c.voters[i]; included(v) {
+				if total++; v.voted && counts(v) {
+					sentTimes = append(sentTimes, v.voteSentAt)
 				}
 			}
 		}
-		if n == 0 || len(sent) < p.majority(n) {
+		if total == 0 || len(sentTimes) < p.majority(total) {
 			return math.MinInt64
 		}
-		slices.Sort(sent)
-		return sent[len(sent)-p.majority(n)] + p.span()
+		slices.Sort(sentTimes)
+		return sentTimes[len(sentTimes)-p.majority(total)] + p.voteDuration()
 	}
-	until := most(func(v *voter) bool { return v.isNew }, func(v *voter) bool { return v.asNew })
-	if p.needBoth(c) {
-		until = min(until, most(func(v *voter) bool { return v.old }, func(*voter) bool { return true }))
+	until := majorityExpiry(func(v *voter) bool { return v.inCurrent }, func(v *voter) bool { return v.votesInCurrent })
+	if p.needsBothMajorities(c) {
+		until = min(until, majorityExpiry(func(v *voter) bool { return v.inPrevious },
+			func(*voter) bool { return true }))
 	}
 	return until
 }
 
-// answered takes a vote or a refusal.
-func (p *Part) answered(from string, b body, out *fleet.Out) {
-	p.hearRoster(b.Roster)
-	p.heardFence(b.High)
-	c := p.claim(b.Thing)
+// handleReply handles a vote or a refusal.
+func (p *Part) handleReply(from string, msg body, out *fleet.Out) {
+	p.observeRoster(msg.Roster)
+	p.observeFence(msg.HighestFence)
+	c := p.findClaim(msg.Thing)
 	if c == nil {
 		return
 	}
-	c.high = max(c.high, b.High)
-	if b.Type == typRefuse && b.Holder != "" && b.Holder != p.cfg.Self && !b.Over && b.High >= c.hint.fence {
-		c.hint = hint{b.Holder, b.High}
+	c.highestFence = max(c.highestFence, msg.HighestFence)
+	if msg.Type == typRefuse && msg.Holder != "" && msg.Holder != p.cfg.Self && !msg.Released &&
+		msg.HighestFence >= c.holderHint.fence {
+		c.holderHint = hint{msg.Holder, msg.HighestFence}
 	}
-	r := c.rounds[b.Seq%uint64(len(c.rounds))]
+	question := c.requests[msg.Seq%uint64(len(c.requests))]
 	i := slices.IndexFunc(c.voters, func(v voter) bool { return v.name == from })
-	if c.phase == resting || b.Seq == 0 || r.seq != b.Seq || b.Fence != c.fence || i < 0 {
+	if c.phase == backingOff || msg.Seq == 0 || question.seq != msg.Seq || msg.Fence != c.fence || i < 0 {
 		return
 	}
 	v := &c.voters[i]
-	if b.Type == typRefuse {
-		p.refused(c, v, b, out)
+	if msg.Type == typRefuse {
+		p.handleRefusal(c, v, msg, out)
 		return
 	}
-	v.reason, v.blocked = 0, 0
-	sent := r.sent
-	if p.doctor.countFromReply {
+	v.reason, v.blockedUntil = 0, 0
+	sent := question.sentAt
+	if p.overrides.countFromReply {
 		sent = p.now
 	}
-	v.voted, v.sent = true, max(v.sent, sent)
-	v.young = b.Young > 0
-	v.asNew = b.Ready >= p.roster
-	if r.hold && (!v.kept || sent >= v.keptSent) {
-		v.kept, v.keptSent, v.keptWrite = true, sent, max(v.keptWrite, r.write)
+	v.voted, v.voteSentAt = true, max(v.voteSentAt, sent)
+	v.needsPrevious = msg.BothMajoritiesFor > 0
+	v.votesInCurrent = msg.ReadyRoster >= p.roster
+	if question.isHold && (!v.stored || sent >= v.storedSentAt) {
+		v.stored, v.storedSentAt, v.storedWrite = true, sent, max(v.storedWrite, question.write)
 	}
-	if c.phase == asking && b.RecFence > 0 && (b.RecFence > c.toldFence || b.RecFence == c.toldFence && b.Write > c.told.write) {
-		c.toldFence, c.told = b.RecFence, record{b.Write, b.Value}
+	if c.phase == requestingVotes && msg.RecordFence > 0 && (msg.RecordFence > c.learnedFence ||
+		msg.RecordFence == c.learnedFence && msg.Write > c.learnedRecord.write) {
+		c.learnedFence, c.learnedRecord = msg.RecordFence, record{msg.Write, msg.Value}
 	}
-	if v.young && !c.both && slices.ContainsFunc(c.voters, func(v voter) bool { return v.old }) {
-		c.both = true
-		p.ask(c, false, out)
+	if v.needsPrevious && !c.askPrevious && slices.ContainsFunc(c.voters, func(v voter) bool { return v.inPrevious }) {
+		c.askPrevious = true
+		p.sendRequest(c, false, out)
 	}
-	p.progress(c, out)
+	p.advanceClaim(c, out)
 }
 
-// progress moves a claim on if a majority has answered.
-func (p *Part) progress(c *claim, out *fleet.Out) {
-	valid := func(sent int64) bool { return p.now < sent+p.span() }
-	if c.phase == asking && p.count(c, func(v *voter) bool { return v.voted && valid(v.sent) }) {
-		// What was told becomes the holder's own, under its fence, before it acts. Guards against a write that a minority has, and
-		// that one later holder sees and the next one does not.
-		c.phase, c.flight, c.last = storing, c.told, c.told.write
-		if p.doctor.noRestore {
-			c.stored, c.flight = c.told, record{}
-			p.grant(c, out)
+// advanceClaim moves a claim to its next phase if a majority has answered.
+func (p *Part) advanceClaim(c *claim, out *fleet.Out) {
+	valid := func(sent int64) bool { return p.now < sent+p.voteDuration() }
+	if c.phase == requestingVotes && p.hasMajority(c, func(v *voter) bool { return v.voted && valid(v.voteSentAt) }) {
+		// Before it acts, the holder stores the learned record under its own fence. Otherwise a write that only a
+		// minority has stored could be seen by one later holder and missed by the next.
+		c.phase, c.inFlight, c.lastWrite = storingRecord, c.learnedRecord, c.learnedRecord.write
+		if p.overrides.noRecordRewrite {
+			c.stored, c.inFlight = c.learnedRecord, record{}
+			p.grantLease(c, out)
 		}
-		p.ask(c, true, out)
-	}
-	// A record is stored if a majority kept it in answer to questions that are younger than a lease: an elector that has
-	// forgotten since then asks the others only after that.
-	kept := p.count(c, func(v *voter) bool { return v.kept && valid(v.keptSent) && v.keptWrite >= c.flight.write })
+		p.sendRequest(c, true, out)
+	}
+	// A record counts as stored if a majority stored it in answer to requests younger than one lease: an elector that
+	// has lost its state since then asks the others only after that time.
+	recordStored := p.hasMajority(c, func(v *voter) bool {
+		return v.stored && valid(v.storedSentAt) &&
+			v.storedWrite >= c.inFlight.write
+	})
 	switch {
-	case c.phase == storing && kept:
-		c.stored = c.flight
-		p.grant(c, out)
+	case c.phase == storingRecord && recordStored:
+		c.stored = c.inFlight
+		p.grantLease(c, out)
 	case c.phase == holding:
-		if kept && c.flight.write > c.stored.write {
-			c.stored = c.flight
-			if c.after.write > c.flight.write {
-				c.flight = c.after
-				p.ask(c, true, out)
+		if recordStored && c.inFlight.write > c.stored.write {
+			c.stored = c.inFlight
+			if c.queued.write > c.inFlight.write {
+				c.inFlight = c.queued
+				p.sendRequest(c, true, out)
 			}
 		}
-		if until := p.votesUntil(c); until > c.until {
-			c.until = until
+		if until := p.votesExpireAt(c); until > c.expiresAt {
+			c.expiresAt = until
 			p.counts.renewals++
 			if p.cfg.Renewals {
-				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "renewed", Thing: c.thing, Fence: c.fence, Until: c.until})
+				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "renewed", Thing: c.resource,
+					Fence: c.fence, Until: c.expiresAt})
 			}
 		}
-		if p.renewed(c) {
-			c.next = max(c.full+p.cfg.Lease/3, p.now+1)
+		if p.majorityAnsweredLatest(c) {
+			c.nextAction = max(c.lastBroadcast+p.cfg.Lease/3, p.now+1)
 		}
 	}
 }
 
-func (p *Part) grant(c *claim, out *fleet.Out) {
-	until := p.votesUntil(c)
+func (p *Part) grantLease(c *claim, out *fleet.Out) {
+	until := p.votesExpireAt(c)
 	if until <= p.now {
-		return // too late: it is asked again
+		return // too late; the request is repeated
 	}
-	c.phase, c.until, c.tries, c.noted = holding, until, 0, 0
-	c.hint = hint{p.cfg.Self, c.fence}
+	c.phase, c.expiresAt, c.failedAttempts, c.notedReason = holding, until, 0, 0
+	c.holderHint = hint{p.cfg.Self, c.fence}
 	p.counts.grants++
-	p.retell = true
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "granted", Thing: c.thing, Fence: c.fence, Until: until,
-		N: int64(c.stored.write)})
-	c.next = max(c.full+p.cfg.Lease/3, p.now+1)
+	p.publishPending = true
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "granted", Thing: c.resource, Fence: c.fence,
+		Until: until,
+		N:     int64(c.stored.write)})
+	c.nextAction = max(c.lastBroadcast+p.cfg.Lease/3, p.now+1)
 }
 
-// refused takes note of why an elector does not vote, and gives an attempt up that can come to nothing.
-func (p *Part) refused(c *claim, v *voter, b body, out *fleet.Out) {
-	v.reason, v.holder, v.holderFence = b.Reason, b.Holder, b.High
-	switch b.Reason {
-	case Learning: // it says when it is done
-		v.blocked = 0
+// handleRefusal records why an elector does not vote, and abandons an attempt that can no longer succeed.
+func (p *Part) handleRefusal(c *claim, v *voter, msg body, out *fleet.Out) {
+	v.reason, v.holder, v.holderFence = msg.Reason, msg.Holder, msg.HighestFence
+	switch msg.Reason {
+	case Learning: // the elector sends a message when it has finished learning
+		v.blockedUntil = 0
 	case Taken, Waiting:
-		v.blocked = p.now + max(b.Left, 1)
+		v.blockedUntil = p.now + max(msg.RetryAfter, 1)
 	case LowFence:
-		v.blocked = p.now + p.cfg.Lease
+		v.blockedUntil = p.now + p.cfg.Lease
 	default:
-		v.blocked = p.now + p.cfg.Lease/4
+		v.blockedUntil = p.now + p.cfg.Lease/4
 	}
 	if c.phase == holding {
 		return
 	}
-	if p.possible(c) {
+	if p.majorityPossible(c) {
 		return
 	}
-	err := &RefusedError{Thing: c.thing, Elector: v.name, Reason: b.Reason, Left: b.Left}
-	if c.noted != b.Reason { // once for each reason in a row, and anew after a grant
-		c.noted = b.Reason
-		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "refused", Thing: c.thing, Fence: c.fence, N: int64(b.Reason),
+	err := &RefusedError{Resource: c.resource, Elector: v.name, Reason: msg.Reason, RetryAfter: msg.RetryAfter}
+	if c.notedReason != msg.Reason { // noted once per run of equal reasons, and again after a grant
+		c.notedReason = msg.Reason
+		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "refused", Thing: c.resource, Fence: c.fence,
+			N:    int64(msg.Reason),
 			Text: err.Error() + "; " + err.Advice()})
 	}
-	p.fail(c, out)
+	p.abandonAttempt(c, out)
 }
 
-// possible: those who have not refused are still enough.
-func (p *Part) possible(c *claim) bool {
-	return p.count(c, func(v *voter) bool { return p.now >= v.blocked })
+// majorityPossible reports whether the electors that have not refused can still form a majority.
+func (p *Part) majorityPossible(c *claim) bool {
+	return p.hasMajority(c, func(v *voter) bool { return p.now >= v.blockedUntil })
 }
 
-// fail gives an attempt up, its votes with it, and rests: until the votes for a holder run out, if a majority votes for one;
-// a short while drawn by chance, and longer from time to time, if claimants have taken the votes from each other.
-func (p *Part) fail(c *claim, out *fleet.Out) {
-	p.letGo(c, out)
-	c.phase = resting
-	c.tries++
-	rest := p.retry << min(c.tries, 5)
-	rest = min(rest, p.cfg.Lease/4)
-	c.next = p.now + rest/4 + p.jitter(rest)
-	var ends []int64
-	n, low := 0, false
+// abandonAttempt releases the votes of a failed attempt and backs off: until the votes for a holder expire if a
+// majority votes for one, else for a random delay that grows with the number of failed attempts, for claimants that
+// took votes from each other.
+func (p *Part) abandonAttempt(c *claim, out *fleet.Out) {
+	p.sendRelease(c, out)
+	c.phase = backingOff
+	c.failedAttempts++
+	delay := p.retryInterval << min(c.failedAttempts, 5)
+	delay = min(delay, p.cfg.Lease/4)
+	c.nextAction = p.now + delay/4 + p.jitter(delay)
+	var expiries []int64
+	total, lowFence := 0, false
 	holder := ""
 	for i := range c.voters {
 		v := &c.voters[i]
-		if !v.isNew {
+		if !v.inCurrent {
 			continue
 		}
-		n++
-		low = low || v.reason == LowFence && p.now < v.blocked
-		if p.now >= v.blocked || v.reason != Taken && v.reason != Waiting {
+		total++
+		lowFence = lowFence || v.reason == LowFence && p.now < v.blockedUntil
+		if p.now >= v.blockedUntil || v.reason != Taken && v.reason != Waiting {
 			continue
 		}
 		if v.reason == Taken {
@@ -512,43 +538,43 @@
 			}
 			holder = v.holder
 		}
-		ends = append(ends, v.blocked)
+		expiries = append(expiries, v.blockedUntil)
 	}
 	switch {
-	case len(ends) >= n/2+1:
-		// So many of these votes must end before the rest of the electors is a majority with them.
-		slices.Sort(ends)
-		c.tries = 1
-		c.next = max(ends[n/2-(n-len(ends))], p.now) + p.jitter(p.cfg.Lease/16)
-	case low && c.tries <= 1:
-		c.next = p.now // it knows better now
-	case low && c.tries <= 2:
-		c.next = p.now + p.jitter(p.retry)
+	case len(expiries) >= total/2+1:
+		// This many votes must expire before these electors and the remaining ones form a majority.
+		slices.Sort(expiries)
+		c.failedAttempts = 1
+		c.nextAction = max(expiries[total/2-(total-len(expiries))], p.now) + p.jitter(p.cfg.Lease/16)
+	case lowFence && c.failedAttempts <= 1:
+		c.nextAction = p.now // the refusal reported the highest fence; retry at once
+	case lowFence && c.failedAttempts <= 2:
+		c.nextAction = p.now + p.jitter(p.retryInterval)
 	}
 }
 
-// freed: an elector that refused may vote now.
-func (p *Part) freed(from string, b body, out *fleet.Out) {
-	c := p.claim(b.Thing)
+// handleFree handles the message of an elector that refused earlier and can vote now.
+func (p *Part) handleFree(from string, msg body, out *fleet.Out) {
+	c := p.findClaim(msg.Thing)
 	if c == nil {
 		return
 	}
-	c.high = max(c.high, b.Fence)
-	p.heardFence(b.Fence)
+	c.highestFence = max(c.highestFence, msg.Fence)
+	p.observeFence(msg.Fence)
 	i := slices.IndexFunc(c.voters, func(v voter) bool { return v.name == from })
 	if i < 0 {
 		return
 	}
 	v := &c.voters[i]
-	if c.phase == resting {
-		c.next = min(c.next, p.now+p.jitter(p.retry<<min(c.tries, 5)))
-		if c.next <= p.now {
-			p.claimTick(c, out)
+	if c.phase == backingOff {
+		c.nextAction = min(c.nextAction, p.now+p.jitter(p.retryInterval<<min(c.failedAttempts, 5)))
+		if c.nextAction <= p.now {
+			p.tickClaim(c, out)
 		}
 		return
 	}
-	v.blocked, v.reason = 0, 0
-	if (v.isNew || c.both) && !c.fresh(v) {
-		p.send(v.name, p.question(c), out)
+	v.blockedUntil, v.reason = 0, 0
+	if (v.inCurrent || c.askPrevious) && !c.answeredLatest(v) {
+		p.send(v.name, p.newRequest(c), out)
 	}
 }
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -10,382 +10,410 @@
 	"pewterwheel/internal/fleet"
 )
 
-// thing is what an elector keeps of one thing.
-type thing struct {
+// resource is an elector's state for one resource.
+type resource struct {
 	name string
-	// The highest fence voted for or learnt, whom it belongs to ("": not known), and whether that one has given it up.
-	fence     uint64
-	owner     string
-	ownerLife uint64
-	over      bool
-	// The vote that runs: for whom, and until when by this clock. It is not the fence's: a fence may be learnt from others
-	// while a vote for a lower one runs.
-	voted     string
-	votedLife uint64
-	until     int64
-	// The record: under which fence it was stored, the write's number, its bytes.
-	recFence, write uint64
-	value           []byte
+	// The highest fence voted for or learned, its owner (empty: unknown), and whether the owner has released it.
+	fence            uint64
+	fenceOwner       string
+	ownerIncarnation uint64
+	released         bool
+	// The current vote: for which process, and until when by the local clock. It may be for a lower fence than the
+	// highest, because a higher fence can be learned from other electors while the vote is valid.
+	votedFor         string
+	votedIncarnation uint64
+	voteExpiresAt    int64
+	// The record: the fence under which it was stored, the number of the write, its bytes.
+	recordFence, write uint64
+	value              []byte
 
-	ready   uint64 // the roster under which this process may vote on it; 0: it has not learnt it in this life
-	young   int64  // until when votes say that the old majority is needed, too
-	gen     uint64
-	used    int64
-	waiters []string // who was refused and is told when it is free
-	// What it learns from others, while it does.
-	learning bool
-	round    uint64
-	next     int64
-	pause    int64
-	began    int64
-	peers    []peer
-	forgot   []uint64 // which lives had forgotten it at the moment from which this process counts; see forgetter
+	// Roster under which this process may vote on the resource; 0: not learned since this process started.
+	readyRoster         uint64
+	bothMajoritiesUntil int64 // until when votes report that a majority of the previous electors is required as well
+	generation          uint64
+	lastUsed            int64
+	waiters             []string // refused claimants, to be notified when the resource is free
+	// The state of learning from other electors.
+	learning      bool
+	learnRound    uint64
+	nextLearnAt   int64
+	learnInterval int64
+	learnStart    int64
+	peers         []peer
+	// Process states that had lost the resource at the moment from which this process counts; see forgottenStateID.
+	forgottenStates []uint64
 }
 
-// forgetter names one life of a process in which it has not forgotten the thing again.
-func forgetter(name string, life, gen uint64) uint64 {
-	return xxhash.Sum64String(name + "\x00" + strconv.FormatUint(life, 36) + "\x00" + strconv.FormatUint(gen, 36))
+// forgottenStateID identifies the state of a process between two losses of a resource's state: its name, incarnation
+// and generation.
+func forgottenStateID(name string, incarnation, generation uint64) uint64 {
+	return xxhash.Sum64String(name + "\x00" + strconv.FormatUint(incarnation,
+		36) + "\x00" + strconv.FormatUint(generation, 36))
 }
 
-// maxWaiters bounds who is told that a thing is free.
+// maxWaiters limits how many claimants are notified that a resource is free.
 const maxWaiters = 8
 
-// peer is what another elector last answered to a question of this life.
+// peer is the last answer of another elector to a learn request of this process.
 type peer struct {
-	name       string
-	isNew, old bool   // of which electors it is
-	round      uint64 // to which question it answered last; 0: none
-	life, gen  uint64
-	ready      uint64
-	steady     uint64 // the round of the answer, if it was not ready in that round and an earlier one, in one life
-	young      int64
+	name                    string
+	inCurrent, inPrevious   bool   // whether it is an elector in the current and in the previous roster
+	round                   uint64 // learn round of its last answer; 0: none
+	incarnation, generation uint64
+	readyRoster             uint64
+	// Learn round of the answer, if it was not ready in that round and in an earlier one of the same incarnation and
+	// generation
+	unreadyRound        uint64
+	bothMajoritiesUntil int64
 }
 
-// target is the roster under which this process has to have learnt a thing before it votes on it; 0: it is no elector of it.
-func (p *Part) target(name string) uint64 {
-	if slices.Contains(p.electors(name), p.cfg.Self) {
+// requiredRoster returns the roster under which this process must have learned a resource before it votes on it; 0: it
+// is not an elector of the resource.
+func (p *Part) requiredRoster(resourceName string) uint64 {
+	if slices.Contains(p.electors(resourceName), p.cfg.Self) {
 		return p.roster
 	}
-	if p.old != nil && slices.Contains(p.oldElectors(name), p.cfg.Self) {
+	if p.previousNames != nil && slices.Contains(p.previousElectors(resourceName), p.cfg.Self) {
 		return p.roster - 1
 	}
 	return 0
 }
 
-// keep returns what is kept of a thing, and makes it if there is room; nil: there is none.
-func (p *Part) keep(name string) *thing {
-	if t := p.things[name]; t != nil {
-		return t
-	}
-	if len(p.things) >= p.cfg.MaxThings {
-		var oldest *thing
-		for _, t := range p.things {
-			if t.until > p.now || t.learning || t.used+p.cfg.Keep > p.now {
+// ensureResource returns the state of a resource and creates it if there is room; nil: there is none.
+func (p *Part) ensureResource(resourceName string) *resource {
+	if res := p.resources[resourceName]; res != nil {
+		return res
+	}
+	if len(p.resources) >= p.cfg.MaxResources {
+		var oldest *resource
+		for _, res := range p.resources {
+			if res.voteExpiresAt > p.now || res.learning || res.lastUsed+p.cfg.Keep > p.now {
 				continue
 			}
-			if oldest == nil || t.used < oldest.used || t.used == oldest.used && t.name < oldest.name {
-				oldest = t
+			if oldest == nil || res.lastUsed < oldest.lastUsed || res.lastUsed == oldest.lastUsed &&
+				res.name < oldest.name {
+				oldest = res
 			}
 		}
 		if oldest == nil {
 			return nil
 		}
-		// Forgotten is as after a restart: it is learnt from others before the next vote, and others see by gen that it was.
-		p.heardFence(oldest.fence)
-		p.floor = max(p.floor, oldest.fence)
-		delete(p.things, oldest.name)
-		p.gen++
+		// Evicted state is treated as after a restart: it is learned from the other electors before the next vote, and
+		// they detect the loss by the generation.
+		p.observeFence(oldest.fence)
+		p.fenceFloor = max(p.fenceFloor, oldest.fence)
+		delete(p.resources, oldest.name)
+		p.generation++
 		p.counts.forgotten++
 	}
-	t := &thing{name: name, gen: p.gen, used: p.now}
-	p.things[name] = t
-	return t
+	res := &resource{name: resourceName, generation: p.generation, lastUsed: p.now}
+	p.resources[resourceName] = res
+	return res
 }
 
-func (t *thing) waits(who string) {
-	if len(t.waiters) < maxWaiters && !slices.Contains(t.waiters, who) {
-		t.waiters = append(t.waiters, who)
+func (res *resource) addWaiter(who string) {
+	if len(res.waiters) < maxWaiters && !slices.Contains(res.waiters, who) {
+		res.waiters = append(res.waiters, who)
 	}
 }
 
-// asked judges a claim or the renewal of one.
-func (p *Part) asked(from string, b body, out *fleet.Out) {
-	p.heardFence(b.Fence)
-	p.hearRoster(b.Roster)
-	refuse := func(t *thing, why Reason, left int64) {
+// handleClaim decides on a claim or its renewal.
+func (p *Part) handleClaim(from string, msg body, out *fleet.Out) {
+	p.observeFence(msg.Fence)
+	p.observeRoster(msg.Roster)
+	refuse := func(res *resource, why Reason, left int64) {
 		p.counts.refusals++
-		r := body{Type: typRefuse, Thing: b.Thing, Roster: p.seen, Fence: b.Fence, Seq: b.Seq, Reason: why, Left: min(max(left, 0), maxSpan)}
-		if t != nil {
-			t.waits(from)
-			r.High, r.Holder, r.HolderLife, r.Over = t.fence, t.owner, t.ownerLife, t.over
+		reply := body{Type: typRefuse, Thing: msg.Thing, Roster: p.highestRoster, Fence: msg.Fence, Seq: msg.Seq,
+			Reason: why, RetryAfter: min(max(left, 0), maxDuration)}
+		if res != nil {
+			res.addWaiter(from)
+			reply.HighestFence, reply.Holder, reply.HolderIncarnation, reply.Released = res.fence, res.fenceOwner,
+				res.ownerIncarnation, res.released
 			if why == Taken {
-				r.Holder, r.HolderLife = t.voted, t.votedLife
+				reply.Holder, reply.HolderIncarnation = res.votedFor, res.votedIncarnation
 			}
 		}
-		p.send(from, r, out)
+		p.send(from, reply, out)
 	}
-	if b.Roster > p.roster+1 {
+	if msg.Roster > p.roster+1 {
 		refuse(nil, NewerRoster, 0)
 		return
 	}
-	// Guards against two rosters' majorities that have no elector in common.
-	if b.Roster < p.seen && !p.doctor.noRosterNumber {
+	// Otherwise majorities of two rosters could have no elector in common.
+	if msg.Roster < p.highestRoster && !p.overrides.noRosterCheck {
 		refuse(nil, OlderRoster, 0)
 		return
 	}
-	target := p.target(b.Thing)
-	if target == 0 || target < p.roster && b.Roster > p.roster {
+	required := p.requiredRoster(msg.Thing)
+	if required == 0 || required < p.roster && msg.Roster > p.roster {
 		refuse(nil, NoElector, 0)
 		return
 	}
-	t := p.keep(b.Thing)
-	if t == nil {
+	res := p.ensureResource(msg.Thing)
+	if res == nil {
 		refuse(nil, Full, 0)
 		return
 	}
-	t.used = p.now
-	// Guards against a vote of the life before, which this one has forgotten.
+	res.lastUsed = p.now
+	// A vote cast before the restart may still be valid, and this process has no memory of it.
 	if p.now < p.voteFrom {
-		p.learn(t)
-		refuse(t, Waiting, p.voteFrom-p.now)
+		p.startLearning(res)
+		refuse(res, Waiting, p.voteFrom-p.now)
 		return
 	}
-	if t.ready < target && p.doctor.noRecovery {
-		t.ready = target
+	if res.readyRoster < required && p.overrides.noRecovery {
+		res.readyRoster = required
 	}
-	if t.ready < target {
-		p.learn(t)
-		p.learnTick(t, out)
+	if res.readyRoster < required {
+		p.startLearning(res)
+		p.tickLearning(res, out)
 	}
-	if t.ready < target {
-		refuse(t, Learning, 0)
+	if res.readyRoster < required {
+		refuse(res, Learning, 0)
 		return
 	}
-	if t.until > p.now && (t.voted != from || t.votedLife != b.Life) && !p.doctor.voteOver {
-		refuse(t, Taken, t.until-p.now)
+	if res.voteExpiresAt > p.now && (res.votedFor != from || res.votedIncarnation != msg.Incarnation) &&
+		!p.overrides.voteTwice {
+		refuse(res, Taken, res.voteExpiresAt-p.now)
 		return
 	}
-	same := b.Fence == t.fence && t.owner == from && t.ownerLife == b.Life && !t.over
-	if b.Fence <= t.fence && !same && !p.doctor.noFence {
-		refuse(t, LowFence, 0)
+	same := msg.Fence == res.fence && res.fenceOwner == from && res.ownerIncarnation == msg.Incarnation && !res.released
+	if msg.Fence <= res.fence && !same && !p.overrides.noFenceCheck {
+		refuse(res, LowFence, 0)
 		return
 	}
-	t.fence, t.owner, t.ownerLife, t.over = b.Fence, from, b.Life, false
-	t.voted, t.votedLife, t.until = from, b.Life, p.now+p.cfg.Lease
-	t.waiters = slices.DeleteFunc(t.waiters, func(s string) bool { return s == from })
-	if b.Type == typHold && (b.Write > 0 || !p.doctor.noRestore) {
-		t.store(b.Fence, b.Write, b.Value)
+	res.fence, res.fenceOwner, res.ownerIncarnation, res.released = msg.Fence, from, msg.Incarnation, false
+	res.votedFor, res.votedIncarnation, res.voteExpiresAt = from, msg.Incarnation, p.now+p.cfg.Lease
+	res.waiters = slices.DeleteFunc(res.waiters, func(s string) bool { return s == from })
+	if msg.Type == typHold && (msg.Write > 0 || !p.overrides.noRecordRewrite) {
+		res.storeRecord(msg.Fence, msg.Write, msg.Value)
 	}
 	p.counts.votes++
-	v := body{Type: typVote, Thing: b.Thing, Roster: p.seen, Fence: b.Fence, Seq: b.Seq, Ready: t.ready,
-		Young: min(max(t.young-p.now, 0), maxSpan)}
-	if b.Type == typClaim {
-		v.RecFence, v.Write, v.Value = t.recFence, t.write, t.value
+	vote := body{Type: typVote, Thing: msg.Thing, Roster: p.highestRoster, Fence: msg.Fence, Seq: msg.Seq,
+		ReadyRoster:       res.readyRoster,
+		BothMajoritiesFor: min(max(res.bothMajoritiesUntil-p.now, 0), maxDuration)}
+	if msg.Type == typClaim {
+		vote.RecordFence, vote.Write, vote.Value = res.recordFence, res.write, res.value
 	}
-	p.send(from, v, out)
+	p.send(from, vote, out)
 }
 
-// store keeps a record if it is newer than the one that is kept.
-func (t *thing) store(fence, write uint64, value []byte) {
-	if fence > t.recFence || fence == t.recFence && write > t.write {
-		t.recFence, t.write, t.value = fence, write, bytes.Clone(value)
+// storeRecord stores a record if it is newer than the stored one.
+func (res *resource) storeRecord(fence, write uint64, value []byte) {
+	if fence > res.recordFence || fence == res.recordFence && write > res.write {
+		res.recordFence, res.write, res.value = fence, write, bytes.Clone(value)
 	}
 }
 
-// givenUp ends the vote of who gives a fence up, and sees that a late claim under it gets none.
-func (p *Part) givenUp(from string, b body, out *fleet.Out) {
-	t := p.things[b.Thing]
-	if t == nil {
+// handleRelease ends the vote for a claimant that gives up its fence, and makes sure that a delayed claim under that
+// fence gets no vote.
+func (p *Part) handleRelease(from string, msg body, out *fleet.Out) {
+	res := p.resources[msg.Thing]
+	if res == nil {
 		return
 	}
-	mine := t.voted == from && t.votedLife == b.Life
+	ownVote := res.votedFor == from && res.votedIncarnation == msg.Incarnation
 	switch {
-	case b.Fence == t.fence && t.owner == from && t.ownerLife == b.Life:
-		t.over = true
-	case b.Fence > t.fence && t.ready > 0 && (mine || t.until <= p.now):
-		t.fence, t.owner, t.ownerLife, t.over = b.Fence, from, b.Life, true
-	case b.Fence < t.fence:
-		return // a later claim of the same process has the vote, or another's
+	case msg.Fence == res.fence && res.fenceOwner == from && res.ownerIncarnation == msg.Incarnation:
+		res.released = true
+	case msg.Fence > res.fence && res.readyRoster > 0 && (ownVote || res.voteExpiresAt <= p.now):
+		res.fence, res.fenceOwner, res.ownerIncarnation, res.released = msg.Fence, from, msg.Incarnation, true
+	case msg.Fence < res.fence:
+		return // a later claim of the same process, or another process, has the vote
 	}
-	if mine && t.fence <= b.Fence {
-		t.until = 0
-		p.free(t, out)
+	if ownVote && res.fence <= msg.Fence {
+		res.voteExpiresAt = 0
+		p.notifyWaiters(res, out)
 	}
 }
 
-// free tells who was refused that it may ask again.
-func (p *Part) free(t *thing, out *fleet.Out) {
-	for _, w := range t.waiters {
-		p.send(w, body{Type: typFree, Thing: t.name, Fence: t.fence}, out)
+// notifyWaiters tells refused claimants that they can ask again.
+func (p *Part) notifyWaiters(res *resource, out *fleet.Out) {
+	for _, w := range res.waiters {
+		p.send(w, body{Type: typFree, Thing: res.name, Fence: res.fence}, out)
 	}
-	t.waiters = nil
+	res.waiters = nil
 }
 
-// learn begins to ask the other electors what they know of a thing.
-func (p *Part) learn(t *thing) {
-	if t.learning {
+// startLearning starts asking the other electors for their state of a resource.
+func (p *Part) startLearning(res *resource) {
+	if res.learning {
 		return
 	}
-	t.learning, t.round, t.pause, t.began = true, 0, p.retry, p.now
-	t.next = max(p.now, p.voteFrom)
-	t.peers = t.peers[:0]
+	res.learning, res.learnRound, res.learnInterval, res.learnStart = true, 0, p.retryInterval, p.now
+	res.nextLearnAt = max(p.now, p.voteFrom)
+	res.peers = res.peers[:0]
 	add := func(name string, isNew bool) {
 		if name == p.cfg.Self {
 			return
 		}
-		for i := range t.peers {
-			if t.peers[i].name == name {
-				t.peers[i].isNew, t.peers[i].old = t.peers[i].isNew || isNew, t.peers[i].old || !isNew
+		for i := range res.peers {
+			if res.peers[i].name == name {
+				res.peers[i].inCurrent, res.peers[i].inPrevious = res.peers[i].inCurrent || isNew,
+					res.peers[i].inPrevious || !isNew
 				return
 			}
 		}
-		t.peers = append(t.peers, peer{name: name, isNew: isNew, old: !isNew})
+		res.peers = append(res.peers, peer{name: name, inCurrent: isNew, inPrevious: !isNew})
 	}
-	for _, name := range p.electors(t.name) {
+	for _, name := range p.electors(res.name) {
 		add(name, true)
 	}
-	for _, name := range p.oldElectors(t.name) {
+	for _, name := range p.previousElectors(res.name) {
 		add(name, false)
 	}
-	p.busy = append(p.busy, t)
+	p.learning = append(p.learning, res)
 }
 
-func (p *Part) unlearn(t *thing) {
-	t.learning, t.peers = false, nil
-	p.busy = slices.DeleteFunc(p.busy, func(o *thing) bool { return o == t })
+func (p *Part) stopLearning(res *resource) {
+	res.learning, res.peers = false, nil
+	p.learning = slices.DeleteFunc(p.learning, func(o *resource) bool { return o == res })
 }
 
-// learnTick asks anew, all of them in a new round; the answers to earlier rounds count no more but as what came before.
-func (p *Part) learnTick(t *thing, out *fleet.Out) {
-	if !t.learning || p.now < t.next {
+// tickLearning starts a new round and asks all peers again. Answers to earlier rounds then only serve to detect peers
+// that stay unready.
+func (p *Part) tickLearning(res *resource, out *fleet.Out) {
+	if !res.learning || p.now < res.nextLearnAt {
 		return
 	}
-	target := p.target(t.name)
-	if t.ready == 0 && (target == 0 || p.now-t.began > 4*p.wait() && p.now-t.used > 4*p.wait()) {
-		p.unlearn(t) // nobody wants it any more, and nothing is known here that must pass on
+	required := p.requiredRoster(res.name)
+	if res.readyRoster == 0 && (required == 0 || p.now-res.learnStart > 4*p.leaseWait() &&
+		p.now-res.lastUsed > 4*p.leaseWait()) {
+		p.stopLearning(res) // no longer wanted, and there is no local state to transfer
 		return
 	}
-	t.round++
-	t.next = p.now + t.pause + p.jitter(t.pause)
-	t.pause = min(2*t.pause, p.cfg.Lease/4)
-	if t.ready > 0 && t.round > 6 {
-		t.pause = 4 * p.cfg.Lease // nobody waits for it; it need only pass on at some time
+	res.learnRound++
+	res.nextLearnAt = p.now + res.learnInterval + p.jitter(res.learnInterval)
+	res.learnInterval = min(2*res.learnInterval, p.cfg.Lease/4)
+	if res.readyRoster > 0 && res.learnRound > 6 {
+		// Not urgent: no claimant waits for it, the state only has to be transferred eventually
+		res.learnInterval = 4 * p.cfg.Lease
 	}
-	for i := range t.peers {
-		p.send(t.peers[i].name, body{Type: typLearn, Thing: t.name, Roster: p.roster, Life: p.cfg.Incarnation, Seq: t.round}, out)
+	for i := range res.peers {
+		p.send(res.peers[i].name, body{Type: typLearn, Thing: res.name, Roster: p.roster,
+			Incarnation: p.cfg.Incarnation, Seq: res.learnRound}, out)
 	}
-	p.learntEnough(t, out)
+	p.checkLearned(res, out)
 }
 
-// learnAsked tells another elector what is known here, and by that seals it: from now on no claim under the roster before
-// gets a vote here, so that what the other learns from a majority stays all that there is.
-func (p *Part) learnAsked(from string, b body, out *fleet.Out) {
-	if b.Roster > p.roster+1 {
+// handleLearn answers another elector's learn request with the local state. It also stops voting under the previous
+// roster, so that the state which the other elector learns from a majority stays complete.
+func (p *Part) handleLearn(from string, msg body, out *fleet.Out) {
+	if msg.Roster > p.roster+1 {
 		return
 	}
-	p.hearRoster(b.Roster)
-	k := body{Type: typKnown, Thing: b.Thing, Roster: p.seen, Life: p.cfg.Incarnation, Gen: p.gen, Seq: b.Seq}
-	if t := p.things[b.Thing]; t != nil {
-		k.Gen, k.Fence, k.Holder, k.HolderLife, k.Over = t.gen, t.fence, t.owner, t.ownerLife, t.over
-		k.RecFence, k.Write, k.Value = t.recFence, t.write, t.value
-		k.Forgot = t.forgot
-		k.Ready, k.Young = t.ready, min(max(t.young-p.now, 0), maxSpan)
-	}
-	p.send(from, k, out)
-	// Who asks may have learnt of a thing that this elector has yet to hear of.
-	if p.now >= p.voteFrom && b.Roster == p.roster && p.target(b.Thing) == p.roster {
-		if t := p.things[b.Thing]; t == nil || t.ready < p.roster {
-			if t = p.keep(b.Thing); t != nil && !t.learning {
-				t.used = p.now
-				p.learn(t)
+	p.observeRoster(msg.Roster)
+	reply := body{Type: typKnown, Thing: msg.Thing, Roster: p.highestRoster, Incarnation: p.cfg.Incarnation,
+		Generation: p.generation, Seq: msg.Seq}
+	if res := p.resources[msg.Thing]; res != nil {
+		reply.Generation, reply.Fence, reply.Holder, reply.HolderIncarnation, reply.Released = res.generation,
+			res.fence, res.fenceOwner, res.ownerIncarnation, res.released
+		reply.RecordFence, reply.Write, reply.Value = res.recordFence, res.write, res.value
+		reply.Forgot = res.forgottenStates
+		reply.ReadyRoster, reply.BothMajoritiesFor = res.readyRoster,
+			min(max(res.bothMajoritiesUntil-p.now, 0), maxDuration)
+	}
+	p.send(from, reply, out)
+	// The requester may have learned of a resource that this elector does not know yet.
+	if p.now >= p.voteFrom && msg.Roster == p.roster && p.requiredRoster(msg.Thing) == p.roster {
+		if res := p.resources[msg.Thing]; res == nil || res.readyRoster < p.roster {
+			if res = p.ensureResource(msg.Thing); res != nil && !res.learning {
+				res.lastUsed = p.now
+				p.startLearning(res)
 			}
 		}
 	}
 }
 
-// known takes another elector's answer.
-func (p *Part) known(from string, b body, out *fleet.Out) {
-	p.heardFence(b.Fence)
-	p.hearRoster(b.Roster)
-	t := p.things[b.Thing]
-	if t == nil || !t.learning || b.Seq != t.round {
+// handleKnown handles another elector's answer to a learn request.
+func (p *Part) handleKnown(from string, msg body, out *fleet.Out) {
+	p.observeFence(msg.Fence)
+	p.observeRoster(msg.Roster)
+	res := p.resources[msg.Thing]
+	if res == nil || !res.learning || msg.Seq != res.learnRound {
 		return
 	}
-	i := slices.IndexFunc(t.peers, func(q peer) bool { return q.name == from })
+	i := slices.IndexFunc(res.peers, func(sender peer) bool { return sender.name == from })
 	if i < 0 {
 		return
 	}
-	t.merge(b)
-	q := &t.peers[i]
+	res.merge(msg)
+	q := &res.peers[i]
 	before := *q
-	*q = peer{name: q.name, isNew: q.isNew, old: q.old, round: t.round, life: b.Life, gen: b.Gen, ready: b.Ready, young: q.young}
-	if b.Young > 0 {
-		q.young = max(q.young, p.now+b.Young+p.margin)
-	}
-	// Twice the same life that is not ready, in two rounds: so it was at the moment when the later one began.
-	if before.round > 0 && (before.round < t.round || before.steady == t.round) && before.life == b.Life && before.gen == b.Gen {
-		q.steady = t.round
-	}
-	// The other one counts from a moment at which a majority had forgotten the thing, this life among them. So may this one:
-	// until now it has voted for nothing and stored nothing. Guards against electors that each lack a majority of the same kind.
-	if target := p.target(t.name); target > 0 && t.ready < target && b.Ready >= target &&
-		slices.Contains(b.Forgot, forgetter(p.cfg.Self, p.cfg.Incarnation, t.gen)) {
-		t.forgot = b.Forgot
-		p.learntAll(t, target, q.young, out)
+	*q = peer{name: q.name, inCurrent: q.inCurrent, inPrevious: q.inPrevious, round: res.learnRound,
+		incarnation: msg.Incarnation, generation: msg.Generation, readyRoster: msg.ReadyRoster,
+		bothMajoritiesUntil: q.bothMajoritiesUntil}
+	if msg.BothMajoritiesFor > 0 {
+		q.bothMajoritiesUntil = max(q.bothMajoritiesUntil, p.now+msg.BothMajoritiesFor+p.driftMargin)
+	}
+	// If the same incarnation and generation is unready in two rounds, it was unready when the later round began.
+	if before.round > 0 && (before.round < res.learnRound || before.unreadyRound == res.learnRound) &&
+		before.incarnation == msg.Incarnation && before.generation == msg.Generation {
+		q.unreadyRound = res.learnRound
+	}
+	// The other elector counts from a moment at which a majority, including this incarnation, had lost the resource.
+	// This process may count from it too, since it has neither voted nor stored anything until now. Otherwise electors
+	// could block each other, each lacking a majority in the same state.
+	if target := p.requiredRoster(res.name); target > 0 && res.readyRoster < target && msg.ReadyRoster >= target &&
+		slices.Contains(msg.Forgot, forgottenStateID(p.cfg.Self, p.cfg.Incarnation, res.generation)) {
+		res.forgottenStates = msg.Forgot
+		p.finishLearning(res, target, q.bothMajoritiesUntil, out)
 		return
 	}
-	p.learntEnough(t, out)
+	p.checkLearned(res, out)
 }
 
-// learntAll ends the learning: from now on this process votes on the thing.
-func (p *Part) learntAll(t *thing, target uint64, young int64, out *fleet.Out) {
-	t.ready, t.young = target, max(t.young, young)
+// finishLearning ends learning; from now on this process votes on the resource.
+func (p *Part) finishLearning(res *resource, required uint64, young int64, out *fleet.Out) {
+	res.readyRoster, res.bothMajoritiesUntil = required, max(res.bothMajoritiesUntil, young)
 	p.counts.learnt++
-	p.unlearn(t)
-	p.free(t, out)
+	p.stopLearning(res)
+	p.notifyWaiters(res, out)
 }
 
-// merge takes over what is higher. A fence that two claim to own belongs to nobody: it is only a number that is used up.
-func (t *thing) merge(b body) {
+// merge adopts higher fences and newer records. A fence with two claimed owners belongs to neither and only counts as
+// used.
+func (res *resource) merge(msg body) {
 	switch {
-	case b.Fence > t.fence:
-		t.fence, t.owner, t.ownerLife, t.over = b.Fence, b.Holder, b.HolderLife, b.Over
-	case b.Fence == t.fence && (b.Holder != t.owner || b.HolderLife != t.ownerLife):
-		t.owner, t.ownerLife = "", 0
-	case b.Fence == t.fence:
-		t.over = t.over || b.Over
+	case msg.Fence > res.fence:
+		res.fence, res.fenceOwner, res.ownerIncarnation, res.released = msg.Fence, msg.Holder, msg.HolderIncarnation,
+			msg.Released
+	case msg.Fence == res.fence && (msg.Holder != res.fenceOwner || msg.HolderIncarnation != res.ownerIncarnation):
+		res.fenceOwner, res.ownerIncarnation = "", 0
+	case msg.Fence == res.fence:
+		res.released = res.released || msg.Released
 	}
-	if b.RecFence > 0 {
-		t.store(b.RecFence, b.Write, b.Value)
+	if msg.RecordFence > 0 {
+		res.storeRecord(msg.RecordFence, msg.Write, msg.Value)
 	}
 }
 
-// learntEnough decides whether what was learnt is all that there is, and asks at once anew where that would tell.
-//
-// It is, if a majority of the thing's other electors may vote under the roster: whatever this process voted for or stored in a
-// life before has been voted for or stored by one of them. Or if a majority, this one included, has forgotten it at one
-// moment; then, if the roster before is known, a majority of its electors must tell what they know, or have forgotten it, too.
-func (p *Part) learntEnough(t *thing, out *fleet.Out) {
-	target := p.target(t.name)
-	electors := p.electors(t.name)
-	if t.round == 0 {
+// checkLearned decides whether the learned state is complete, and starts another round at once if that could decide it.
+// The state is complete if a majority of the resource's other electors may vote under the roster: whatever this process
+// voted for or stored before its restart was also voted for or stored by one of them. It is also complete if a
+// majority, including this process, had lost the state at one moment; then, if the previous roster is known, a majority
+// of its electors must report their state or have lost it too.
+func (p *Part) checkLearned(res *resource, out *fleet.Out) {
+	required := p.requiredRoster(res.name)
+	electors := p.electors(res.name)
+	if res.learnRound == 0 {
 		return
 	}
-	transfer := target == p.roster && p.old != nil
-	if target < p.roster {
-		electors = p.oldElectors(t.name)
+	transfer := required == p.roster && p.previousNames != nil
+	if required < p.roster {
+		electors = p.previousElectors(res.name)
 	}
-	count := func(set []string, need uint64) (ready, steady, fresh int, young int64) {
-		for i := range t.peers {
-			q := &t.peers[i]
-			if q.round != t.round || !slices.Contains(set, q.name) {
+	count := func(set []string, needed uint64) (ready, steady, fresh int, young int64) {
+		for i := range res.peers {
+			q := &res.peers[i]
+			if q.round != res.learnRound || !slices.Contains(set, q.name) {
 				continue
 			}
-			young = max(young, q.young)
+			young = max(young, q.bothMajoritiesUntil)
 			switch {
-			case q.ready >= need:
+			case q.readyRoster >= needed:
 				ready++
-			case q.steady == t.round:
+			case q.unreadyRound == res.learnRound:
 				steady++
 			default:
 				fresh++
@@ -393,65 +421,69 @@
 		}
 		return ready, steady, fresh, young
 	}
-	if t.ready >= target || target == 0 {
-		// It need learn nothing; it asks for the others to learn, and stops when a majority of the electors has.
-		if ready, _, _, _ := count(p.electors(t.name), p.roster); ready >= len(p.electors(t.name))/2+1 {
-			p.unlearn(t)
+	if res.readyRoster >= required || required == 0 {
+		// Already learned: it only asks so that the others learn, and stops when a majority of the electors has.
+		if ready, _, _, _ := count(p.electors(res.name), p.roster); ready >= len(p.electors(res.name))/2+1 {
+			p.stopLearning(res)
 		}
 		return
 	}
-	done := func(young int64, anew, floor bool) {
-		// Guards against a fence that goes back after all have forgotten: the floor is above all that were given before.
-		if floor && p.floor > t.fence {
-			t.fence, t.owner, t.ownerLife, t.over = p.floor, "", 0, false
+	finish := func(young int64, newState, useFloor bool) {
+		// After all electors have lost their state, the fence must not go back: the floor is not below any fence
+		// granted before.
+		if useFloor && p.fenceFloor > res.fence {
+			res.fence, res.fenceOwner, res.ownerIncarnation, res.released = p.fenceFloor, "", 0, false
 		}
-		if t.forgot = nil; anew {
-			t.forgot = append(t.forgot, forgetter(p.cfg.Self, p.cfg.Incarnation, t.gen))
-			for i := range t.peers {
-				if q := &t.peers[i]; q.steady == t.round && slices.Contains(electors, q.name) && len(t.forgot) < maxForgot {
-					t.forgot = append(t.forgot, forgetter(q.name, q.life, q.gen))
+		if res.forgottenStates = nil; newState {
+			res.forgottenStates = append(res.forgottenStates,
+				forgottenStateID(p.cfg.Self, p.cfg.Incarnation, res.generation))
+			for i := range res.peers {
+				if q := &res.peers[i]; q.unreadyRound == res.learnRound && slices.Contains(electors, q.name) &&
+					len(res.forgottenStates) < maxForgottenStates {
+					res.forgottenStates = append(res.forgottenStates,
+						forgottenStateID(q.name, q.incarnation, q.generation))
 				}
 			}
 		}
-		p.learntAll(t, target, young, out)
+		p.finishLearning(res, required, young, out)
 	}
-	ready, steady, fresh, young := count(electors, target)
+	ready, steady, fresh, young := count(electors, required)
 	if ready >= (len(electors)-1)/2+1 && ready <= len(electors)-1 {
-		done(young, false, false)
+		finish(young, false, false)
 		return
 	}
-	need := len(electors) / 2 // with this one, which has forgotten it, too, they are a majority
-	again := false
+	need := len(electors) / 2 // together with this process, which has lost the state too, they are a majority
+	anotherRound := false
 	switch {
 	case steady < need:
-		again = steady+fresh >= need
+		anotherRound = steady+fresh >= need
 	case !transfer:
-		done(young, true, true)
+		finish(young, true, true)
 		return
 	default:
-		before := p.oldElectors(t.name)
-		had, lost, fresh, _ := count(before, p.roster-1)
-		wants := len(before)/2 + 1
-		if slices.Contains(before, p.cfg.Self) {
-			if t.ready >= p.roster-1 {
-				had++
+		previous := p.previousElectors(res.name)
+		previousReady, previousLost, fresh, _ := count(previous, p.roster-1)
+		previousNeeded := len(previous)/2 + 1
+		if slices.Contains(previous, p.cfg.Self) {
+			if res.readyRoster >= p.roster-1 {
+				previousReady++
 			} else {
-				lost++
-				wants = (len(before)-1)/2 + 1
+				previousLost++
+				previousNeeded = (len(previous)-1)/2 + 1
 			}
 		}
 		switch {
-		case had >= wants:
-			done(p.now+p.wait(), true, false)
+		case previousReady >= previousNeeded:
+			finish(p.now+p.leaseWait(), true, false)
 			return
-		case lost >= len(before)/2+1:
-			done(p.now+p.wait(), true, true)
+		case previousLost >= len(previous)/2+1:
+			finish(p.now+p.leaseWait(), true, true)
 			return
 		}
-		again = lost+fresh >= len(before)/2+1
+		anotherRound = previousLost+fresh >= len(previous)/2+1
 	}
-	if again {
-		t.next = p.now // all that a further round needs is there
-		p.learnTick(t, out)
+	if anotherRound {
+		res.nextLearnAt = p.now // all prerequisites of a further round are met
+		p.tickLearning(res, out)
 	}
 }
--- a/internal/lease/errors.go
+++ b/internal/lease/errors.go
@@ -6,137 +6,146 @@
 	"pewterwheel/internal/advice"
 )
 
-// Errors are all errors of this package, for the operators' page.
-var Errors = []advice.Advised{&FenceError{}, &RosterSkipError{}, &RosterYoungError{}, &RosterEmptyError{}, &NotHeldError{},
+// Errors lists all errors of this package, for the operators' page.
+var Errors = []advice.Advised{&FenceError{}, &RosterSkipError{}, &RosterYoungError{}, &RosterEmptyError{},
+	&NotHeldError{},
 	&RecordSizeError{}, &ThingNameError{}, &BodyError{}, &RefusedError{}}
 
-// FenceError refuses whoever acts under a lower number than one that has been seen.
+// FenceError refuses an action under a fence lower than one already seen.
 type FenceError struct {
-	Thing      string
-	Fence, Has uint64
+	Resource       string
+	Fence, Highest uint64
 }
 
 func (e *FenceError) Error() string {
-	return fmt.Sprintf("%s: fence %d is lower than %d, which has been seen", e.Thing, e.Fence, e.Has)
+	return fmt.Sprintf("%s: fence %d is lower than fence %d, which has already been seen", e.Resource, e.Fence,
+		e.Highest)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *FenceError) Advice() string {
-	return "Nothing for one line: a holder from before acted late and was refused; if the same process repeats it, restart it."
+	return "Ignore a single case: an earlier holder acted late and was refused; restart a process that repeats it."
 }
 
-// RosterSkipError refuses a roster whose number is not the next.
-type RosterSkipError struct{ Has, Got uint64 }
+// RosterSkipError rejects a roster whose number does not follow the current one.
+type RosterSkipError struct{ Current, Got uint64 }
 
 func (e *RosterSkipError) Error() string {
-	return fmt.Sprintf("roster %d does not follow on roster %d", e.Got, e.Has)
+	return fmt.Sprintf("roster %d does not follow roster %d", e.Got, e.Current)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *RosterSkipError) Advice() string {
-	return fmt.Sprintf("Give the processes roster %d first, one lease apart, or restart this one with the roster that the others have.",
-		e.Has+1)
+	return fmt.Sprintf(
+		"Install roster %d first, one lease apart from the next, or restart this process with the others' roster.",
+		e.Current+1)
 }
 
-// RosterYoungError refuses a roster while the one before is young, or what it knows has not passed on to the new electors.
+// RosterYoungError rejects a roster while the previous change is not complete: it is younger than a lease, or local
+// state has not been transferred to the new electors.
 type RosterYoungError struct {
-	Has, Got uint64
-	Left     int64 // microseconds; 0: not all things have passed on yet
-	Things   int   // how many have not
+	Current, Got uint64
+	Left         int64 // microseconds; 0: only the transfer of resources is not complete
+	Resources    int   // number of resources still to be transferred
 }
 
 func (e *RosterYoungError) Error() string {
-	return fmt.Sprintf("roster %d comes while roster %d is young: %d ms are left, %d things have yet to pass on", e.Got, e.Has,
-		(e.Left+999)/1000, e.Things)
+	return fmt.Sprintf(
+		"roster %d rejected: the change to roster %d is incomplete, %d ms and %d resource transfers remain", e.Got,
+		e.Current,
+		(e.Left+999)/1000, e.Resources)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *RosterYoungError) Advice() string {
-	return fmt.Sprintf("See that a majority of the processes of roster %d and of the one before run, wait, and give roster %d again.", e.Has, e.Got)
+	return fmt.Sprintf(
+		"Check that a majority of roster %d and of the previous one is running, wait, and install roster %d again.",
+		e.Current, e.Got)
 }
 
-// RosterEmptyError refuses a roster without names, with a name twice, or with another list under a number that is taken.
+// RosterEmptyError rejects a roster without names, with a duplicate name, or with a different list under a used number.
 type RosterEmptyError struct {
 	Number uint64
-	Why    string
+	Reason string
 }
 
-func (e *RosterEmptyError) Error() string { return fmt.Sprintf("roster %d: %s", e.Number, e.Why) }
+func (e *RosterEmptyError) Error() string { return fmt.Sprintf("roster %d: %s", e.Number, e.Reason) }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *RosterEmptyError) Advice() string {
 	return "Correct the roster in the site file: each name once, and a new number for each new list."
 }
 
-// NotHeldError refuses a write to a thing that this process does not hold.
-type NotHeldError struct{ Thing string }
+// NotHeldError rejects a write to a resource that this process does not hold.
+type NotHeldError struct{ Resource string }
 
-func (e *NotHeldError) Error() string { return e.Thing + ": not held here" }
+func (e *NotHeldError) Error() string { return e.Resource + ": lease is not held by this process" }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *NotHeldError) Advice() string {
-	return "Nothing, if it passes: the lease has run out and is claimed again; else look at which electors can be reached."
+	return "No action if it passes: the lease expired and is claimed again; else check which electors are reachable."
 }
 
-// RecordSizeError refuses a record over MaxRecord.
+// RecordSizeError rejects a record larger than MaxRecord.
 type RecordSizeError struct {
-	Thing string
-	Size  int
+	Resource string
+	Size     int
 }
 
 func (e *RecordSizeError) Error() string {
-	return fmt.Sprintf("%s: a record of %d bytes, and %d are the most", e.Thing, e.Size, MaxRecord)
+	return fmt.Sprintf("%s: record of %d bytes exceeds the maximum of %d", e.Resource, e.Size, MaxRecord)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *RecordSizeError) Advice() string {
-	return "Report it as a fault of the program, with the version: no setting makes a record as large."
+	return "Report it as a bug, with the version: no setting makes a record this large."
 }
 
-// ThingNameError refuses a thing's name that is empty or over MaxName.
+// ThingNameError rejects a resource name that is empty or longer than MaxName.
 type ThingNameError struct{ Size int }
 
 func (e *ThingNameError) Error() string {
-	return fmt.Sprintf("a thing's name of %d bytes, and 1 to %d are allowed", e.Size, MaxName)
+	return fmt.Sprintf("resource name of %d bytes: the length must be 1 to %d", e.Size, MaxName)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *ThingNameError) Advice() string {
 	return "Shorten the number or the change's name in the site file."
 }
 
-// BodyError says why a message was passed by.
-type BodyError struct{ Why string }
+// BodyError says why a message was dropped.
+type BodyError struct{ Reason string }
 
-func (e *BodyError) Error() string { return "message not read: " + e.Why }
+func (e *BodyError) Error() string { return "lease message dropped: " + e.Reason }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *BodyError) Advice() string {
-	return "Look for another cluster or another program on the fleet's addresses; a few of them in a roll are versions that differ."
+	return "Check for another cluster or program on the fleet's addresses; a few during an update are version skew."
 }
 
-// RefusedError is why an elector did not vote.
+// RefusedError says why an elector did not vote.
 type RefusedError struct {
-	Thing, Elector string
-	Reason         Reason
-	Left           int64 // microseconds until it may change; 0: not known
+	Resource, Elector string
+	Reason            Reason
+	RetryAfter        int64 // microseconds until this may change; 0: unknown
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("%s: refused by %s: %s, %d ms left", e.Thing, e.Elector, e.Reason, (e.Left+999)/1000)
+	return fmt.Sprintf("%s: elector %s refused the claim: %s, %d ms left", e.Resource, e.Elector, e.Reason,
+		(e.RetryAfter+999)/1000)
 }
 
-// Advice says what an operator can do.
+// Advice returns what an operator can do.
 func (e *RefusedError) Advice() string {
 	switch e.Reason {
 	case OlderRoster:
-		return "Give this process the newer roster: the same site file as the others, and SIGHUP."
+		return "Give this process the newer roster: install the site file of the others and send SIGHUP."
 	case NewerRoster:
-		return "Give the elector the newer roster: the same site file as here, and SIGHUP."
+		return "Give the elector the newer roster: install the site file of this process there and send SIGHUP."
 	case NoElector:
-		return "Compare the rosters of the two site files: under one number they must have the same names."
+		return "Compare the rosters of the two site files: rosters with the same number must list the same names."
 	case Full:
-		return "Claim fewer things, or raise the number of things that an elector keeps."
+		return "Claim fewer resources, or raise the number of resources that an elector keeps."
 	}
-	return "Nothing: it is asked again by itself once the time is over."
+	return "No action: the claim is retried automatically after the remaining time."
 }
--- a/internal/lease/gate.go
+++ b/internal/lease/gate.go
@@ -1,30 +1,30 @@
 package lease
 
-// Gate is for whoever is told to act: it refuses a number lower than the highest it has seen of a thing. The zero value is
-// ready for use. It is not safe for concurrent use.
+// Gate checks fences at the receiver of an action: it refuses a fence lower than the highest it has seen for the
+// resource. The zero value is ready for use. It is not safe for concurrent use.
 type Gate struct {
-	high map[string]uint64
-	off  bool // the safeguard is taken out, for the test that must see it missing
+	highest  map[string]uint64
+	disabled bool // disables the check, for the test that detects its absence
 }
 
-// Admit says whether who acts on a thing under this number may; else the error is a *FenceError. A number as high as the
-// highest is the same holder.
-func (g *Gate) Admit(thing string, fence uint64) error {
-	if has := g.high[thing]; fence < has && !g.off {
-		return &FenceError{Thing: thing, Fence: fence, Has: has}
+// Admit reports whether an action on a resource under this fence is allowed; if not, the error is a *FenceError. A
+// fence equal to the highest belongs to the same holder.
+func (g *Gate) Admit(resource string, fence uint64) error {
+	if highest := g.highest[resource]; fence < highest && !g.disabled {
+		return &FenceError{Resource: resource, Fence: fence, Highest: highest}
 	}
-	if g.high == nil {
-		g.high = map[string]uint64{}
+	if g.highest == nil {
+		g.highest = map[string]uint64{}
 	}
-	g.high[thing] = max(g.high[thing], fence)
+	g.highest[resource] = max(g.highest[resource], fence)
 	return nil
 }
 
-// Highest is the highest number seen of a thing; 0: none.
-func (g *Gate) Highest(thing string) uint64 { return g.high[thing] }
+// Highest returns the highest fence seen for a resource; 0: none.
+func (g *Gate) Highest(resource string) uint64 { return g.highest[resource] }
 
-// Forget drops what is known of a thing. Only who can prove that no holder of before acts any more may call it.
-func (g *Gate) Forget(thing string) { delete(g.high, thing) }
+// Forget drops the fence of a resource. The caller must be able to prove that no earlier holder acts any more.
+func (g *Gate) Forget(resource string) { delete(g.highest, resource) }
 
-// Len is how many things are kept.
-func (g *Gate) Len() int { return len(g.high) }
+// Len returns the number of resources tracked.
+func (g *Gate) Len() int { return len(g.highest) }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -12,78 +12,81 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Config is what a part is made from. Times are microseconds.
+// Config configures a Part. Times are in microseconds.
 type Config struct {
 	Self        string
-	Incarnation uint64 // this life of the process; higher than that of every earlier one
-	Seed        uint64 // of the jitter
+	Incarnation uint64 // of this process; higher than that of every earlier run
+	Seed        uint64 // for the retry jitter
 
-	Roster uint64   // the roster's number, from 1
-	Names  []string // of the roster
-	// Previous are the names of the roster before, if processes may still act under it; nil: none does. A process that is told
-	// a new roster while it runs (SetRoster) needs none: it knows the one before.
+	Roster uint64   // number of the roster, from 1
+	Names  []string // members of the roster
+	// Previous holds the members of the previous roster if processes may still act under it; nil if none does. A
+	// process that receives a new roster while it runs (SetRoster) does not need it: it knows the previous one.
 	Previous []string
 
-	Electors int     // of a thing, at the most, and 9 are the most; 0: 5
-	Lease    int64   // how long a vote lasts; 0: 3 s. Messages should come back within an eighth of it.
-	Drift    float64 // by how much the rates of two processes' monotonic clocks may differ at the most; 0: 0.01
-	// Floor is lower than every fence to come and not lower than any given before all electors were last restarted together,
-	// as milliseconds of the wall clock are, while fewer than a thousand grants a second are made. 0: nothing is known.
+	Electors int     // maximum number of electors per resource, at most 9; 0: 5
+	Lease    int64   // duration of a vote; 0: 3 s. Round trips should take less than an eighth of it.
+	Drift    float64 // maximum relative rate difference of the monotonic clocks of two processes; 0: 0.01
+	// Floor is lower than every future fence and not lower than any granted before all electors were last restarted
+	// together. Milliseconds of the wall clock satisfy this as long as fewer than a thousand grants are made per
+	// second. 0: unknown.
 	Floor uint64
-	// MaxThings bounds what an elector keeps; 0: 4,096. When it is reached, things that nobody has claimed for Keep are
-	// forgotten, the longest unused first; Keep 0: an hour.
-	MaxThings int
-	Keep      int64
-	// Renewals makes a note of each renewal, too, for tests that read the history.
+	// MaxResources limits the resources that an elector keeps; 0: 4,096. At the limit, resources that nobody has
+	// claimed for Keep are evicted, the least recently used first; Keep 0: an hour.
+	MaxResources int
+	Keep         int64
+	// Renewals also adds a note for each renewal, for tests that read the history.
 	Renewals bool
 }
 
-// doctor takes safeguards out, one by one, for the tests that must see each of them missing.
-type doctor struct {
-	noStartWait    bool // votes at once after a start
-	noRecovery     bool // votes without having learnt what it forgot
-	noMargin       bool // holds for a whole lease
-	countFromReply bool // counts from the answer, not from before the question
-	oneMajority    bool // asks only the new roster's electors while it is young
-	noRosterNumber bool // votes whatever roster the claim is under
-	noSeal         bool // does not note the number of a newer roster that it hears of
-	noFence        bool // votes for a fence that is not above the highest
-	voteOver       bool // votes for another while its vote runs
-	smallMajority  bool // is content with half, rounded down
-	noRestore      bool // does not store the record anew under its own fence
-	noGate         bool // lets whoever is told to act take a lower fence; the tests' gates look at it
-	calm           bool // is no safeguard: jitter is 0, for the search
+// testOverrides disables safeguards one by one, for tests that check that each missing safeguard is detected.
+type testOverrides struct {
+	noStartWait         bool // vote immediately after a start
+	noRecovery          bool // vote without learning the lost state
+	noDriftMargin       bool // hold for the full lease duration
+	countFromReply      bool // count a vote from its reply instead of from its request
+	currentMajorityOnly bool // ask only the electors of the current roster during a roster change
+	noRosterCheck       bool // vote regardless of the claim's roster
+	noRosterNotice      bool // ignore the number of a newer roster in messages
+	noFenceCheck        bool // vote for a fence that is not above the highest
+	voteTwice           bool // vote for another claimant while a vote is valid
+	smallMajority       bool // accept half of the electors, rounded down
+	noRecordRewrite     bool // do not store the learned record again under the new fence
+	noFenceGate         bool // accept lower fences when told to act; read by the gates of the tests
+	noJitter            bool // not a safeguard: no jitter, for the state search
 }
 
-// Part is the leases of one process: as an elector of things and as a claimant of some. It implements fleet.Module and Lessor.
-// It is not safe for concurrent use.
+// Part manages the leases of one process, both as an elector and as a claimant of resources. It implements fleet.Module
+// and Lessor. It is not safe for concurrent use.
 type Part struct {
-	cfg    Config
-	doctor doctor
-	margin int64 // the most by which a clock may run away from another one over a lease
-	retry  int64 // first distance of repeats
-	rng    rand.PCG
-
-	now        int64
-	roster     uint64
-	names, old []string // of the roster, and of the one before; nil: not known
-	young      int64    // until when this process needs both majorities
-	seen       uint64   // the highest roster number heard of; claims under a lower one are refused
-	voteFrom   int64    // when a lease has passed since the start
-	base       uint64   // the highest fence heard of any thing; claims begin above it
-	floor      uint64   // no fence up to it is voted for where all have forgotten: what was given at the start, told in entries, forgotten
-	gen        uint64   // how often a thing was forgotten
-
-	things map[string]*thing
-	busy   []*thing // those that are learning, in order of their beginning
-	claims []*claim // by thing
-	seq    uint64
-	local  []body // messages to itself
-	hints  map[string]hint
-	parts  map[string]readPart // of the newest view, by member
-	toldAt told
-	retell bool
-	counts counts
+	cfg           Config
+	overrides     testOverrides
+	driftMargin   int64 // maximum drift between two clocks over one lease
+	retryInterval int64 // initial retry delay
+	rng           rand.PCG
+
+	now                        int64
+	roster                     uint64
+	rosterNames, previousNames []string // members of the current and the previous roster; nil: unknown
+	bothMajoritiesUntil        int64    // until when this process requires majorities of both rosters
+	highestRoster              uint64   // highest roster number seen; claims under a lower one are refused
+	voteFrom                   int64    // one lease after the start
+	highestFence               uint64   // highest fence seen for any resource; new claims start above it
+	// Where all electors have lost the state of a resource, only fences above this one are granted: the maximum of the
+	// initial floor, the fences in entries and the evicted fences.
+	fenceFloor uint64
+	generation uint64 // incremented at each eviction
+
+	resources      map[string]*resource
+	learning       []*resource // resources being learned, in the order in which learning started
+	claims         []*claim    // sorted by resource
+	lastSeq        uint64
+	selfMessages   []body // messages to itself
+	hints          map[string]hint
+	entryParts     map[string]cachedEntryPart // from the newest view, by member
+	published      entryPart
+	publishPending bool
+	counts         counts
 }
 
 type hint struct {
@@ -92,7 +95,8 @@
 }
 
 type counts struct {
-	sent, received, unread, votes, refusals, grants, lapses, releases, renewals, attempts, learnt, forgotten, lostWrites uint64
+	sent, received, unread, votes, refusals, grants, lapses, releases, renewals, attempts, learnt, forgotten,
+	lostWrites uint64
 }
 
 var (
@@ -100,52 +104,53 @@
 	_ Lessor       = (*Part)(nil)
 )
 
-// New makes a part that knows nothing of earlier lives.
-func New(c Config) *Part {
-	c.Roster = max(c.Roster, 1)
-	if c.Electors <= 0 {
-		c.Electors = 5
+// New returns a Part without any state of earlier runs.
+func New(config Config) *Part {
+	config.Roster = max(config.Roster, 1)
+	if config.Electors <= 0 {
+		config.Electors = 5
 	}
-	c.Electors = min(c.Electors, maxElectors)
-	if c.Lease <= 0 {
-		c.Lease = 3_000_000
+	config.Electors = min(config.Electors, maxElectors)
+	if config.Lease <= 0 {
+		config.Lease = 3_000_000
 	}
-	if c.Drift <= 0 || c.Drift >= 1 {
-		c.Drift = 0.01
+	if config.Drift <= 0 || config.Drift >= 1 {
+		config.Drift = 0.01
 	}
-	if c.MaxThings <= 0 {
-		c.MaxThings = 4096
+	if config.MaxResources <= 0 {
+		config.MaxResources = 4096
 	}
-	if c.Keep <= 0 {
-		c.Keep = 3_600_000_000
+	if config.Keep <= 0 {
+		config.Keep = 3_600_000_000
 	}
-	c.Floor = min(c.Floor, maxNumber>>1)
-	p := &Part{cfg: c, roster: c.Roster, seen: c.Roster, base: c.Floor, floor: c.Floor, things: map[string]*thing{}}
-	p.margin = int64(math.Ceil(float64(c.Lease) * c.Drift))
-	p.retry = max(c.Lease/64, 1)
-	p.rng.Seed(c.Seed, xxhash.Sum64String(c.Self))
-	p.names = ordered(c.Names)
-	if len(c.Previous) > 0 {
-		p.old = ordered(c.Previous)
+	config.Floor = min(config.Floor, maxNumber>>1)
+	p := &Part{cfg: config, roster: config.Roster, highestRoster: config.Roster, highestFence: config.Floor,
+		fenceFloor: config.Floor, resources: map[string]*resource{}}
+	p.driftMargin = int64(math.Ceil(float64(config.Lease) * config.Drift))
+	p.retryInterval = max(config.Lease/64, 1)
+	p.rng.Seed(config.Seed, xxhash.Sum64String(config.Self))
+	p.rosterNames = sortedUnique(config.Names)
+	if len(config.Previous) > 0 {
+		p.previousNames = sortedUnique(config.Previous)
 	}
 	return p
 }
 
-func ordered(names []string) []string {
-	s := slices.Clone(names)
-	slices.Sort(s)
-	return slices.Compact(s)
+func sortedUnique(names []string) []string {
+	sorted := slices.Clone(names)
+	slices.Sort(sorted)
+	return slices.Compact(sorted)
 }
 
-// Electors returns who votes on a thing: the n names of a roster that are highest in rendezvous hash, by name.
-func Electors(thing string, names []string, n int) []string {
+// Electors returns the electors of a resource, sorted by name: the n roster members with the highest rendezvous hash.
+func Electors(resource string, names []string, n int) []string {
 	type ranked struct {
 		hash uint64
 		name string
 	}
 	all := make([]ranked, 0, len(names))
 	for _, name := range names {
-		all = append(all, ranked{xxhash.Sum64String(thing + "\x00" + name), name})
+		all = append(all, ranked{xxhash.Sum64String(resource + "\x00" + name), name})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		if a.hash != b.hash {
@@ -157,293 +162,299 @@
 		return strings.Compare(a.name, b.name)
 	})
 	all = all[:min(n, len(all))]
-	s := make([]string, 0, len(all))
+	electors := make([]string, 0, len(all))
 	for _, r := range all {
-		s = append(s, r.name)
+		electors = append(electors, r.name)
 	}
-	slices.Sort(s)
-	return s
+	slices.Sort(electors)
+	return electors
 }
 
-func (p *Part) electors(thing string) []string { return Electors(thing, p.names, p.cfg.Electors) }
+func (p *Part) electors(resource string) []string {
+	return Electors(resource, p.rosterNames, p.cfg.Electors)
+}
 
-func (p *Part) oldElectors(thing string) []string {
-	if p.old == nil {
+func (p *Part) previousElectors(resource string) []string {
+	if p.previousNames == nil {
 		return nil
 	}
-	return Electors(thing, p.old, p.cfg.Electors)
+	return Electors(resource, p.previousNames, p.cfg.Electors)
 }
 
-// majority of a set of electors.
+// majority returns the size of a majority of n electors.
 func (p *Part) majority(n int) int {
-	if p.doctor.smallMajority {
+	if p.overrides.smallMajority {
 		return max(n/2, 1)
 	}
 	return n/2 + 1
 }
 
-// wait is how long this clock must run for a lease to have passed by every other one.
-func (p *Part) wait() int64 { return p.cfg.Lease + p.margin }
+// leaseWait is how long the local clock must run until a lease has expired by every other clock.
+func (p *Part) leaseWait() int64 { return p.cfg.Lease + p.driftMargin }
 
-// jitter draws from 0 up to n.
+// jitter returns a random number in [0, n).
 func (p *Part) jitter(n int64) int64 {
-	if n <= 0 || p.doctor.calm {
+	if n <= 0 || p.overrides.noJitter {
 		return 0
 	}
 	return int64(p.rng.Uint64() % uint64(n))
 }
 
-// heardFence remembers the highest fence of all things.
-func (p *Part) heardFence(f uint64) {
-	if f > p.base && f <= maxNumber>>1 {
-		p.base, p.retell = f, true
+// observeFence updates the highest fence seen for any resource.
+func (p *Part) observeFence(fence uint64) {
+	if fence > p.highestFence && fence <= maxNumber>>1 {
+		p.highestFence, p.publishPending = fence, true
 	}
 }
 
-// SetRoster takes the next roster. It refuses a number that is not the next (*RosterSkipError), one that comes while the one
-// before is young or has not passed on (*RosterYoungError), and a list that is none (*RosterEmptyError); the roster then stays.
-// The same roster again is no error. What follows from it is sent at the next Tick, which is due at once.
-func (p *Part) SetRoster(now int64, n uint64, names []string) error {
-	p.at(now)
-	set := ordered(names)
+// SetRoster installs the next roster. It rejects a number that is not the next one (*RosterSkipError), a roster that
+// comes while the previous change is not complete (*RosterYoungError), and an invalid list (*RosterEmptyError); the
+// current roster then stays. Installing the current roster again is no error. The resulting messages are sent at the
+// next Tick, which is due at once.
+func (p *Part) SetRoster(now int64, number uint64, names []string) error {
+	p.advanceClock(now)
+	members := sortedUnique(names)
 	switch {
-	case len(set) == 0:
-		return &RosterEmptyError{Number: n, Why: "it has no names"}
-	case len(set) != len(names):
-		return &RosterEmptyError{Number: n, Why: "a name stands in it twice"}
-	case n == p.roster && slices.Equal(set, p.names):
+	case len(members) == 0:
+		return &RosterEmptyError{Number: number, Reason: "it lists no names"}
+	case len(members) != len(names):
+		return &RosterEmptyError{Number: number, Reason: "it lists a name twice"}
+	case number == p.roster && slices.Equal(members, p.rosterNames):
 		return nil
-	case n == p.roster:
-		return &RosterEmptyError{Number: n, Why: "another list has this number"}
-	case n != p.roster+1:
-		return &RosterSkipError{Has: p.roster, Got: n}
-	}
-	waits := 0
-	for _, t := range p.things {
-		if t.learning && t.ready > 0 {
-			waits++
+	case number == p.roster:
+		return &RosterEmptyError{Number: number, Reason: "a different list already has this number"}
+	case number != p.roster+1:
+		return &RosterSkipError{Current: p.roster, Got: number}
+	}
+	transferring := 0
+	for _, t := range p.resources {
+		if t.learning && t.readyRoster > 0 {
+			transferring++
 		}
 	}
-	if now < p.young || waits > 0 {
-		return &RosterYoungError{Has: p.roster, Got: n, Left: max(p.young-now, 0), Things: waits}
+	if now < p.bothMajoritiesUntil || transferring > 0 {
+		return &RosterYoungError{Current: p.roster, Got: number, Left: max(p.bothMajoritiesUntil-now, 0),
+			Resources: transferring}
 	}
-	p.old, p.names, p.roster = p.names, set, n
-	p.seen = max(p.seen, n)
-	p.young = now + p.wait()
+	p.previousNames, p.rosterNames, p.roster = p.rosterNames, members, number
+	p.highestRoster = max(p.highestRoster, number)
+	p.bothMajoritiesUntil = now + p.leaseWait()
 	names = names[:0:0]
-	for name := range p.things {
+	for name := range p.resources {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		// What is known here must pass on: the new electors are asked, and learn by that there is something to ask for.
-		if t := p.things[name]; t.learning || t.ready > 0 {
+		// Local state must be transferred: by being asked, the new electors learn that there is something to ask for.
+		if t := p.resources[name]; t.learning || t.readyRoster > 0 {
 			if t.learning {
-				p.unlearn(t)
+				p.stopLearning(t)
 			}
-			p.learn(t)
+			p.startLearning(t)
 		}
 	}
 	for _, c := range p.claims {
-		p.setVoters(c)
-		c.next = now
+		p.resetVoters(c)
+		c.nextAction = now
 	}
 	return nil
 }
 
-// Roster is the number of the roster that this process knows, and the highest that it has heard of.
-func (p *Part) Roster() (known, heard uint64) { return p.roster, p.seen }
+// Roster returns the number of the installed roster and the highest number seen.
+func (p *Part) Roster() (known, heard uint64) { return p.roster, p.highestRoster }
 
-// hearRoster takes note of a roster's number in a message. Only the next one is believed. Guards against a spoilt number.
-func (p *Part) hearRoster(n uint64) {
-	if n == p.roster+1 && !p.doctor.noSeal && !p.doctor.noRosterNumber {
-		p.seen = max(p.seen, n)
+// observeRoster records the roster number of a message. It accepts only the next number, to guard against a corrupted
+// one.
+func (p *Part) observeRoster(number uint64) {
+	if number == p.roster+1 && !p.overrides.noRosterNotice && !p.overrides.noRosterCheck {
+		p.highestRoster = max(p.highestRoster, number)
 	}
 }
 
-func (p *Part) at(now int64) { p.now = max(p.now, now) }
+func (p *Part) advanceClock(now int64) { p.now = max(p.now, now) }
 
-// Kind is fleet.Lease.
+// Kind returns fleet.Lease.
 func (p *Part) Kind() fleet.Kind { return fleet.Lease }
 
-// Start begins the wait after which the process votes.
+// Start begins the waiting time after which the process votes.
 func (p *Part) Start(now int64, out *fleet.Out) {
 	p.now = now
-	p.voteFrom = now + p.wait()
-	if p.doctor.noStartWait {
+	p.voteFrom = now + p.leaseWait()
+	if p.overrides.noStartWait {
 		p.voteFrom = now
 	}
-	if p.old != nil {
-		p.young = now + p.wait()
+	if p.previousNames != nil {
+		p.bothMajoritiesUntil = now + p.leaseWait()
 	}
-	p.retell = true
-	p.end(out)
+	p.publishPending = true
+	p.flush(out)
 }
 
-// Message brings a message of another process's leases. What cannot be read is counted and passed by.
-func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
-	p.at(now)
+// Message handles a lease message of another process. Messages that cannot be decoded are counted and dropped.
+func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
+	p.advanceClock(now)
 	p.counts.received++
-	b, err := decode(m.Body)
-	if err != nil || m.From == "" || len(m.From) > MaxName {
+	msg, err := decode(message.Body)
+	if err != nil || message.From == "" || len(message.From) > MaxName {
 		p.counts.unread++
 		return
 	}
-	p.handle(m.From, b, out)
-	p.end(out)
+	p.handle(message.From, msg, out)
+	p.flush(out)
 }
 
-func (p *Part) handle(from string, b body, out *fleet.Out) {
-	switch b.Type {
+func (p *Part) handle(from string, msg body, out *fleet.Out) {
+	switch msg.Type {
 	case typClaim, typHold:
-		p.asked(from, b, out)
+		p.handleClaim(from, msg, out)
 	case typRelease:
-		p.givenUp(from, b, out)
+		p.handleRelease(from, msg, out)
 	case typLearn:
-		p.learnAsked(from, b, out)
+		p.handleLearn(from, msg, out)
 	case typKnown:
-		p.known(from, b, out)
+		p.handleKnown(from, msg, out)
 	case typVote, typRefuse:
-		p.answered(from, b, out)
+		p.handleReply(from, msg, out)
 	case typFree:
-		p.freed(from, b, out)
+		p.handleFree(from, msg, out)
 	}
 }
 
-// View takes the highest fences and the hints from the processes' entries.
-func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
-	p.at(now)
+// View reads the highest fences and the holder hints from the members' entries.
+func (p *Part) View(now int64, view *fleet.View, out *fleet.Out) {
+	p.advanceClock(now)
 	p.hints = make(map[string]hint, len(p.hints))
-	parts := make(map[string]readPart, len(v.Members))
-	for i := range v.Members {
-		m := &v.Members[i]
-		raw := m.Parts[fleet.Lease]
-		if raw == nil || m.Name == p.cfg.Self {
+	parts := make(map[string]cachedEntryPart, len(view.Members))
+	for i := range view.Members {
+		member := &view.Members[i]
+		raw := member.Parts[fleet.Lease]
+		if raw == nil || member.Name == p.cfg.Self {
 			continue
 		}
-		read := p.parts[m.Name]
+		read := p.entryParts[member.Name]
 		if !bytes.Equal(read.raw, raw) {
-			read = readPart{raw, readTold(raw)}
+			read = cachedEntryPart{raw, decodeEntryPart(raw)}
 		}
-		parts[m.Name] = read
-		t := read.told
-		p.heardFence(t.High)
-		p.floor = max(p.floor, min(t.High, maxNumber>>1))
-		for _, h := range t.Held {
-			if h.Fence > p.hints[h.Thing].fence {
-				p.hints[h.Thing] = hint{m.Name, h.Fence}
+		parts[member.Name] = read
+		part := read.decoded
+		p.observeFence(part.HighestFence)
+		p.fenceFloor = max(p.fenceFloor, min(part.HighestFence, maxNumber>>1))
+		for _, held := range part.Held {
+			if held.Fence > p.hints[held.Thing].fence {
+				p.hints[held.Thing] = hint{member.Name, held.Fence}
 			}
 		}
 	}
-	p.parts = parts
-	p.end(out)
+	p.entryParts = parts
+	p.flush(out)
 }
 
-// readPart is a member's part of its entry as it was read: views come often, and most members' parts are as they were.
-type readPart struct {
-	raw  []byte
-	told told
+// cachedEntryPart caches a decoded entry part of a member: views are frequent, and most entry parts do not change
+// between them.
+type cachedEntryPart struct {
+	raw     []byte
+	decoded entryPart
 }
 
-// Done has nothing to do: leases ask for no acts.
+// Done does nothing: leases request no acts.
 func (p *Part) Done(int64, fleet.Act, error, *fleet.Out) {}
 
-// Tick repeats, renews, and lets end what has run out.
+// Tick performs due retries, renewals and expiries.
 func (p *Part) Tick(now int64, out *fleet.Out) {
-	p.at(now)
-	for i := 0; i < len(p.busy); { // learnTick may take it out
-		t := p.busy[i]
-		if p.now >= t.next {
-			p.learnTick(t, out)
+	p.advanceClock(now)
+	for i := 0; i < len(p.learning); { // tickLearning may remove it
+		res := p.learning[i]
+		if p.now >= res.nextLearnAt {
+			p.tickLearning(res, out)
 		}
-		if i < len(p.busy) && p.busy[i] == t {
+		if i < len(p.learning) && p.learning[i] == res {
 			i++
 		}
 	}
 	for _, c := range p.claims {
-		if p.now >= c.due() {
-			p.claimTick(c, out)
+		if p.now >= c.dueAt() {
+			p.tickClaim(c, out)
 		}
 	}
-	p.end(out)
+	p.flush(out)
 }
 
-// Next is when the first repeat, renewal or end is due.
+// Next returns when the first retry, renewal or expiry is due.
 func (p *Part) Next() int64 {
 	next := int64(math.MaxInt64)
-	for _, t := range p.busy {
-		next = min(next, t.next)
+	for _, t := range p.learning {
+		next = min(next, t.nextLearnAt)
 	}
 	for _, c := range p.claims {
-		next = min(next, c.due())
+		next = min(next, c.dueAt())
 	}
 	return next
 }
 
-// send gives a message to another process, or to this one's own elector or claimant.
-func (p *Part) send(to string, b body, out *fleet.Out) {
+// send queues a message for another process, or for the elector or claimant of this one.
+func (p *Part) send(to string, msg body, out *fleet.Out) {
 	if to == p.cfg.Self {
-		p.local = append(p.local, b)
+		p.selfMessages = append(p.selfMessages, msg)
 		return
 	}
 	p.counts.sent++
-	out.Send = append(out.Send, fleet.Message{Kind: fleet.Lease, From: p.cfg.Self, To: to, Body: encode(&b)})
+	out.Send = append(out.Send, fleet.Message{Kind: fleet.Lease, From: p.cfg.Self, To: to, Body: encode(&msg)})
 }
 
-// end delivers what the process sent itself, and tells in its entry what others should know.
-func (p *Part) end(out *fleet.Out) {
-	for i := 0; i < len(p.local); i++ {
-		p.handle(p.cfg.Self, p.local[i], out)
+// flush delivers the messages that this process sent to itself and publishes changes in its entry.
+func (p *Part) flush(out *fleet.Out) {
+	for i := 0; i < len(p.selfMessages); i++ {
+		p.handle(p.cfg.Self, p.selfMessages[i], out)
 	}
-	p.local = p.local[:0]
-	if !p.retell {
+	p.selfMessages = p.selfMessages[:0]
+	if !p.publishPending {
 		return
 	}
-	p.retell = false
-	t := told{High: p.base}
+	p.publishPending = false
+	part := entryPart{HighestFence: p.highestFence}
 	for _, c := range p.claims {
-		if c.phase == holding && len(t.Held) < maxHints {
-			t.Held = append(t.Held, heldHint{c.thing, c.fence})
+		if c.phase == holding && len(part.Held) < maxHints {
+			part.Held = append(part.Held, heldLease{c.resource, c.fence})
 		}
 	}
-	if t.High != p.toldAt.High || !slices.Equal(t.Held, p.toldAt.Held) {
-		p.toldAt = t
-		out.Tell(fleet.Lease, encode(&t))
+	if part.HighestFence != p.published.HighestFence || !slices.Equal(part.Held, p.published.Held) {
+		p.published = part
+		out.Tell(fleet.Lease, encode(&part))
 	}
 }
 
-// Holder is who was last heard to hold a thing. It is a hint.
-func (p *Part) Holder(thing string) (name string, fence uint64) {
-	h := p.hints[thing]
-	if t := p.things[thing]; t != nil && t.owner != "" && !t.over && t.fence > h.fence {
-		h = hint{t.owner, t.fence}
+// Holder returns the last known holder of a resource. It is only a hint.
+func (p *Part) Holder(resource string) (name string, fence uint64) {
+	latest := p.hints[resource]
+	if res := p.resources[resource]; res != nil && res.fenceOwner != "" && !res.released && res.fence > latest.fence {
+		latest = hint{res.fenceOwner, res.fence}
 	}
-	if c := p.claim(thing); c != nil {
-		if c.hint.fence > h.fence {
-			h = c.hint
+	if c := p.findClaim(resource); c != nil {
+		if c.holderHint.fence > latest.fence {
+			latest = c.holderHint
 		}
-		if c.phase == holding && c.fence >= h.fence {
-			h = hint{p.cfg.Self, c.fence}
+		if c.phase == holding && c.fence >= latest.fence {
+			latest = hint{p.cfg.Self, c.fence}
 		}
 	}
-	return h.name, h.fence
+	return latest.name, latest.fence
 }
 
-// Figures gives the package's counts. A held lease costs a question to each of its electors, and its answer, every third of a
-// lease, and no more while a majority answers.
+// Figures reports the package's metrics. While a majority answers, a held lease costs one request to each of its
+// electors, and the answers, every third of a lease.
 func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
 	held := uint64(0)
-	for _, c := range p.claims {
-		if c.phase == holding && p.now < c.until {
+	for _, counters := range p.claims {
+		if counters.phase == holding && p.now < counters.expiresAt {
 			held++
 		}
 	}
 	put("lease.held", held, true)
 	put("lease.claims", uint64(len(p.claims)), true)
-	put("lease.things", uint64(len(p.things)), true)
-	put("lease.learning", uint64(len(p.busy)), true)
+	put("lease.things", uint64(len(p.resources)), true)
+	put("lease.learning", uint64(len(p.learning)), true)
 	put("lease.roster", p.roster, true)
-	put("lease.roster_heard", p.seen, true)
+	put("lease.roster_heard", p.highestRoster, true)
 	c := &p.counts
 	put("lease.sent", c.sent, false)
 	put("lease.received", c.received, false)
