--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -119,7 +119,8 @@
 // The state of an elector is bounded; evicted state is learned again before the next vote, and no fence goes back.
 func TestElectorStateIsBounded(t *testing.T) {
 	names := rosterOf(5)
-	sim := newSimulation(1, names, Config{Names: names, Lease: 100_000, Drift: 0.01, MaxResources: 8, Keep: 1_000_000},
+	sim := newSimulation(1, names, Config{Names: names, Lease: 100_000, Drift: 0.01, MaxResources: 8,
+		EvictAfter: 1_000_000},
 		testOverrides{})
 	for _, proc := range sim.processes {
 		sim.start(proc)
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -87,7 +87,7 @@
 	if len(p.resources) >= p.cfg.MaxResources {
 		var oldest *resource
 		for _, res := range p.resources {
-			if res.voteExpiresAt > p.now || res.learning || res.lastUsed+p.cfg.Keep > p.now {
+			if res.voteExpiresAt > p.now || res.learning || res.lastUsed+p.cfg.EvictAfter > p.now {
 				continue
 			}
 			if oldest == nil || res.lastUsed < oldest.lastUsed || res.lastUsed == oldest.lastUsed &&
@@ -104,7 +104,7 @@
 		p.fenceFloor = max(p.fenceFloor, oldest.fence)
 		delete(p.resources, oldest.name)
 		p.generation++
-		p.counts.forgotten++
+		p.counts.evicted++
 	}
 	res := &resource{name: resourceName, generation: p.generation, lastUsed: p.now}
 	p.resources[resourceName] = res
@@ -243,18 +243,18 @@
 	res.learning, res.learnRound, res.learnInterval, res.learnStart = true, 0, p.retryInterval, p.now
 	res.nextLearnAt = max(p.now, p.voteFrom)
 	res.peers = res.peers[:0]
-	add := func(name string, isNew bool) {
+	add := func(name string, current bool) {
 		if name == p.cfg.Self {
 			return
 		}
 		for i := range res.peers {
 			if res.peers[i].name == name {
-				res.peers[i].inCurrent, res.peers[i].inPrevious = res.peers[i].inCurrent || isNew,
-					res.peers[i].inPrevious || !isNew
+				res.peers[i].inCurrent, res.peers[i].inPrevious = res.peers[i].inCurrent || current,
+					res.peers[i].inPrevious || !current
 				return
 			}
 		}
-		res.peers = append(res.peers, peer{name: name, inCurrent: isNew, inPrevious: !isNew})
+		res.peers = append(res.peers, peer{name: name, inCurrent: current, inPrevious: !current})
 	}
 	for _, name := range p.electors(res.name) {
 		add(name, true)
@@ -286,7 +286,7 @@
 	res.nextLearnAt = p.now + res.learnInterval + p.jitter(res.learnInterval)
 	res.learnInterval = min(2*res.learnInterval, p.cfg.Lease/4)
 	if res.readyRoster > 0 && res.learnRound > 6 {
-		// Not urgent: no claimant waits for it, the state only has to be transferred eventually
+		// Not urgent: no claimant waits for it, the state only has to be transferred eventually.
 		res.learnInterval = 4 * p.cfg.Lease
 	}
 	for i := range res.peers {
@@ -354,19 +354,20 @@
 	// The other elector counts from a moment at which a majority, including this incarnation, had lost the resource.
 	// This process may count from it too, since it has neither voted nor stored anything until now. Otherwise electors
 	// could block each other, each lacking a majority in the same state.
-	if target := p.requiredRoster(res.name); target > 0 && res.readyRoster < target && msg.ReadyRoster >= target &&
+	if required := p.requiredRoster(res.name); required > 0 && res.readyRoster < required &&
+		msg.ReadyRoster >= required &&
 		slices.Contains(msg.Forgot, forgottenStateID(p.cfg.Self, p.cfg.Incarnation, res.generation)) {
 		res.forgottenStates = msg.Forgot
-		p.finishLearning(res, target, q.bothMajoritiesUntil, out)
+		p.finishLearning(res, required, q.bothMajoritiesUntil, out)
 		return
 	}
 	p.checkLearned(res, out)
 }
 
 // finishLearning ends learning; from now on this process votes on the resource.
-func (p *Part) finishLearning(res *resource, required uint64, young int64, out *fleet.Out) {
-	res.readyRoster, res.bothMajoritiesUntil = required, max(res.bothMajoritiesUntil, young)
-	p.counts.learnt++
+func (p *Part) finishLearning(res *resource, required uint64, until int64, out *fleet.Out) {
+	res.readyRoster, res.bothMajoritiesUntil = required, max(res.bothMajoritiesUntil, until)
+	p.counts.learned++
 	p.stopLearning(res)
 	p.notifyWaiters(res, out)
 }
@@ -389,6 +390,7 @@
 }
 
 // checkLearned decides whether the learned state is complete, and starts another round at once if that could decide it.
+//
 // The state is complete if a majority of the resource's other electors may vote under the roster: whatever this process
 // voted for or stored before its restart was also voted for or stored by one of them. It is also complete if a
 // majority, including this process, had lost the state at one moment; then, if the previous roster is known, a majority
@@ -403,23 +405,23 @@
 	if required < p.roster {
 		electors = p.previousElectors(res.name)
 	}
-	count := func(set []string, needed uint64) (ready, steady, fresh int, young int64) {
+	count := func(set []string, neededRoster uint64) (ready, unready, unconfirmed int, bothUntil int64) {
 		for i := range res.peers {
 			q := &res.peers[i]
 			if q.round != res.learnRound || !slices.Contains(set, q.name) {
 				continue
 			}
-			young = max(young, q.bothMajoritiesUntil)
+			bothUntil = max(bothUntil, q.bothMajoritiesUntil)
 			switch {
-			case q.readyRoster >= needed:
+			case q.readyRoster >= neededRoster:
 				ready++
 			case q.unreadyRound == res.learnRound:
-				steady++
+				unready++
 			default:
-				fresh++
+				unconfirmed++
 			}
 		}
-		return ready, steady, fresh, young
+		return ready, unready, unconfirmed, bothUntil
 	}
 	if res.readyRoster >= required || required == 0 {
 		// Already learned: it only asks so that the others learn, and stops when a majority of the electors has.
@@ -428,7 +430,7 @@
 		}
 		return
 	}
-	finish := func(young int64, newState, useFloor bool) {
+	finish := func(bothUntil int64, newState, useFloor bool) {
 		// After all electors have lost their state, the fence must not go back: the floor is not below any fence
 		// granted before.
 		if useFloor && p.fenceFloor > res.fence {
@@ -445,24 +447,24 @@
 				}
 			}
 		}
-		p.finishLearning(res, required, young, out)
+		p.finishLearning(res, required, bothUntil, out)
 	}
-	ready, steady, fresh, young := count(electors, required)
+	ready, unready, unconfirmed, bothUntil := count(electors, required)
 	if ready >= (len(electors)-1)/2+1 && ready <= len(electors)-1 {
-		finish(young, false, false)
+		finish(bothUntil, false, false)
 		return
 	}
-	need := len(electors) / 2 // together with this process, which has lost the state too, they are a majority
+	needed := len(electors) / 2 // together with this process, which has lost the state too, they are a majority
 	anotherRound := false
 	switch {
-	case steady < need:
-		anotherRound = steady+fresh >= need
+	case unready < needed:
+		anotherRound = unready+unconfirmed >= needed
 	case !transfer:
-		finish(young, true, true)
+		finish(bothUntil, true, true)
 		return
 	default:
 		previous := p.previousElectors(res.name)
-		previousReady, previousLost, fresh, _ := count(previous, p.roster-1)
+		previousReady, previousLost, unconfirmed, _ := count(previous, p.roster-1)
 		previousNeeded := len(previous)/2 + 1
 		if slices.Contains(previous, p.cfg.Self) {
 			if res.readyRoster >= p.roster-1 {
@@ -480,7 +482,7 @@
 			finish(p.now+p.leaseWait(), true, true)
 			return
 		}
-		anotherRound = previousLost+fresh >= len(previous)/2+1
+		anotherRound = previousLost+unconfirmed >= len(previous)/2+1
 	}
 	if anotherRound {
 		res.nextLearnAt = p.now // all prerequisites of a further round are met
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,9 +20,9 @@
 
 	Roster uint64   // number of the roster, from 1
 	Names  []string // members of the roster
-	// Previous holds the members of the previous roster if processes may still act under it; nil if none does. A
+	// PreviousNames holds the members of the previous roster if processes may still act under it; nil if none does. A
 	// process that receives a new roster while it runs (SetRoster) does not need it: it knows the previous one.
-	Previous []string
+	PreviousNames []string
 
 	Electors int     // maximum number of electors per resource, at most 9; 0: 5
 	Lease    int64   // duration of a vote; 0: 3 s. Round trips should take less than an eighth of it.
@@ -32,9 +32,9 @@
 	// second. 0: unknown.
 	Floor uint64
 	// MaxResources limits the resources that an elector keeps; 0: 4,096. At the limit, resources that nobody has
-	// claimed for Keep are evicted, the least recently used first; Keep 0: an hour.
+	// claimed for EvictAfter are evicted, the least recently used first; EvictAfter 0: an hour.
 	MaxResources int
-	Keep         int64
+	EvictAfter   int64
 	// Renewals also adds a note for each renewal, for tests that read the history.
 	Renewals bool
 }
@@ -95,7 +95,7 @@
 }
 
 type counts struct {
-	sent, received, unread, votes, refusals, grants, lapses, releases, renewals, attempts, learnt, forgotten,
+	sent, received, unread, votes, refusals, grants, lapses, releases, renewals, attempts, learned, evicted,
 	lostWrites uint64
 }
 
@@ -120,8 +120,8 @@
 	if config.MaxResources <= 0 {
 		config.MaxResources = 4096
 	}
-	if config.Keep <= 0 {
-		config.Keep = 3_600_000_000
+	if config.EvictAfter <= 0 {
+		config.EvictAfter = 3_600_000_000
 	}
 	config.Floor = min(config.Floor, maxNumber>>1)
 	p := &Part{cfg: config, roster: config.Roster, highestRoster: config.Roster, highestFence: config.Floor,
@@ -130,8 +130,8 @@
 	p.retryInterval = max(config.Lease/64, 1)
 	p.rng.Seed(config.Seed, xxhash.Sum64String(config.Self))
 	p.rosterNames = sortedUnique(config.Names)
-	if len(config.Previous) > 0 {
-		p.previousNames = sortedUnique(config.Previous)
+	if len(config.PreviousNames) > 0 {
+		p.previousNames = sortedUnique(config.PreviousNames)
 	}
 	return p
 }
@@ -466,7 +466,7 @@
 	put("lease.renewals", c.renewals, false)
 	put("lease.lapses", c.lapses, false)
 	put("lease.releases", c.releases, false)
-	put("lease.learnt", c.learnt, false)
-	put("lease.forgotten", c.forgotten, false)
+	put("lease.learnt", c.learned, false)
+	put("lease.forgotten", c.evicted, false)
 	put("lease.lost_writes", c.lostWrites, false)
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -111,7 +111,7 @@
 	sim.floor = max(sim.floor, uint64(sim.now/1000)) // the wall clock, in milliseconds
 	cfg.Floor = sim.floor
 	if proc.roster > 1 {
-		cfg.Previous = sim.rosters[proc.roster-2]
+		cfg.PreviousNames = sim.rosters[proc.roster-2]
 	}
 	proc.part = New(cfg)
 	proc.part.overrides = sim.overrides
