--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent drives the parts of one process that decide over several processes: one goroutine, away from the loop of
-// calls. It hands them what came from other processes, carries out what they want done, tells the others of this one, and
-// logs the parts' notes. Nothing in it holds up a call, and what comes to it waits in bounded queues that count what they drop.
+// Package agent runs the modules of a process that coordinate with other processes: on one goroutine, separate from the
+// loop of calls. It delivers the messages of other processes to the modules, carries out the actions that the modules
+// request, publishes the process's own entry and logs the modules' notes. Nothing in it delays a call, and its input
+// waits in bounded queues that count what they drop.
 package agent
 
 import (
@@ -18,332 +19,336 @@
 )
 
 const (
-	defaultLength = 1_000_000
-	// startDelay is how long parts are not made after the start.
-	startDelay   = 1_000_000
-	defaultQueue = 1024
-	// minInterval is the time between two of the own entry, and of two views, at least: modules may tell at every message.
-	minInterval = 50_000
-	// judgeInterval is how often it is looked who is suspected, where nothing new has come.
-	judgeInterval = 500_000
-	// warnInterval is the time between two lines of the log about one thing that goes on.
+	defaultWindowLength = 1_000_000
+	// moduleStartDelay is how long after the start the modules are created; see Config.Make.
+	moduleStartDelay = 1_000_000
+	defaultQueueSize = 1024
+	// minUpdateInterval is the minimum time between two publications of the own entry and between two views: a module
+	// may change its entry part at every message.
+	minUpdateInterval = 50_000
+	// suspicionInterval is how often suspicions are evaluated when nothing has changed.
+	suspicionInterval = 500_000
+	// warnInterval is the minimum time between two log lines about the same ongoing condition.
 	warnInterval = 60_000_000
-	// acts that run or wait at once; more are refused with an *ActError.
+	// maxActs limits the acts that run or whose end is not handled yet; further ones fail with an *ActError.
 	maxActs = 16
-	// maxLocal bounds what parts of one process tell each other within one round. Guards against two that never end.
-	maxLocal = 10_000
-	// stopWithin is how long Stop waits for acts that run.
-	stopWithin = 2 * time.Second
+	// maxSelfMessages limits the messages between modules of one process within one round, in case they never stop.
+	maxSelfMessages = 10_000
+	// stopTimeout is how long Stop waits for running acts.
+	stopTimeout = 2 * time.Second
 )
 
-// Agent is one process's agent.
+// Agent is the agent of one process.
 type Agent struct {
-	cfg      Config
-	parts    []fleet.Module
-	registry *fleet.Registry
-	views    *fleet.ViewHolder
-	log      *slog.Logger
-	posted   chan func(now int64, out *fleet.Out)
-	acts     chan ended
-	states   chan fleet.State
-	stop     chan struct{}
-	over     chan struct{}
-	once     sync.Once
-	doing    sync.WaitGroup
-	slots    chan struct{}
+	cfg         Config
+	modules     []fleet.Module
+	registry    *fleet.Registry
+	views       *fleet.ViewHolder
+	log         *slog.Logger
+	posted      chan func(now int64, out *fleet.Out)
+	endedActs   chan endedAct
+	states      chan fleet.State
+	stop        chan struct{}
+	stopped     chan struct{}
+	stopOnce    sync.Once
+	runningActs sync.WaitGroup
+	actSlots    chan struct{}
 
-	now     int64
-	out     fleet.Out
-	local   []fleet.Message
-	begun   int64 // of the window that is under way
-	windows []fleet.Window
-	cpu     int64
-	metrics *metrics
-	make    int64                // when parts are to be made; 0: they are
-	failed  []ended              // acts that were not begun; told in the next round
-	pending []func(*fleet.Entry) // changes of the own entry that are not told yet
-	told    int64                // when the own entry was last told
-	root    uint64               // digest of the registry that the net answers probes with
-	repair  *dissemination.Repair
-	seen    int64 // when views were last looked at
-	twice   int64 // when an entry that was passed by was last logged
-	warned  int64 // when it was last logged that traffic is over its budget
-	// refusedSeen is how many messages had been refused then.
-	refusedSeen uint64
+	now               int64
+	out               fleet.Out
+	selfMessages      []fleet.Message
+	windowStart       int64 // start time of the current window
+	windows           []fleet.Window
+	windowStartCPU    int64
+	metrics           *metrics
+	make              int64                // when to create the modules; 0: they have been created
+	failedActs        []endedAct           // acts that were refused; the modules are notified in the next round
+	pendingChanges    []func(*fleet.Entry) // changes of the own entry that are not published yet
+	lastPublished     int64                // time of the last publication of the own entry
+	publishedDigest   uint64               // digest of the registry with which the network answers probes
+	repair            *dissemination.Repair
+	lastView          int64 // time of the last view
+	lastEntryWarning  int64 // time of the last warning about a dropped entry
+	lastBudgetWarning int64 // time of the last warning about an exceeded traffic budget
+	// budgetRefusalsWarned is the number of refused messages at that warning.
+	budgetRefusalsWarned uint64
 
-	dropped, refused, notes, viewsMade atomic.Uint64
+	droppedPosts, refusedItems, noteCount, viewCount atomic.Uint64
 }
 
-// Views is where the newest view stands.
+// Views returns the holder of the latest view.
 func (a *Agent) Views() *fleet.ViewHolder { return a.views }
 
-// Post hands the parts something that was seen elsewhere, as in the loop of calls: f is called on the agent's goroutine, and
-// what it wants done is done. It never waits; false: the queue was full, and it was dropped and counted.
+// Post passes an observation made elsewhere, for example in the loop of calls, to the modules: f is called on the
+// agent's goroutine, and the actions that it requests are carried out. Post never blocks; if the queue is full, it
+// drops f, counts the drop and returns false.
 func (a *Agent) Post(f func(now int64, out *fleet.Out)) bool {
 	select {
 	case a.posted <- f:
 		return true
 	default:
-		a.dropped.Add(1)
+		a.droppedPosts.Add(1)
 		return false
 	}
 }
 
-// State says what the process does now; it is told to all.
+// State sets the state of the process and publishes it.
 func (a *Agent) State(s fleet.State) {
 	select {
 	case a.states <- s:
-	case <-a.over:
+	case <-a.stopped:
 	}
 }
 
-// Name tells anew where members are reached.
+// Name updates the addresses of the members.
 func (a *Agent) Name(addresses map[string]netip.AddrPort) { a.cfg.Net.Name(addresses) }
 
-// Goes says by which settings and roster the process goes from now on.
+// Goes publishes the settings and the roster that the process uses from now on.
 func (a *Agent) Goes(settings, roster uint64) bool {
 	return a.Post(func(int64, *fleet.Out) {
-		a.pending = append(a.pending, func(e *fleet.Entry) { e.Settings, e.Roster = settings, roster })
+		a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) { e.Settings, e.Roster = settings, roster })
 	})
 }
 
-// Stop tells the others that this process leaves, and ends the agent and its net. It returns when both have ended, so Run
+// Stop announces that this process leaves, and ends the agent and its network. It returns when both have ended, so Run
 // must have been called.
 func (a *Agent) Stop() {
-	a.once.Do(func() { close(a.stop) })
-	<-a.over
+	a.stopOnce.Do(func() { close(a.stop) })
+	<-a.stopped
 }
 
-// Run drives the parts until Stop.
+// Run runs the modules until Stop.
 func (a *Agent) Run() {
-	defer close(a.over)
+	defer close(a.stopped)
 	a.now = a.cfg.Clock()
-	a.begun, a.told, a.seen = a.now, a.now-minInterval, a.now-minInterval
-	a.cpu = processor()
+	a.windowStart, a.lastPublished, a.lastView = a.now, a.now-minUpdateInterval, a.now-minUpdateInterval
+	a.windowStartCPU = cpuTime()
 	a.cfg.Net.Spread(a.cfg.Self, fleet.Coded{Entry: a.registry.Write(func(*fleet.Entry) {})})
-	a.make = a.now + startDelay
+	a.make = a.now + moduleStartDelay
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	events := a.cfg.Net.Events()
 	for {
-		timer.Reset(time.Duration(max(0, min(a.next()-a.cfg.Clock(), 1_000_000))) * time.Microsecond)
+		timer.Reset(time.Duration(max(0, min(a.nextWake()-a.cfg.Clock(), 1_000_000))) * time.Microsecond)
 		select {
 		case <-a.stop:
-			a.leave()
+			a.shutDown()
 			return
-		case e, ok := <-events:
+		case event, ok := <-events:
 			if !ok {
-				events = nil // the net was closed under us; go on alone
+				events = nil // the network was closed by someone else; continue without it
 				break
 			}
-			a.clock()
-			a.event(e)
-			for range len(events) { // what waits is one round: one view for all of it
-				a.clock()
-				a.event(<-events)
+			a.updateClock()
+			a.handleEvent(event)
+			for range len(events) { // handle all waiting events in one round, with one view
+				a.updateClock()
+				a.handleEvent(<-events)
 			}
-		case f := <-a.posted:
-			a.clock()
-			f(a.now, &a.out)
-			a.carry()
-		case e := <-a.acts:
-			<-a.slots
-			a.clock()
-			a.done(e)
+		case post := <-a.posted:
+			a.updateClock()
+			post(a.now, &a.out)
+			a.carryOut()
+		case e := <-a.endedActs:
+			<-a.actSlots
+			a.updateClock()
+			a.actDone(e)
 		case s := <-a.states:
-			a.clock()
-			a.state(s)
+			a.updateClock()
+			a.setState(s)
 		case <-a.cfg.Wake:
-			a.clock()
-			for _, p := range a.parts {
-				p.Tick(a.now, &a.out)
-				a.carry()
+			a.updateClock()
+			for _, module := range a.modules {
+				module.Tick(a.now, &a.out)
+				a.carryOut()
 			}
 		case <-timer.C:
 		}
-		a.clock()
-		a.settle()
+		a.updateClock()
+		a.runDue()
 	}
 }
 
-func (a *Agent) clock() { a.now = max(a.now, a.cfg.Clock()) }
+func (a *Agent) updateClock() { a.now = max(a.now, a.cfg.Clock()) }
 
-// next is when the agent has to wake at the latest.
-func (a *Agent) next() int64 {
-	at := a.begun + a.length()
+// nextWake returns when the agent must wake at the latest.
+func (a *Agent) nextWake() int64 {
+	wake := a.windowStart + a.windowLength()
 	if a.make != 0 {
-		at = min(at, a.make)
+		wake = min(wake, a.make)
 	}
-	for _, p := range a.parts {
-		at = min(at, p.Next())
+	for _, module := range a.modules {
+		wake = min(wake, module.Next())
 	}
-	at = min(at, a.tellAt())
+	wake = min(wake, a.nextPublish())
 	if a.registry.Changed() {
-		return min(at, a.seen+a.viewInterval())
+		return min(wake, a.lastView+a.viewInterval())
 	}
-	return min(at, a.seen+judgeInterval)
+	return min(wake, a.lastView+suspicionInterval)
 }
 
-// tellAt is when the own entry is told: soon after a change, else at its heartbeat.
-func (a *Agent) tellAt() int64 {
-	if len(a.pending) > 0 {
-		return a.told + minInterval
+// nextPublish returns when the own entry is published: shortly after a change, otherwise at its heartbeat.
+func (a *Agent) nextPublish() int64 {
+	if len(a.pendingChanges) > 0 {
+		return a.lastPublished + minUpdateInterval
 	}
-	return a.told + fleet.DefaultHeartbeat*a.registry.IntervalFactor()
+	return a.lastPublished + fleet.DefaultHeartbeat*a.registry.IntervalFactor()
 }
 
-// settle does what has come due: parts' ticks, the window, the own entry, the view.
-func (a *Agent) settle() {
-	failed := a.failed
-	a.failed = nil
+// runDue runs what is due: the modules' ticks, the end of the window, the publication of the own entry and the view.
+func (a *Agent) runDue() {
+	failed := a.failedActs
+	a.failedActs = nil
 	for _, e := range failed {
-		a.done(e)
+		a.actDone(e)
 	}
 	if a.make != 0 && a.now >= a.make {
 		a.make = 0
-		a.begin()
+		a.startModules()
 	}
-	for _, p := range a.parts {
-		if p.Next() <= a.now {
-			p.Tick(a.now, &a.out)
-			a.carry()
+	for _, module := range a.modules {
+		if module.Next() <= a.now {
+			module.Tick(a.now, &a.out)
+			a.carryOut()
 		}
 	}
-	if a.now-a.begun >= a.length() {
-		a.window()
+	if a.now-a.windowStart >= a.windowLength() {
+		a.endWindow()
 	}
-	if a.now >= a.tellAt() {
-		a.tell()
+	if a.now >= a.nextPublish() {
+		a.publish()
 	}
-	if a.now-a.seen >= a.viewInterval() {
-		a.look()
+	if a.now-a.lastView >= a.viewInterval() {
+		a.updateView()
 	}
-	if root, _ := a.registry.Digest(); root != a.root {
-		a.root = root
+	if root, _ := a.registry.Digest(); root != a.publishedDigest {
+		a.publishedDigest = root
 		a.cfg.Net.Root(root)
 	}
 }
 
-// viewInterval is the time between two views at least: a view shows all members, so it is made more seldom where there are many.
-func (a *Agent) viewInterval() int64 { return minInterval * a.registry.IntervalFactor() }
+// viewInterval returns the minimum time between two views. A view lists all members, so it is built less often in a
+// large fleet.
+func (a *Agent) viewInterval() int64 { return minUpdateInterval * a.registry.IntervalFactor() }
 
-// look makes a view, if anything has changed, and shows it to all modules.
-func (a *Agent) look() {
-	a.seen = a.now
-	v := a.registry.View(a.now)
-	if v == nil {
+// updateView builds a view if anything has changed, and passes it to all modules.
+func (a *Agent) updateView() {
+	a.lastView = a.now
+	view := a.registry.View(a.now)
+	if view == nil {
 		return
 	}
-	a.viewsMade.Add(1)
-	a.views.Post(v)
-	a.speak(a.registry.Older() > 0)
-	for _, p := range a.parts {
-		p.View(a.now, v, &a.out)
-		a.carry()
+	a.viewCount.Add(1)
+	a.views.Post(view)
+	a.setWholeEntries(a.registry.Older() > 0)
+	for _, module := range a.modules {
+		module.View(a.now, view, &a.out)
+		a.carryOut()
 	}
 }
 
-// speak goes by what those who are heard can read: while one of them reads whole entries alone, windows stand in the own
-// entry, which is told with each of them.
-func (a *Agent) speak(older bool) {
+// setWholeEntries adapts to the members heard: while one of them reads only whole entries, the windows are part of the
+// own entry, which is published with each of them.
+func (a *Agent) setWholeEntries(older bool) {
 	if a.registry.Heads != older {
 		return
 	}
 	a.registry.Heads = !older
 	a.cfg.Net.Older(older)
-	a.log.Info("members of the version before are heard", "older", a.registry.Older())
-	a.tell()
+	a.log.Info("switched the entry format for members of the previous version", "older", a.registry.Older())
+	a.publish()
 }
 
-// begin makes the parts for this life and starts them.
-func (a *Agent) begin() {
+// startModules creates the modules for the current incarnation and starts them.
+func (a *Agent) startModules() {
 	if a.cfg.Make == nil {
 		return
 	}
-	a.local = nil
-	a.parts = a.cfg.Make(a.registry.Own().Incarnation)
-	for _, p := range a.parts {
-		p.Start(a.now, &a.out)
-		a.carry()
+	a.selfMessages = nil
+	a.modules = a.cfg.Make(a.registry.Own().Incarnation)
+	for _, module := range a.modules {
+		module.Start(a.now, &a.out)
+		a.carryOut()
 	}
-	if v := a.views.Read(); v != nil {
-		for _, p := range a.parts {
-			p.View(a.now, v, &a.out)
-			a.carry()
+	if view := a.views.Read(); view != nil {
+		for _, module := range a.modules {
+			module.View(a.now, view, &a.out)
+			a.carryOut()
 		}
 	}
 }
 
-// event takes one thing from the net.
-func (a *Agent) event(e fleetnet.Event) {
-	switch e.Kind {
+// handleEvent handles an event of the network.
+func (a *Agent) handleEvent(event fleetnet.Event) {
+	switch event.Kind {
 	case fleetnet.Message:
-		a.deliver(e.Msg)
-		a.carry()
+		a.deliverMessage(event.Msg)
+		a.carryOut()
 	case fleetnet.Entry:
-		if failpoint.On("deaf-own") && ofName(e.Bytes, a.cfg.Self) {
+		if failpoint.On("deaf-own") && isEntryOf(event.Bytes, a.cfg.Self) {
 			return
 		}
-		name, spread, err := a.registry.Take(a.now, e.Bytes)
-		a.passedBy(err)
+		name, spread, err := a.registry.Take(a.now, event.Bytes)
+		a.warnOfEntry(err)
 		if spread != nil {
-			a.passOn(name, fleet.Coded{Entry: spread}, e.Passed)
+			a.spreadNews(name, fleet.Coded{Entry: spread}, event.Passed)
 		}
 	case fleetnet.Update:
-		if failpoint.On("deaf-own") && updateOfName(e.Bytes, a.cfg.Self) {
+		if failpoint.On("deaf-own") && isUpdateOf(event.Bytes, a.cfg.Self) {
 			return
 		}
-		name, spread, err := a.registry.TakeUpdate(a.now, e.Bytes)
-		a.passedBy(err)
+		name, spread, err := a.registry.TakeUpdate(a.now, event.Bytes)
+		a.warnOfEntry(err)
 		if spread != nil {
-			a.passOn(name, *spread, e.Passed)
+			a.spreadNews(name, *spread, event.Passed)
 		}
 	case fleetnet.Root:
-		a.repair.Root(a.now, e.Name, e.Digest, &a.out)
-		a.carry()
+		a.repair.Root(a.now, event.Name, event.Digest, &a.out)
+		a.carryOut()
 	case fleetnet.Up:
-		a.registry.Up(a.now, e.Name)
+		a.registry.Up(a.now, event.Name)
 	case fleetnet.Gone:
-		a.registry.Gone(a.now, e.Name)
+		a.registry.Gone(a.now, event.Name)
 	}
 }
 
-// passedBy logs, now and then, an entry or an update that was passed by.
-func (a *Agent) passedBy(err error) {
-	if err == nil || a.twice != 0 && a.now-a.twice <= warnInterval {
+// warnOfEntry logs a dropped entry or update, at most once per warnInterval.
+func (a *Agent) warnOfEntry(err error) {
+	if err == nil || a.lastEntryWarning != 0 && a.now-a.lastEntryWarning <= warnInterval {
 		return
 	}
-	a.twice = a.now
-	a.log.Warn("entry passed by", "error", err, advice.Attr(err))
+	a.lastEntryWarning = a.now
+	a.log.Warn("entry dropped", "error", err, advice.Attr(err))
 }
 
-// passOn spreads what was news, unless it came by repair: then others know it. Where it is of this process itself, that had to
-// take a higher incarnation.
-func (a *Agent) passOn(name string, newest fleet.Coded, passed bool) {
-	if passed && name != a.cfg.Self {
+// spreadNews spreads a new entry, unless it came by repair: the other members know it then. If the entry is the
+// process's own, the process had to take a higher incarnation.
+func (a *Agent) spreadNews(name string, newest fleet.Coded, byRepair bool) {
+	if byRepair && name != a.cfg.Self {
 		a.cfg.Net.Keep(name, newest)
 		return
 	}
 	a.cfg.Net.Spread(name, newest)
-	if name == a.cfg.Self && a.make == 0 { // the modules' messages were those of a lower one
-		a.log.Info("a later life under this name is taken", "life", a.registry.Own().Incarnation)
-		a.begin()
+	if name == a.cfg.Self && a.make == 0 { // the modules' messages carried the lower incarnation
+		a.log.Info("heard of a later incarnation of this process; took a higher one", "life",
+			a.registry.Own().Incarnation)
+		a.startModules()
 	}
 }
 
-func (a *Agent) state(s fleet.State) {
+func (a *Agent) setState(s fleet.State) {
 	if a.registry.Own().State >= s {
-		return // lives do not run backwards
+		return // states never go back
 	}
-	a.pending = append(a.pending, func(e *fleet.Entry) { e.State = s })
-	a.tell()
-	a.log.Info("fleet", "self", a.cfg.Self, "state", uint8(s))
+	a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) { e.State = s })
+	a.publish()
+	a.log.Info("process state changed", "self", a.cfg.Self, "state", uint8(s))
 }
 
-// tell makes the changes of the own entry that wait, and spreads it.
-func (a *Agent) tell() {
-	changes := a.pending
-	a.pending, a.told = nil, a.now
+// publish applies the pending changes to the own entry and spreads it.
+func (a *Agent) publish() {
+	changes := a.pendingChanges
+	a.pendingChanges, a.lastPublished = nil, a.now
 	a.cfg.Net.Spread(a.cfg.Self, a.registry.Change(func(e *fleet.Entry) {
 		for _, change := range changes {
 			change(e)
@@ -351,18 +356,18 @@
 	}))
 }
 
-// leave says that this process goes, and ends.
-func (a *Agent) leave() {
-	a.clock()
-	a.state(fleet.Leaving)
+// shutDown announces that this process leaves, and stops.
+func (a *Agent) shutDown() {
+	a.updateClock()
+	a.setState(fleet.Leaving)
 	a.cfg.Net.Leave()
 	a.cfg.Net.Close()
-	// Acts that run find room in their channel. Guards against waiting for one that never ends.
-	ends := make(chan struct{})
-	go func() { a.doing.Wait(); close(ends) }()
+	// Running acts have room in their channel. The timeout covers acts that never end.
+	done := make(chan struct{})
+	go func() { a.runningActs.Wait(); close(done) }()
 	select {
-	case <-ends:
-	case <-time.After(stopWithin):
-		a.log.Warn("acts still run at the end")
+	case <-done:
+	case <-time.After(stopTimeout):
+		a.log.Warn("acts still running at shutdown")
 	}
 }
--- a/internal/agent/claimer.go
+++ b/internal/agent/claimer.go
@@ -12,96 +12,99 @@
 	"pewterwheel/internal/lease"
 )
 
-// actEvery is how often a claimer acts on what it holds.
-const actEvery = 20_000
+// actInterval is how often a claimer acts on the resource it holds.
+const actInterval = 20_000
 
-// Claimer claims the thing that the failpoint "claim" names, and notes each time that it acts on it: until when it may by its
-// grant, and in N how much of that was left when it looked. It is in builds for tests alone. With "claim-unasked" it is
-// broken: it acts on what it was granted once, and does not look whether it still holds it.
+// Claimer claims the resource that the failpoint "claim" names and adds a note each time it acts on it: the expiry of
+// its grant in Until, and the remaining time in N. It exists only in test builds. With the failpoint "claim-unasked" it
+// is faulty: it acts on an earlier grant without checking that it still holds the resource.
 type Claimer struct {
-	Lessor lease.Lessor
-	thing  string
-	next   int64
-	last   lease.Grant
+	Lessor    lease.Lessor
+	resource  string
+	nextAct   int64
+	lastGrant lease.Grant
 }
 
-// NewClaimer returns a claimer; none if the failpoint is off.
+// NewClaimer returns a claimer, or none if the failpoint is off.
 func NewClaimer(l lease.Lessor) []fleet.Module {
 	if l == nil || failpoint.Value("claim") == "" {
 		return nil
 	}
-	return []fleet.Module{&Claimer{Lessor: l, thing: failpoint.Value("claim"), next: math.MaxInt64}}
+	return []fleet.Module{&Claimer{Lessor: l, resource: failpoint.Value("claim"), nextAct: math.MaxInt64}}
 }
 
-// Kind is one that nobody speaks.
+// Kind returns a kind that no message has.
 func (c *Claimer) Kind() fleet.Kind { return 255 }
 
-// Start claims.
+// Start claims the resource.
 func (c *Claimer) Start(now int64, out *fleet.Out) {
-	c.Lessor.Claim(now, c.thing, out)
-	c.next = now + actEvery
+	c.Lessor.Claim(now, c.resource, out)
+	c.nextAct = now + actInterval
 }
 
-// Tick acts, if it may.
+// Tick acts if the resource is held.
 func (c *Claimer) Tick(now int64, out *fleet.Out) {
-	c.next = now + actEvery
-	g, held := c.Lessor.Held(now, c.thing)
+	c.nextAct = now + actInterval
+	g, held := c.Lessor.Held(now, c.resource)
 	if held {
-		c.last = g
-	} else if !failpoint.On("claim-unasked") || c.last.Fence == 0 {
+		c.lastGrant = g
+	} else if !failpoint.On("claim-unasked") || c.lastGrant.Fence == 0 {
 		return
 	}
-	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "acting", Thing: c.thing, Fence: c.last.Fence, Until: c.last.Until,
-		N: c.last.Until - now})
+	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "acting", Thing: c.resource,
+		Fence: c.lastGrant.Fence, Until: c.lastGrant.Until,
+		N: c.lastGrant.Until - now})
 }
 
-// Next is when it acts.
-func (c *Claimer) Next() int64 { return c.next }
+// Next returns when the claimer acts next.
+func (c *Claimer) Next() int64 { return c.nextAct }
 
-// Message brings nothing.
+// Message does nothing.
 func (c *Claimer) Message(int64, fleet.Message, *fleet.Out) {}
 
-// View is not looked at.
+// View does nothing.
 func (c *Claimer) View(int64, *fleet.View, *fleet.Out) {}
 
-// Done is of nothing that it asked for.
+// Done does nothing: a Claimer requests no acts.
 func (c *Claimer) Done(int64, fleet.Act, error, *fleet.Out) {}
 
-// Figures has none.
+// Figures reports no metrics.
 func (c *Claimer) Figures(func(string, uint64, bool)) {}
 
-// Watcher notes what its process sees of each process, itself included, whenever that changes: the life as Fence, the state in
-// N, with 10 more if it is suspected, and the version as Text. One that is no longer in the view is "unseen".
-type Watcher struct{ seen map[string]fleet.Note }
+// Watcher adds a note whenever its process's view of a process changes, itself included: the incarnation in Fence, the
+// state in N, plus 10 if the process is suspected, and the version in Text. A process that is no longer in the view is
+// noted as "unseen".
+type Watcher struct{ lastSeen map[string]fleet.Note }
 
-// NewWatcher returns a watcher that has seen nobody.
+// NewWatcher returns a watcher that has not seen any process.
 func NewWatcher() *Watcher { return &Watcher{map[string]fleet.Note{}} }
 
-// View compares a view with the last.
-func (w *Watcher) View(_ int64, v *fleet.View, out *fleet.Out) {
-	here := map[string]bool{}
-	for i := range v.Members {
-		m := &v.Members[i]
-		n := fleet.Note{Kind: w.Kind(), What: "sees", Thing: m.Name, Fence: m.Incarnation, N: int64(m.State), Text: m.Program}
-		if m.Suspect {
-			n.N += 10
+// View compares a view with the previous one.
+func (w *Watcher) View(_ int64, view *fleet.View, out *fleet.Out) {
+	present := map[string]bool{}
+	for i := range view.Members {
+		member := &view.Members[i]
+		note := fleet.Note{Kind: w.Kind(), What: "sees", Thing: member.Name, Fence: member.Incarnation,
+			N: int64(member.State), Text: member.Program}
+		if member.Suspect {
+			note.N += 10
 		}
-		if here[m.Name] = true; w.seen[m.Name] != n {
-			w.seen[m.Name] = n
-			out.Notes = append(out.Notes, n)
+		if present[member.Name] = true; w.lastSeen[member.Name] != note {
+			w.lastSeen[member.Name] = note
+			out.Notes = append(out.Notes, note)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.seen)) {
-		if !here[name] {
-			n := w.seen[name]
-			n.What = "unseen"
-			out.Notes = append(out.Notes, n)
-			delete(w.seen, name)
+	for _, name := range slices.Sorted(maps.Keys(w.lastSeen)) {
+		if !present[name] {
+			note := w.lastSeen[name]
+			note.What = "unseen"
+			out.Notes = append(out.Notes, note)
+			delete(w.lastSeen, name)
 		}
 	}
 }
 
-// Kind is one that nobody speaks.
+// Kind returns a kind that no message has.
 func (w *Watcher) Kind() fleet.Kind { return 254 }
 
 // Start does nothing.
@@ -110,14 +113,14 @@
 // Tick is never called.
 func (w *Watcher) Tick(int64, *fleet.Out) {}
 
-// Next is never.
+// Next returns no time.
 func (w *Watcher) Next() int64 { return math.MaxInt64 }
 
-// Message brings nothing.
+// Message does nothing.
 func (w *Watcher) Message(int64, fleet.Message, *fleet.Out) {}
 
-// Done is of nothing that it asked for.
+// Done does nothing: a Watcher requests no acts.
 func (w *Watcher) Done(int64, fleet.Act, error, *fleet.Out) {}
 
-// Figures has none.
+// Figures reports no metrics.
 func (w *Watcher) Figures(func(string, uint64, bool)) {}
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -8,19 +8,19 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// figure is one figure of a snapshot.
-type figure struct {
+// metric is one value of a snapshot.
+type metric struct {
 	name  string
-	n     uint64
+	value uint64
 	gauge bool
 }
 
-// metrics are an agent's figures as they were at the end of the last window: an immutable snapshot, so that anybody may ask
-// at any time. They are gathered by a registry of the process's own, to which others may add; nothing here listens.
+// metrics holds an agent's metrics as of the end of the last window, in an immutable snapshot that can be read at any
+// time. They are gathered by a registry of this process, to which others may add; it does not listen on any address.
 type metrics struct {
 	registry *prometheus.Registry
-	now      []figure // of the agent's goroutine
-	snapshot atomic.Pointer[[]figure]
+	current  []metric // used only by the agent's goroutine
+	snapshot atomic.Pointer[[]metric]
 }
 
 func newMetrics() *metrics {
@@ -29,43 +29,44 @@
 	return m
 }
 
-// Describe tells of nothing: which figures there are is for the parts to say.
+// Describe sends no descriptions: the modules determine which metrics exist.
 func (m *metrics) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives what the parts said last.
+// Collect sends the latest metrics of the modules.
 func (m *metrics) Collect(to chan<- prometheus.Metric) {
-	for _, f := range m.now {
+	for _, f := range m.current {
 		kind := prometheus.CounterValue
 		if f.gauge {
 			kind = prometheus.GaugeValue
 		}
 		desc := prometheus.NewDesc(strings.ReplaceAll(f.name, ".", "_"), f.name, nil, nil)
-		to <- prometheus.MustNewConstMetric(desc, kind, float64(f.n))
+		to <- prometheus.MustNewConstMetric(desc, kind, float64(f.value))
 	}
 }
 
-// set takes new figures; the agent's goroutine alone. Of two parts' figures under one name the snapshot before stays.
-func (m *metrics) set(fs []figure) error {
-	m.now = fs
+// set replaces the metrics. Only the agent's goroutine calls it. If two modules report the same name, the previous
+// snapshot is kept.
+func (m *metrics) set(current []metric) error {
+	m.current = current
 	families, err := m.registry.Gather()
 	if err != nil {
 		return err
 	}
-	var all []figure
-	for _, f := range families {
-		for _, x := range f.GetMetric() {
-			n, gauge := x.GetCounter().GetValue(), f.GetType() == dto.MetricType_GAUGE
+	var all []metric
+	for _, family := range families {
+		for _, sample := range family.GetMetric() {
+			n, gauge := sample.GetCounter().GetValue(), family.GetType() == dto.MetricType_GAUGE
 			if gauge {
-				n = x.GetGauge().GetValue()
+				n = sample.GetGauge().GetValue()
 			}
-			all = append(all, figure{f.GetName(), uint64(n), gauge})
+			all = append(all, metric{family.GetName(), uint64(n), gauge})
 		}
 	}
 	m.snapshot.Store(&all)
 	return nil
 }
 
-func (m *metrics) gathered() []figure {
+func (m *metrics) gathered() []metric {
 	if fs := m.snapshot.Load(); fs != nil {
 		return *fs
 	}
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -8,128 +8,130 @@
 	"pewterwheel/internal/fleet"
 )
 
-type ended struct {
+type endedAct struct {
 	act fleet.Act
 	err error
 }
 
-func (a *Agent) deliver(m fleet.Message) {
-	if m.Kind == fleet.Repair {
-		a.repair.Message(a.now, m, &a.out)
+func (a *Agent) deliverMessage(message fleet.Message) {
+	if message.Kind == fleet.Repair {
+		a.repair.Message(a.now, message, &a.out)
 		return
 	}
-	for _, p := range a.parts {
-		if p.Kind() == m.Kind {
-			p.Message(a.now, m, &a.out)
+	for _, module := range a.modules {
+		if module.Kind() == message.Kind {
+			module.Message(a.now, message, &a.out)
 			return
 		}
 	}
-	a.refused.Add(1)
+	a.refusedItems.Add(1)
 }
 
-func (a *Agent) done(e ended) {
-	if e.err != nil {
-		a.log.Warn("act failed", "what", e.act.What, "number", e.act.Number, "error", e.err, advice.Attr(e.err))
+func (a *Agent) actDone(end endedAct) {
+	if end.err != nil {
+		a.log.Warn("act failed", "what", end.act.What, "number", end.act.Number, "error", end.err, advice.Attr(end.err))
 	}
-	for _, p := range a.parts {
-		if p.Kind() == e.act.Kind {
-			p.Done(a.now, e.act, e.err, &a.out)
-			a.carry()
+	for _, module := range a.modules {
+		if module.Kind() == end.act.Kind {
+			module.Done(a.now, end.act, end.err, &a.out)
+			a.carryOut()
 			return
 		}
 	}
 }
 
-// carry does what a part wants done, in order, and what comes of it within this process.
-func (a *Agent) carry() {
-	for range maxLocal {
+// carryOut carries out the actions that a module requested, in order, and handles the resulting messages within this
+// process.
+func (a *Agent) carryOut() {
+	for range maxSelfMessages {
 		out := a.out
 		a.out = fleet.Out{}
-		for _, n := range out.Notes {
-			a.note(n)
+		for _, note := range out.Notes {
+			a.logNote(note)
 		}
-		for _, k := range slices.Sorted(maps.Keys(out.Parts)) {
-			a.keep(k, out.Parts[k])
+		for _, kind := range slices.Sorted(maps.Keys(out.Parts)) {
+			a.setEntryPart(kind, out.Parts[kind])
 		}
-		for _, m := range out.Send {
-			m.From = a.cfg.Self
-			if m.To == a.cfg.Self {
-				a.local = append(a.local, m)
+		for _, message := range out.Send {
+			message.From = a.cfg.Self
+			if message.To == a.cfg.Self {
+				a.selfMessages = append(a.selfMessages, message)
 				continue
 			}
-			if err := a.cfg.Net.Send(m); err != nil {
-				a.log.Debug("message not sent", "to", m.To, "kind", m.Kind, "error", err, advice.Attr(err))
+			if err := a.cfg.Net.Send(message); err != nil {
+				a.log.Debug("message not sent", "to", message.To, "kind", message.Kind, "error", err, advice.Attr(err))
 			}
 		}
 		for _, act := range out.Acts {
-			a.act(act)
+			a.startAct(act)
 		}
 		for _, heard := range out.Heard {
 			a.registry.AddWindow(heard)
 		}
-		for _, p := range out.Pass {
-			a.pass(p)
+		for _, passed := range out.Pass {
+			a.passEntry(passed)
 		}
-		if len(a.local) == 0 {
+		if len(a.selfMessages) == 0 {
 			return
 		}
-		m := a.local[0]
-		if a.local = a.local[1:]; len(a.local) == 0 {
-			a.local = nil
+		m := a.selfMessages[0]
+		if a.selfMessages = a.selfMessages[1:]; len(a.selfMessages) == 0 {
+			a.selfMessages = nil
 		}
-		a.deliver(m)
+		a.deliverMessage(m)
 	}
-	a.log.Error("parts of one process go on telling each other", "waiting", len(a.local))
-	a.refused.Add(uint64(len(a.local)))
-	a.local, a.out = nil, fleet.Out{} // else the next round would go on with it
+	a.log.Error("modules keep sending messages to each other; dropped the rest", "waiting", len(a.selfMessages))
+	a.refusedItems.Add(uint64(len(a.selfMessages)))
+	a.selfMessages, a.out = nil, fleet.Out{} // otherwise the next round would continue with them
 }
 
-// pass sends one process what is known of another.
-func (a *Agent) pass(p fleet.PassedEntry) {
-	known, ok := a.registry.Coded(p.Name)
+// passEntry sends a process the known entry of another one.
+func (a *Agent) passEntry(passed fleet.PassedEntry) {
+	known, ok := a.registry.Coded(passed.Name)
 	if !ok {
 		return
 	}
-	if err := a.cfg.Net.Pass(p.To, known); err != nil {
-		a.log.Debug("message not sent", "to", p.To, "kind", fleet.Repair, "error", err, advice.Attr(err))
+	if err := a.cfg.Net.Pass(passed.To, known); err != nil {
+		a.log.Debug("message not sent", "to", passed.To, "kind", fleet.Repair, "error", err, advice.Attr(err))
 	}
 }
 
-// keep puts a part's own contents into the process's entry, to be told soon.
-func (a *Agent) keep(k fleet.Kind, body []byte) {
+// setEntryPart stores a module's part of the own entry, to be published soon.
+func (a *Agent) setEntryPart(kind fleet.Kind, body []byte) {
 	if len(body) > fleet.MaxBody {
-		a.refused.Add(1)
+		a.refusedItems.Add(1)
 		return
 	}
-	a.pending = append(a.pending, func(e *fleet.Entry) {
+	a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) {
 		if e.Parts == nil {
 			e.Parts = map[fleet.Kind][]byte{}
 		}
-		e.Parts[k] = body
+		e.Parts[kind] = body
 	})
 }
 
-// act starts an act on a goroutine of its own. Its end comes back through a channel with room for all that run.
-func (a *Agent) act(act fleet.Act) {
+// startAct starts an act on its own goroutine. Its result comes back through a channel with room for all running acts.
+func (a *Agent) startAct(act fleet.Act) {
 	select {
-	case a.slots <- struct{}{}:
+	case a.actSlots <- struct{}{}:
 	default:
-		a.refused.Add(1)
-		a.failed = append(a.failed, ended{act, &ActError{act.What, "too many run"}})
+		a.refusedItems.Add(1)
+		a.failedActs = append(a.failedActs, endedAct{act, &ActError{act.What, "too many acts are running"}})
 		return
 	}
-	a.doing.Go(func() {
-		a.acts <- ended{act, a.cfg.Do(act)} // there is room for all that have a slot
+	a.runningActs.Go(func() {
+		a.endedActs <- endedAct{act, a.cfg.Do(act)} // there is room for every act that has a slot
 	})
 }
 
-// note logs a part's note with the machine's time, so that the logs of several processes can be laid side by side.
-func (a *Agent) note(n fleet.Note) {
-	a.notes.Add(1)
+// logNote logs a module's note with the machine's time, so that logs of several processes can be correlated.
+func (a *Agent) logNote(note fleet.Note) {
+	a.noteCount.Add(1)
 	mono, until := Monotonic(), int64(0)
-	if n.Until != 0 {
-		until = mono + n.Until - a.cfg.Clock()
+	if note.Until != 0 {
+		until = mono + note.Until - a.cfg.Clock()
 	}
-	a.log.Debug("noted", "kind", uint8(n.Kind), "what", n.What, "thing", n.Thing, "fence", n.Fence, "until", until, "n", n.N, "text", n.Text,
+	a.log.Debug("noted", "kind", uint8(note.Kind), "what", note.What, "thing", note.Thing, "fence", note.Fence, "until",
+		until, "n", note.N, "text", note.Text,
 		"self", a.cfg.Self, "mono", mono)
 }
