--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -73,7 +73,7 @@
 	// budgetRefusalsWarned is the number of refused messages at that warning.
 	budgetRefusalsWarned uint64
 
-	droppedPosts, refusedItems, noteCount, viewCount atomic.Uint64
+	droppedPosts, refusedCount, noteCount, viewCount atomic.Uint64
 }
 
 // Views returns the holder of the latest view.
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -24,7 +24,7 @@
 	// Make creates the modules, at most one per kind, for the given incarnation. It is called when the process has had
 	// time to hear of an earlier incarnation of its own, whose clock may have been ahead, and again, for modules
 	// without state, if it hears of one later.
-	Make  func(life uint64) []fleet.Module
+	Make  func(incarnation uint64) []fleet.Module
 	First map[fleet.Kind][]byte // initial parts of the own entry, until the modules set theirs
 	Wake  <-chan struct{}       // requests a Tick of all modules before it is due; nil: none
 	// Do carries out an act. It runs on a goroutine of the agent and may block. Its result goes to Module.Done. If Do
@@ -112,12 +112,13 @@
 	a := &Agent{cfg: cfg, views: cfg.Views, log: cfg.Log, posted: make(chan func(int64, *fleet.Out), cfg.QueueSize),
 		endedActs: make(chan endedAct, maxActs), states: make(chan fleet.State, 8), stop: make(chan struct{}),
 		stopped: make(chan struct{}), actSlots: make(chan struct{}, maxActs), metrics: newMetrics()}
-	life := uint64(max(1, cfg.Wall()))
-	a.registry = fleet.NewRegistry(fleet.Entry{Name: cfg.Self, Incarnation: life, Zone: cfg.Zone, Program: cfg.Program,
+	incarnation := uint64(max(1, cfg.Wall()))
+	a.registry = fleet.NewRegistry(fleet.Entry{Name: cfg.Self, Incarnation: incarnation, Zone: cfg.Zone,
+		Program:  cfg.Program,
 		Settings: cfg.Settings, Roster: cfg.Roster, Protocol: fleet.ProtocolHeads, State: fleet.Starting,
 		Parts: cfg.First})
 	a.registry.Heads = true
-	a.repair = dissemination.NewRepair(dissemination.RepairConfig{Self: cfg.Self, Seed: life}, a.registry)
+	a.repair = dissemination.NewRepair(dissemination.RepairConfig{Self: cfg.Self, Seed: incarnation}, a.registry)
 	a.registry.Stale, a.registry.Absent = cfg.Stale, cfg.Absent
 	if failpoint.On("gone-is-left") {
 		a.registry.Absent = 1
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -97,7 +97,7 @@
 	put("fleet_views", a.viewCount.Load(), false)
 	put("fleet_notes", a.noteCount.Load(), false)
 	put("fleet_posts_dropped", a.droppedPosts.Load(), false)
-	put("fleet_refused", a.refusedItems.Load(), false)
+	put("fleet_refused", a.refusedCount.Load(), false)
 	a.cfg.Net.Figures(put)
 	a.repair.Figures(put)
 	for _, module := range a.modules {
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -24,7 +24,7 @@
 			return
 		}
 	}
-	a.refusedItems.Add(1)
+	a.refusedCount.Add(1)
 }
 
 func (a *Agent) actDone(end endedAct) {
@@ -81,7 +81,7 @@
 		a.deliverMessage(m)
 	}
 	a.log.Error("modules keep sending messages to each other; dropped the rest", "waiting", len(a.selfMessages))
-	a.refusedItems.Add(uint64(len(a.selfMessages)))
+	a.refusedCount.Add(uint64(len(a.selfMessages)))
 	a.selfMessages, a.out = nil, fleet.Out{} // otherwise the next round would continue with them
 }
 
@@ -99,7 +99,7 @@
 // setEntryPart stores a module's part of the own entry, to be published soon.
 func (a *Agent) setEntryPart(kind fleet.Kind, body []byte) {
 	if len(body) > fleet.MaxBody {
-		a.refusedItems.Add(1)
+		a.refusedCount.Add(1)
 		return
 	}
 	a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) {
@@ -115,7 +115,7 @@
 	select {
 	case a.actSlots <- struct{}{}:
 	default:
-		a.refusedItems.Add(1)
+		a.refusedCount.Add(1)
 		a.failedActs = append(a.failedActs, endedAct{act, &ActError{act.What, "too many acts are running"}})
 		return
 	}
--- a/internal/lease/chaos_test.go
+++ b/internal/lease/chaos_test.go
@@ -29,7 +29,7 @@
 	*simulation
 	draw       func(n int) int
 	pool       []string
-	links      map[[2]string]bool
+	cutLinks   map[[2]string]bool
 	writeCount int
 }
 
@@ -38,8 +38,8 @@
 	sim := newSimulation(seed, pool, Config{Names: pool[:electors], Electors: electors, Lease: 1_000_000, Drift: 0.1},
 		overrides)
 	sim.resources = []string{"a", "b"}
-	c := &chaos{simulation: sim, draw: draw, pool: pool, links: map[[2]string]bool{}}
-	sim.cut = func(from, to string) bool { return c.links[[2]string{from, to}] }
+	c := &chaos{simulation: sim, draw: draw, pool: pool, cutLinks: map[[2]string]bool{}}
+	sim.cut = func(from, to string) bool { return c.cutLinks[[2]string{from, to}] }
 	for _, proc := range sim.processes {
 		proc.rate = 1
 		if draw(2) == 0 {
@@ -147,20 +147,20 @@
 		for _, a := range c.pool {
 			for _, b := range c.pool {
 				if side[a] && !side[b] {
-					c.links[[2]string{a, b}] = true
-					c.links[[2]string{b, a}] = !oneWay
+					c.cutLinks[[2]string{a, b}] = true
+					c.cutLinks[[2]string{b, a}] = !oneWay
 				}
 			}
 		}
 	}},
-	{"heal", 4, func(c *chaos) { clear(c.links) }},
+	{"heal", 4, func(c *chaos) { clear(c.cutLinks) }},
 	{"weather", 2, func(c *chaos) {
 		c.loss, c.duplication, c.lateness = float64(c.draw(4))*0.1, float64(c.draw(3))*0.2, float64(c.draw(3))*0.1
 		c.delay = []float64{500, 500, 5_000, 20_000, 100_000}[c.draw(5)]
 	}},
 	{"roster", 2, func(c *chaos) {
 		n := uint64(len(c.rosters))
-		// A new roster is written only after all running processes have taken the last one and would accept the next
+		// A new roster is written only after all running processes have taken the last one and would accept the next.
 		for _, proc := range c.processes {
 			if !proc.up || proc.roster < n || proc.part.SetRoster(proc.clock(c.now), n+1, nil) == nil ||
 				c.now*proc.rate+proc.offset < float64(proc.part.bothMajoritiesUntil) {
@@ -189,23 +189,23 @@
 	names := c.rosters[proc.roster]
 	c.do(proc, func(now int64, out *fleet.Out) {
 		err := proc.part.SetRoster(now, proc.roster+1, names)
-		var young *RosterYoungError
+		var incomplete *RosterYoungError
 		if err == nil {
 			proc.roster, proc.names = proc.roster+1, names
-		} else if !errors.As(err, &young) {
+		} else if !errors.As(err, &incomplete) {
 			c.fail("roster %d after %d: %v", proc.roster+1, proc.roster, err)
 		}
 	})
 }
 
 func (c *chaos) step() string {
-	all := 0
+	total := 0
 	for _, s := range chaosSteps {
-		all += s.weight
+		total += s.weight
 	}
-	x := c.draw(all)
+	remaining := c.draw(total)
 	for _, s := range chaosSteps {
-		if x -= s.weight; x < 0 {
+		if remaining -= s.weight; remaining < 0 {
 			s.do(c)
 			return s.name
 		}
@@ -215,7 +215,7 @@
 
 // endFaults ends all faults; then each claimed resource must be held.
 func (c *chaos) endFaults() {
-	clear(c.links)
+	clear(c.cutLinks)
 	c.loss, c.duplication, c.lateness, c.delay = 0, 0, 0, 500
 	for _, proc := range c.processes {
 		proc.frozen = false
@@ -259,7 +259,7 @@
 func TestChaos(t *testing.T) {
 	for _, electors := range []int{5, 7} {
 		t.Run(fmt.Sprint(electors), func(t *testing.T) {
-			grants, carried, rosters := 0, 0, 0
+			grants, preserved, rosters := 0, 0, 0
 			rapid.Check(t, func(t *rapid.T) {
 				c := newChaos(rapid.Uint64().Draw(t, "seed"), electors, testOverrides{},
 					func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") })
@@ -271,9 +271,9 @@
 				if c.endFaults(); c.violation != "" {
 					t.Fatal(c.violation)
 				}
-				grants, carried, rosters = grants+c.grants, carried+c.recordsCarried, rosters+len(c.rosters)-1
+				grants, preserved, rosters = grants+c.grants, preserved+c.recordsPreserved, rosters+len(c.rosters)-1
 			})
-			t.Logf("%d grants, %d that had to preserve a record, %d rosters", grants, carried, rosters)
+			t.Logf("%d grants, %d that had to preserve a record, %d rosters", grants, preserved, rosters)
 		})
 	}
 }
@@ -281,49 +281,51 @@
 var extraSeeds = flag.Int("lease.seeds", 0, "number of additional seeds to run")
 
 func TestChaosSeeds(t *testing.T) {
-	grants, carried, rosters := 0, 0, 0
+	grants, preserved, rosters := 0, 0, 0
 	for seed := range uint64(*extraSeeds) {
 		c := playSeed(seed, 3+2*int(seed%3), 150, testOverrides{})
 		if c.violation != "" {
 			t.Errorf("seed %d: %s", seed, c.violation)
 		}
-		grants, carried, rosters = grants+c.grants, carried+c.recordsCarried, rosters+len(c.rosters)-1
+		grants, preserved, rosters = grants+c.grants, preserved+c.recordsPreserved, rosters+len(c.rosters)-1
 	}
-	t.Logf("%d grants, %d that had to preserve a record, %d rosters", grants, carried, rosters)
+	t.Logf("%d grants, %d that had to preserve a record, %d rosters", grants, preserved, rosters)
 }
 
 // Each disabled safeguard must be detected by the rule that it protects: here by random schedules from the given seed
 // on, in TestSearchSafeguards by the state search.
 func TestSafeguards(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		doctor   testOverrides
-		want     string
-		electors int
-		seed     uint64 // first seed of the schedules
+		name      string
+		overrides testOverrides
+		want      string
+		electors  int
+		seed      uint64 // first seed of the schedules
 	}{
 		{"the wait after a start", testOverrides{noStartWait: true}, "two holders", 3, 56},
 		{"the recovery before voting", testOverrides{noRecovery: true}, "lost write", 3, 18},
 		{"the drift margin", testOverrides{noDriftMargin: true}, "two holders", 3, 51},
-		{"counting from before the question", testOverrides{countFromReply: true}, "two holders", 3, 211},
-		{"both majorities", testOverrides{currentMajorityOnly: true}, "two holders", 3, 2},
+		{"counting votes from the request", testOverrides{countFromReply: true}, "two holders", 3, 211},
+		{"majorities of both rosters", testOverrides{currentMajorityOnly: true}, "two holders", 3, 2},
 		{"the roster's number", testOverrides{noRosterCheck: true}, "two holders", 3, 0},
-		{"the sealing of the roster before", testOverrides{noRosterNotice: true}, "two holders", 3, 18},
+		{"refusing the previous roster once a newer one is known", testOverrides{noRosterNotice: true}, "two holders",
+			3, 18},
 		{"fences above the highest", testOverrides{noFenceCheck: true}, "fence", 3, 0},
-		{"refusing while a vote runs", testOverrides{voteTwice: true}, "two holders", 3, 0},
-		{"the majority", testOverrides{smallMajority: true}, "two holders", 3, 0},
-		{"the gate", testOverrides{noFenceGate: true}, "gate", 3, 0},
+		{"refusing other claimants while a vote is valid", testOverrides{voteTwice: true}, "two holders", 3, 0},
+		{"a majority of the electors", testOverrides{smallMajority: true}, "two holders", 3, 0},
+		{"the fence gate", testOverrides{noFenceGate: true}, "gate", 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if seed := c.seed; playSeed(seed, c.electors, 100, testOverrides{}).violation != "" {
 				t.Fatal("this schedule violates a rule even with all safeguards")
 			}
 			for seed := c.seed; seed < c.seed+*safeguardSeeds; seed++ {
-				if broken := playSeed(seed, c.electors, 100, c.doctor).violation; strings.HasPrefix(broken, c.want) {
-					t.Logf("seed %d: %s", seed, broken)
+				if violation := playSeed(seed, c.electors, 100, c.overrides).violation; strings.HasPrefix(violation,
+					c.want) {
+					t.Logf("seed %d: %s", seed, violation)
 					return
-				} else if broken != "" {
-					t.Logf("seed %d: %s, which is another rule", seed, broken)
+				} else if violation != "" {
+					t.Logf("seed %d: %s, which is another rule", seed, violation)
 				}
 			}
 			t.Error("the disabled safeguard was not detected")
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -227,8 +227,8 @@
 		return &RosterSkipError{Current: p.roster, Got: number}
 	}
 	transferring := 0
-	for _, t := range p.resources {
-		if t.learning && t.readyRoster > 0 {
+	for _, res := range p.resources {
+		if res.learning && res.readyRoster > 0 {
 			transferring++
 		}
 	}
@@ -246,11 +246,11 @@
 	slices.Sort(names)
 	for _, name := range names {
 		// Local state must be transferred: by being asked, the new electors learn that there is something to ask for.
-		if t := p.resources[name]; t.learning || t.readyRoster > 0 {
-			if t.learning {
-				p.stopLearning(t)
+		if res := p.resources[name]; res.learning || res.readyRoster > 0 {
+			if res.learning {
+				p.stopLearning(res)
 			}
-			p.startLearning(t)
+			p.startLearning(res)
 		}
 	}
 	for _, c := range p.claims {
@@ -382,8 +382,8 @@
 // Next returns when the first retry, renewal or expiry is due.
 func (p *Part) Next() int64 {
 	next := int64(math.MaxInt64)
-	for _, t := range p.learning {
-		next = min(next, t.nextLearnAt)
+	for _, res := range p.learning {
+		next = min(next, res.nextLearnAt)
 	}
 	for _, c := range p.claims {
 		next = min(next, c.dueAt())
--- a/internal/lease/search_test.go
+++ b/internal/lease/search_test.go
@@ -277,11 +277,11 @@
 		}
 	}
 	s.deliverAll(state)
-	g, ok := state.parts[3].Held(s.clock(3, state.step), "a")
+	grant, ok := state.parts[3].Held(s.clock(3, state.step), "a")
 	if !ok {
 		s.violation = "the initial state was not reached"
 	}
-	state.highestFence = g.Fence
+	state.highestFence = grant.Fence
 	s.applyTo(state, 3, func(p *Part, now int64, out *fleet.Out) { p.Release(now, "a", out) })
 	s.deliverAll(state)
 	return state
@@ -491,17 +491,17 @@
 func TestSearchSafeguards(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		doctor        testOverrides
+		overrides     testOverrides
 		faults, steps int
 		want          string
 	}{
-		{"refusing while a vote runs", testOverrides{voteTwice: true}, 0, 2, "two holders"},
+		{"refusing other claimants while a vote is valid", testOverrides{voteTwice: true}, 0, 2, "two holders"},
 		{"fences above the highest", testOverrides{noFenceCheck: true}, 1, 2, "fence"},
 		{"the wait after a start", testOverrides{noStartWait: true}, 1, 3, "two holders"},
 		{"the drift margin", testOverrides{noDriftMargin: true}, 1, 8, "two holders"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := search{overrides: c.doctor, faults: c.faults, steps: c.steps, maxStates: 400_000}
+			s := search{overrides: c.overrides, faults: c.faults, steps: c.steps, maxStates: 400_000}
 			if s.run(); !strings.HasPrefix(s.violation, c.want) {
 				t.Fatalf("%q after %d states", s.violation, len(s.states))
 			}
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -26,17 +26,17 @@
 	floor                       uint64
 	rosters                     [][]string // by number, from 1
 	// Observations.
-	violation       string
-	resources       []string
-	highestFence    map[string]uint64
-	holder          map[string]string
-	completedWrites map[string][]writeRecord // writes that have taken effect, in order
-	pendingActs     []act                    // actions in transit to their receiver
-	lostUpToFence   map[string]uint64        // records under fences up to this one may be lost
-	gate            Gate
-	grants          int
-	grantedAt       map[string]float64
-	recordsCarried  int
+	violation        string
+	resources        []string
+	highestFence     map[string]uint64
+	holder           map[string]string
+	completedWrites  map[string][]writeRecord // writes that have taken effect, in order
+	pendingActs      []act                    // actions in transit to their receiver
+	lostUpToFence    map[string]uint64        // records under fences up to this one may be lost
+	gate             Gate
+	grants           int
+	grantedAt        map[string]float64
+	recordsPreserved int
 }
 
 type writeRecord struct {
@@ -220,7 +220,7 @@
 							resource,
 							g.Value, g.Write, last.value)
 					}
-					sim.recordsCarried++
+					sim.recordsPreserved++
 				}
 			}
 			// A record shown by a holder has been stored.
