--- a/decide/api.go
+++ b/decide/api.go
@@ -48,7 +48,7 @@
 	Quota float64 // calls a second within the quota, over all nodes; 0: no bound
 }
 
-// Rules are the parameters of the five rules.
+// Rules are the parameters of the rules that every node must observe.
 type Rules struct {
 	AnswerSlack   int64   // how long after its deadline a final answer still counts
 	DrainGrace    int64   // no sends later than this after the notice of a drain
@@ -57,7 +57,7 @@
 	FallMultiple  float64 // more work than this multiple of its present capacity ...
 	Fall          int64   // ... for this long pushes a cold server over
 	AskWithin     int64   // longest time without a request for a list that must be requested
-	Guard         int64   // after a time-out, reset or cancel: no resend before this has passed
+	Guard         int64   // guard time: after a time-out, reset or cancel no resend before this has passed
 }
 
 // Settings configures a node.
@@ -91,7 +91,7 @@
 	Fired                        // a timer has expired: Token
 	Checked                      // report on a server outside a call: Server, Took, Outcome, Load
 	Over                         // an established call has ended: Call; only for deciders that ask for it, not for a Node
-	Trial                        // probe whether a silent server answers: Server
+	Trial                        // request a trial set-up to a silent server: Server
 )
 
 // Outcome is how an attempt ended.
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -92,7 +92,7 @@
 
 	open         []*call // set-ups sent that have neither completed nor ended, oldest first
 	completed    int     // N: completed in this interval
-	decayedCount float64 // N of earlier intervals, decayed
+	decayedCount float64 // N of earlier intervals, each weighted by countDecay to the power of its age
 	decayedSpan  float64 // the time that decayedCount covers, in microseconds
 	countedSince int64   // when it was first listed, or last restarted
 	limit        int     // L; applies only under control
@@ -103,7 +103,7 @@
 
 	delay         float64 // average set-up delay that this node measured
 	capacityShare float64 // capacity relative to other servers
-	coldBudget    float64 // sends that are allowed while it is cold
+	coldBudget    float64 // set-ups that may be sent now while it is cold; at most one
 	coldBudgetAt  int64   // when coldBudget was last updated
 	lastAnswer    int64   // when it last answered anything
 	silent        bool    // found silent, and no answer since
@@ -127,13 +127,13 @@
 	redial               redialKey
 	deadline             int64
 	destinationOnlyUntil int64 // until then it waits for its destination only
-	noSendBefore         int64 // release rule: no send before this
+	noSendBefore         int64 // guard time: no send before this
 	attempts             int
 	server               *server // where an attempt is out
 	sentAt               int64
 	lastServer           *server // where the last attempt was
 	mayHaveRunAt         *server // where it may have run first; nil: nowhere
-	resendUntil          int64   // second rule: nothing is sent from then on; 0: no bound
+	resendUntil          int64   // where repeats have an effect: no send from then on; 0: no bound
 	cancelled            bool    // the attempt that is out was cancelled
 	worthFactor          float64 // the part of the class's worth that the tenant's quota leaves
 	finished             bool    // the final answer was given, or the caller has left
@@ -188,7 +188,7 @@
 	countedSpan    float64 // the time that these counts cover, in microseconds
 	lateWait       int64   // a server idle for this long is not needed by calls that can be on time
 	unitRate       float64 // expected completions per microsecond and unit of capacity; 0: not known
-	provenUnitRate float64 // the part of unitRate that is certain for all nodes together
+	provenUnitRate float64 // the same without assumed calls: safe where all nodes could overload a server
 	td             float64 // Td, the target delay of this node
 	tau            int64   // τ of this node
 	minDelay       float64 // least set-up delay expected now
@@ -243,7 +243,7 @@
 	case Checked:
 		n.serverReported(e)
 	case Trial:
-		n.allowProbe(n.serverByID[e.Server])
+		n.allowTrialSetUp(n.serverByID[e.Server])
 	}
 	n.sendHeld()
 	out, n.actions = n.actions, nil
@@ -443,8 +443,8 @@
 	n.retryOrFinish(c)
 }
 
-// noteOutcome records what the outcome means for later attempts: whether this one may have run, and the
-// release rule.
+// noteOutcome records what the outcome means for later attempts: whether this one may have run, and the guard
+// time before the next one.
 func (n *Node) noteOutcome(c *call, s *server, outcome Outcome) {
 	switch outcome {
 	case Rejected, Unreached, Unsent:
@@ -452,7 +452,7 @@
 	case TimedOut, Cut, Cancelled:
 		c.noSendBefore = n.now + n.settings.Rules.Guard
 	}
-	if c.mayHaveRunAt == nil {
+	if c.mayHaveRunAt == nil { // Free: no bound; SingleShot: no send from now on
 		c.mayHaveRunAt, c.resendUntil =
 			s, [...]int64{Guarded: c.sentAt + c.class.Window, SingleShot: -1}[c.class.Effect]
 	}
@@ -469,8 +469,8 @@
 	n.held = append(n.held, c)
 }
 
-// mayRepeat applies the second rule to classes whose repeats have an effect; the release rule may last
-// longer.
+// mayRepeat reports whether a call may be sent, or sent again. Once it may have run, a Guarded call may be only
+// while repeats are dropped, which may end before the guard time does, and a SingleShot call not at all.
 func (n *Node) mayRepeat(c *call) bool {
 	return c.resendUntil == 0 || max(n.now, c.noSendBefore) < c.resendUntil
 }
@@ -629,6 +629,7 @@
 	}
 	n.newCalls, n.completions, n.countedSpan =
 		countDecay*n.newCalls, countDecay*n.completions, countDecay*n.countedSpan
+	// The first interval is short; each one is twice as long as the previous, up to τ.
 	n.intervalStart, n.intervalEnd = n.now, n.now+min(n.tau, 2*(n.now-n.intervalStart))
 }
 
@@ -669,8 +670,8 @@
 }
 
 // spaceSends applies a limit below one. The time per set-up is τ/N, so the next one follows an answer, or an
-// unanswered set-up, after τ/N less Td, which the set-up itself takes. One set-up at each of many nodes can
-// overload a server, so the gap grows by the excess of a wait above Td.
+// unanswered set-up, after τ/N less Td, which the set-up itself is expected to take. One set-up at each of
+// many nodes can overload a server, so the gap grows by the excess of a wait above Td.
 func (n *Node) spaceSends(s *server, excess float64) {
 	limit := s.exactLimit
 	if !s.controlled {
@@ -937,7 +938,7 @@
 }
 
 // backOff starts or doubles the backoff of a server. The times grow with the expected time per set-up, so
-// that all nodes together probe a failing server at a fraction of its normal rate.
+// that all nodes together send trial set-ups to a failing server at a fraction of its normal rate.
 func (n *Node) backOff(s *server, multiple float64, longest int64) {
 	first := n.scaleToInterval(firstBackoff)
 	if expected := n.expectedRate(s); expected > 0 {
@@ -989,7 +990,7 @@
 }
 
 // checkSilence handles a server that accepts set-ups and answers none, or cannot be heard: its open set-ups
-// are cancelled while they can still complete elsewhere, and it is probed with one set-up at a time. The
+// are cancelled while they can still complete elsewhere, and it gets one trial set-up at a time. The
 // threshold grows with the average delay, so that a slow server is not taken for a silent one. Where set-ups
 // were shown to be lost on the way, the first silence counts as one more loss and has no other effect.
 func (n *Node) checkSilence(s *server) {
@@ -1017,8 +1018,8 @@
 }
 
 // hasColdBudget protects a server that has just started from being pushed over: this node's sends stay below
-// its share of what the fourth rule allows all nodes, based on the rate that servers are certain to take from
-// this node.
+// its share of the load, Rules.FallMultiple times the present capacity, that all nodes together may send. The
+// capacity is taken from the rate that servers are certain to take from this node.
 func (n *Node) hasColdBudget(s *server) bool {
 	age := n.now - s.started
 	if s.started == 0 || age >= n.settings.Rules.Cold {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -576,7 +576,7 @@
 	r.requireNone(Cancel, r.complete(waits, 190*ms))
 }
 
-// A silent server gets single probes only, and its calls are set up elsewhere within their aim.
+// A silent server gets single trial set-ups only, and its calls are set up elsewhere within their aim.
 func TestSilentServer(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0), upServer("b", 1))
 	r.settle(0, 1)
@@ -592,18 +592,18 @@
 	if a := r.requireOne(Send, r.advance(450*ms)); a.Server != "b" || r.now-start > 2*sec {
 		t.Fatalf("sent again to %s after %d µs, want b within 2 s", a.Server, r.now-start)
 	}
-	probes := 0
+	trials := 0
 	for i := range 30 {
 		for _, a := range append(r.arrive(CallID(10+i), 0, 0), r.advance(100*ms)...) {
 			if a.Kind == Send && a.Server == "a" {
-				probes++
+				trials++
 			} else if a.Kind == Send {
 				r.complete(a, 20*ms)
 			}
 		}
 	}
-	if probes > 2 {
-		t.Errorf("%d set-ups to the silent server in 3 s", probes)
+	if trials > 2 {
+		t.Errorf("%d set-ups to the silent server in 3 s", trials)
 	}
 	if !r.node.Avoids("a") || r.node.Avoids("b") {
 		t.Error("want Avoids true for the silent server alone")
@@ -809,8 +809,8 @@
 	}
 }
 
-// Probes of a server that stays silent become rarer than those after a rejection.
-func TestProbesOfSilentServerGrowRare(t *testing.T) {
+// Trial set-ups to a server that stays silent become rarer than those after a rejection.
+func TestTrialSetUpsToSilentServerGrowRare(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	r.settle(0)
 	var sent []int64
@@ -821,7 +821,7 @@
 			case Send:
 				sent = append(sent, r.now-start)
 			case Cancel:
-				for range actionsOf(Send, r.end(a, Cancelled, false)) { // a probe that follows at once
+				for range actionsOf(Send, r.end(a, Cancelled, false)) { // a trial set-up that follows at once
 					sent = append(sent, r.now-start)
 				}
 			}
@@ -846,7 +846,7 @@
 		t.Errorf("last log line %q", last)
 	}
 	if late < 1 || late > 5 {
-		t.Errorf("%d probes in the last 20 of 40 s of silence", late)
+		t.Errorf("%d trial set-ups in the last 20 of 40 s of silence", late)
 	}
 }
 
@@ -886,7 +886,7 @@
 }
 
 // To a node with few calls lost set-ups look like silence; two healthy servers were left almost idle.
-func TestQuickProbeAnswerShowsLoss(t *testing.T) {
+func TestQuickTrialAnswerShowsLoss(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	r.settle(0)
 	s := r.node.serverByID["a"]
@@ -903,14 +903,14 @@
 		return backoffTime
 	}
 	first := lose(1)
-	for range 1000 { // its call, sent again, is the probe
+	for range 1000 { // its call, sent again, is the trial set-up
 		if acts := actionsOf(Send, r.advance(10*ms)); len(acts) > 0 {
 			r.complete(acts[0], 30*ms)
 			break
 		}
 	}
 	if !s.lossy || s.delay > float64(50*ms) {
-		t.Fatalf("after a probe that was answered quickly: lossy %v, delay %v", s.lossy, s.delay)
+		t.Fatalf("after a trial set-up that was answered quickly: lossy %v, delay %v", s.lossy, s.delay)
 	}
 	r.settle(0)
 	if second := lose(2); second >= first {
@@ -1040,7 +1040,7 @@
 	r.requireNone(Send, r.advance(sec))
 }
 
-// A server that completed nothing for a while must be probed again: no gap is longer than the longest backoff.
+// A server that completed nothing for a while must get a trial set-up again: no gap is longer than the longest backoff.
 func TestGapIsBounded(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	s := r.node.serverByID["a"]
@@ -1051,7 +1051,7 @@
 	}
 }
 
-// Probes of a silent server at the normal rate, from hundreds of nodes, kept a slow server overloaded.
+// Trial set-ups to a silent server at the normal rate, from hundreds of nodes, kept a slow server overloaded.
 func TestSilenceBackoffFollowsExpectedRate(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	r.settle(0)
--- a/decide/trial.go
+++ b/decide/trial.go
@@ -1,8 +1,8 @@
 package decide
 
-// allowProbe ends the backoff time of a silent server for one set-up. The backoff length stays, so that no other set-up
-// goes there at the same time, and another silence doubles it.
-func (n *Node) allowProbe(s *server) {
+// allowTrialSetUp ends the backoff of a silent server for one trial set-up, which shows whether it answers again. The
+// backoff length stays, so that no other set-up goes there at the same time, and another silence doubles it.
+func (n *Node) allowTrialSetUp(s *server) {
 	if s == nil || !s.silent {
 		return
 	}
--- a/decide/trial_test.go
+++ b/decide/trial_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Nothing was sent during the backoff after silence, so for long it was unknown whether a silent server answered again.
-func TestProbeOfSilentServer(t *testing.T) {
+func TestTrialSetUpToSilentServer(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0), upServer("b", 1))
 	r.settle(0, 1)
 	serverA := r.node.serverByID["a"]
@@ -26,7 +26,7 @@
 		return sent
 	}
 	if n := sentToA(10); n != 0 {
-		t.Fatalf("%d set-ups during the backoff, before a probe is requested", n)
+		t.Fatalf("%d set-ups during the backoff, before a trial set-up is requested", n)
 	}
 	n := 0
 	for _, a := range actionsOf(Send, r.step(Event{Kind: Trial, Server: "a"})) { // a call that was held
@@ -35,13 +35,13 @@
 		}
 	}
 	if n += sentToA(20); n != 1 {
-		t.Errorf("%d set-ups to the silent server after a probe was requested, want 1", n)
+		t.Errorf("%d set-ups to the silent server after a trial set-up was requested, want 1", n)
 	}
 	if !r.node.Avoids("a") {
 		t.Error("Avoids is false for the silent server")
 	}
 	r.step(Event{Kind: Trial, Server: "gone"})
 	if acts := r.step(Event{Kind: Trial, Server: "b"}); len(acts) != 0 {
-		t.Errorf("actions %v for a probe of a healthy server, want none", acts)
+		t.Errorf("actions %v for a trial set-up to a healthy server, want none", acts)
 	}
 }
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -19,8 +19,8 @@
 	// releaseWithin is the latest time after an office's last message at which such calls are released, whatever other
 	// evidence is pending.
 	releaseWithin = 7_900_000
-	// probeAfter is how long an office may send nothing before a new connection is opened to test whether it still
-	// does.
+	// probeAfter is how long an office may send nothing before it is suspected and a probe is due: a second connection
+	// that shows whether the office still sends messages.
 	probeAfter = 3_500_000
 	// refusedFor and unreachableFor are how long connects may be refused, and how long they may fail to be
 	// established. A refused connect proves that the process has ended; one that is not established may be due to a
@@ -41,12 +41,12 @@
 	// stalledFor is how long the first of them must have been unanswered, however long ago the last service was: a
 	// set-up that is sent in that time and answered shows that the first one was lost.
 	stalledFor = 3_000_000
-	// trialAfter is how long after an unanswered set-up another one is requested, where the first is not sufficient
+	// trialAfter is how long after an unanswered set-up a trial set-up is requested, where the first is not sufficient
 	// evidence.
 	trialAfter = 500_000
-	// trialAgain is the interval between such requests, maxTrials their maximum number.
-	trialAgain = 1_500_000
-	maxTrials  = 3
+	// trialInterval is the least interval between such requests, maxTrials their maximum number.
+	trialInterval = 1_500_000
+	maxTrials     = 3
 	// listSilence is how long the list may already have been silent when that is detected.
 	listSilence = 3_000_000
 	// departingAfter is the silence that suffices when this process shuts down and cannot wait for more evidence.
@@ -126,7 +126,7 @@
 
 	unanswered     Unanswered // set-ups given up, or cut, without an answer since lastService
 	lastUnanswered int64      // when the last of them was
-	trialCount     int        // number of further set-ups requested since lastService
+	trialCount     int        // number of trial set-ups requested since lastService
 	lastTrial      int64      // when the last one was requested
 }
 
@@ -269,11 +269,11 @@
 	}
 }
 
-// WantsTrial reports whether another set-up should be sent to an office that has left one unanswered: without one it
-// would not be known in time whether the office can still end its calls.
+// WantsTrial reports whether a trial set-up should be sent to an office that has left a set-up unanswered: without one
+// it would not be known in time whether the office can still end its calls.
 func (o *Office) WantsTrial(now int64) bool {
 	doubted := o.unanswered.Count > 0 && !o.unanswered.sufficient(o.queueDelay) && now-o.lastUnanswered >= trialAfter
-	if !doubted || o.trialCount == maxTrials || o.trialCount > 0 && now-o.lastTrial < trialAgain {
+	if !doubted || o.trialCount == maxTrials || o.trialCount > 0 && now-o.lastTrial < trialInterval {
 		return false
 	}
 	o.trialCount++
@@ -351,9 +351,9 @@
 	return o.transition(Unresponsive, Departing), true
 }
 
-// Inspect reports whether a new connection should be opened to test whether the office still sends messages: an
-// office first sends on it what it could not deliver before. A connection established after the office's last message
-// has already been such a test.
+// Inspect reports whether a probe is due: a second connection that shows whether the office still sends messages,
+// because an office first sends on it what it could not deliver before. A connection established after the office's
+// last message has already been such a probe.
 func (o *Office) Inspect(now, opened int64) bool {
 	return now-o.lastMessage >= probeAfter && opened <= o.lastMessage
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -126,7 +126,7 @@
 }
 
 // A probe is due only after half of the time limit, and only if the connection predates the last message.
-func TestProbe(t *testing.T) {
+func TestProbeConnectionDue(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
 	for _, c := range []struct {
@@ -302,7 +302,7 @@
 	var o Office
 	o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
 	if o.WantsTrial(12 * second) {
-		t.Error("a trial is requested although nothing was left unanswered")
+		t.Error("a trial set-up is requested although nothing was left unanswered")
 	}
 	o.GivenUp(12*second, 11*second)
 	asked := 0
@@ -312,11 +312,11 @@
 		}
 	}
 	if asked != maxTrials {
-		t.Errorf("%d trials were requested, want %d", asked, maxTrials)
+		t.Errorf("%d trial set-ups were requested, want %d", asked, maxTrials)
 	}
 	o.Heard(Message{At: 30 * second, Word: Answer, Main: true})
 	if o.WantsTrial(31 * second) {
-		t.Error("a trial is requested although the office answered")
+		t.Error("a trial set-up is requested although the office answered")
 	}
 }
 
