--- a/internal/keeper/ledger.go
+++ b/internal/keeper/ledger.go
@@ -11,16 +11,16 @@
 
 const (
 	initialLines        = 4          // lines that a number is assumed to have until more is known
-	foundProbeDelay     = 250_000    // delay of the next probe for lines after a probe that found some
-	knownProbeDelay     = 2_000_000  // delay after a busy end, while fewer lines than were known are assumed
+	foundProbeDelay     = 250_000    // delay between probes for lines after one that found some
+	knownProbeDelay     = 2_000_000  // delay after a set-up ended busy, while fewer lines are assumed than known
 	maxProbeDelay       = 8_000_000  // longest delay between probes
 	demandWindow        = 60_000_000 // averaging window of the demand that decides who should own a number
 	turnoverWindow      = 10_000_000 // averaging window of the turnover of lines
-	knownLinesAge       = 60_000_000 // the most lines seen in use are remembered for this long
-	unusedDivisor       = 12         // no advance grants while over one in this many lines has an unused permit
+	knownLinesAge       = 60_000_000 // the highest number of lines seen in use is kept for this long
+	unusedDivisor       = 12         // no advance grants while the unused permits exceed the lines divided by this
 	maxAdvanceCredit    = 4          // most advance permits that may be saved up
 	minWriteInterval    = 100_000    // least time between two writes of the record
-	pendingWriteDelay   = 5_000      // the same if an answer waits for the write
+	pendingWriteDelay   = 5_000      // the same if an answer to a report waits for the write
 	minPermitLifetime   = 100_000    // a permit that would be valid for less is not granted
 	maxPeers            = 4096       // processes in one ledger
 	recentWindow        = 5_000_000  // requests, set-ups, refusals and reports count as recent for this long
@@ -49,8 +49,8 @@
 	wantedAt      int64   // when it last requested a permit
 	virtualTime   float64 // grants weighted by demand, as in weighted fair queuing: the lowest is served first
 	averageRate   float64 // its demand averaged over a minute, which decides whether the number should move
-	notedLines    int64   // lines counted for it in the last note; notedPrevious: those of an earlier incarnation
-	notedPrevious int64
+	notedLines    int64   // lines counted for it in the last note
+	notedPrevious int64   // the same of an earlier incarnation
 }
 
 // heldLines returns the lines that a process may hold: those it reported and those granted since.
@@ -78,12 +78,12 @@
 	lines          int64 // lines that the number is assumed to have
 	knownLines     int64 // most lines seen in use recently
 	knownAt        int64 // when they were seen
-	growing        bool  // nothing has been busy yet: the assumed lines grow exponentially
+	growing        bool  // no set-up has ended busy yet: the assumed lines grow exponentially
 	siteLines      int64 // lines by the site's configuration; 0: not configured
-	nextProbe      int64 // when more lines are probed next
-	probeDelay     int64 // delay between probes
-	probing        bool  // it is not known yet whether the lines probed last exist
-	probeStep      int64 // lines probed at once
+	nextProbe      int64 // when probeLines next assumes more lines
+	probeDelay     int64 // delay between two such probes
+	probing        bool  // it is not known yet whether the lines of the last probe exist
+	probeStep      int64 // number of lines added by a probe
 	callsToConfirm int64 // calls still to begin before the probed lines count as found
 
 	freedLines    float64 // lines that became free, with exponential decay
@@ -103,12 +103,12 @@
 	pendingWrite     uint64 // the write that is in progress; 0: none
 	writtenAt        int64
 	dirty            bool
-	writtenAnyHolder bool // the record being written allows any holder; storedAnyHolder: the one stored at a majority
-	storedAnyHolder  bool
-	writtenLines     int64 // the lines in the record being written; storedLines: in the one stored at a majority
-	storedLines      int64
+	writtenAnyHolder bool  // the record being written lets any process hold lines
+	storedAnyHolder  bool  // the same of the record stored at a majority
+	writtenLines     int64 // the lines in the record being written
+	storedLines      int64 // the lines in the record stored at a majority
 
-	moveWantedSince int64  // since when another process has enough more of the demand; 0: none has
+	moveWantedSince int64  // since when the demand at another process is higher by enough to move the number; 0: it is not
 	successor       string // the next owner
 	handOverBy      int64  // when the number is handed over at the latest; 0: it is not
 
@@ -330,8 +330,9 @@
 	return peer
 }
 
-// learnLines corrects the assumed number of lines by busy ends and by set-ups under permits that became calls. A busy
-// end shows that there is one line less than assumed, but never fewer than carry calls.
+// learnLines corrects the assumed number of lines. busy is the number of set-ups under permits that ended busy:
+// each shows that there is one line less than assumed, but never fewer than carry calls. began is the number that
+// became calls.
 func (l *numberLedger) learnLines(now, busy, began int64) {
 	held, calls := l.held(now)
 	if calls >= l.knownLines || now-l.knownAt > knownLinesAge {
@@ -357,8 +358,8 @@
 	}
 }
 
-// probeLines assumes one more line, or twice as many as the last probe found, while all known lines are in use and
-// calls are refused.
+// probeLines assumes probeStep more lines while all assumed lines are in use and calls are refused. The step is one
+// line, and doubles after each probe that found its lines, up to one more than an eighth of all lines.
 func (l *numberLedger) probeLines(now int64) {
 	if l.siteLines > 0 && l.lines >= l.siteLines || l.growing || now < l.nextProbe || now-l.refusedAt > recentWindow ||
 		l.unreported(now) > 0 {
@@ -389,7 +390,7 @@
 	return maxLines - peer.heldLines(now)
 }
 
-// awaitsRecord tells whether a process could have a line as soon as the record allows it.
+// awaitsRecord reports whether a process could have a line as soon as the record allows it.
 func (l *numberLedger) awaitsRecord(now int64, peer *peerState) bool {
 	held, _ := l.held(now)
 	return held+l.unreported(now) < l.lines && (l.headroom(now, peer) < 1 || l.freeLines(now) < 1)
@@ -414,9 +415,9 @@
 	return n
 }
 
-// answerReport grants what a report requests. If lines are free but the record does not allow the process one yet,
-// its answer waits once until it does. While lines are plentiful, it grants extra permits by the process's share of
-// the demand.
+// answerReport grants what a report requests. If lines are free but the stored record does not allow the process one
+// yet, the answer is delayed once, until the record that does is stored. A process that gets all that it requests is
+// granted extra permits: its share, by demand, of half the free lines, but no more than its calls of half a second.
 func (l *numberLedger) answerReport(now int64, peer *peerState, grant lease.Grant) (granted int64) {
 	if peer.report.Wanted <= peer.granted {
 		return 0
@@ -473,8 +474,8 @@
 	return best
 }
 
-// retryTimes returns when a process may ask again, how long its callers are to stay away, and its share of the
-// turnover.
+// retryTimes returns after what time a process may ask again, the time after which its callers may retry, and its
+// share of the turnover, in lines in 1000 s.
 func (l *numberLedger) retryTimes(now int64, peer *peerState) (retryAfter, callerRetryAfter, share int64) {
 	turnover := float64(l.turnover(now)) / 1e9 // lines in a microsecond
 	fraction := float64(peer.report.Rate) / float64(l.totalRate())
--- a/internal/liveness/missing_ends.go
+++ b/internal/liveness/missing_ends.go
@@ -4,24 +4,24 @@
 
 // Bounds on the evidence from missing ends of calls.
 const (
-	// overdueEnds is the number of ends that must be expected before the absence of any shows that the office ends no
-	// more calls. By chance none of that many ends comes in about one of ten million cases. minCalls is the number
-	// of calls that must be involved.
+	// overdueEnds is the number of ends that must have been expected since the last one before their absence shows that
+	// the office no longer ends calls. The probability that none of that many comes by chance is exp(-16), about one in
+	// ten million. minCalls is the least number of calls from before the last end that must be involved.
 	overdueEnds = 16
 	minCalls    = 4
-	// youngWithin is how long after the last end, in microseconds, a call may have begun to count with those
-	// established then.
+	// youngWithin is how long after the last end, in microseconds, a call may have been established and still be
+	// included in the expected ends.
 	youngWithin = 1_000_000
 	// overdueUnanswered replaces overdueEnds where no set-up was answered in the meantime either.
 	overdueUnanswered = 8
-	// The learned rates are applied only if they agree with the ends of the latest calls before the last end: they are
-	// checked on calls of which confirmingEnds ends are expected, and minConfirmingEnds at least, and 1/confirmingPart
-	// of the expected ends at least must have come.
+	// The learned rates are applied only if they predict the ends of the calls established shortly before the last end:
+	// at least minConfirmingEnds ends must have been expected of these, confirmingEnds if there are so many, and at
+	// least 1/confirmingPart of the expected ends must have come.
 	confirmingEnds    = 16
 	minConfirmingEnds = 8
 	confirmingPart    = 3
-	// At the last end a call's age is taken to be less by 1/ageMargin: the learned rates are only as precise as their
-	// steps.
+	// The ages of calls, at the last end and now, are taken to be less by 1/ageMargin, because the learned rates are
+	// only as precise as their steps of ages.
 	ageMargin = 5
 	// recentEnds bounds the number of ends kept for one office.
 	recentEnds = 64
@@ -29,8 +29,8 @@
 	noEndsCheckInterval = 250_000
 )
 
-// confirmingPeriods are the periods before the last end, in microseconds; the calls begun within the shortest period of
-// which confirmingEnds ends are expected are compared with the learned rates.
+// confirmingPeriods are periods before the last end, in microseconds. The learned rates are checked on the calls
+// established within the shortest of them that gives confirmingEnds expected ends, else within the longest.
 var confirmingPeriods = [...]int64{500_000, 1_000_000, 2_000_000, 4_000_000, 8_000_000, 16_000_000, 32_000_000}
 
 // endedCall is a call that an office ended.
@@ -43,9 +43,9 @@
 type endRecord struct {
 	last    int64 // when the last one was received; 0: none was
 	checked int64 // when calls were last checked against it
-	missing bool  // none came of as many as were expected
+	missing bool  // the expected ends have not come
 	recent  [recentEnds]endedCall
-	count   int // total number received
+	count   int // number of ends added; recent[count%recentEnds] is the next to be overwritten
 }
 
 func (e *endRecord) add(at int64, call Call) {
@@ -55,7 +55,8 @@
 	e.missing = false
 }
 
-// EndSeen records the end of a call that was already released: the office ends calls.
+// EndSeen records the end of a call that was already released. It shows that the office ends calls, but no holding
+// time is known.
 func (o *Office) EndSeen(at int64) {
 	o.ended.last = max(o.ended.last, at)
 	o.ended.missing = false
@@ -64,17 +65,16 @@
 // LastEnd returns when the office last ended a call; 0: it has ended none.
 func (o *Office) LastEnd() int64 { return o.ended.last }
 
-// UnendedDue reports whether established calls should be checked against the ends received: none has been for long
-// enough.
+// UnendedDue reports whether Unended should be called: the office has ended calls before, but none for releaseAfter.
 func (o *Office) UnendedDue(now int64) bool {
 	e := &o.ended
 	return e.last != 0 && now-(e.last-o.queueDelay) >= releaseAfter && now-e.checked >= noEndsCheckInterval
 }
 
-// Unended reports whether calls established before a given time are over because the office ends no calls any more,
-// whatever else it sends. If holding times change suddenly, or calls of another kind replace those that end, the
-// learned rates no longer apply. In that case they did not apply to the latest calls before the last end either,
-// which was the end of an older call.
+// Unended reports whether the office no longer ends calls, whatever else it sends. If so, its calls established before
+// the returned time are over. The learned rates are wrong if holding times change suddenly or if calls of another kind
+// replace those that end. ratesConfirmed detects this: the calls established shortly before the last end, which was
+// that of an older call, then have fewer ends than the rates predict.
 func (o *Office) Unended(now int64, calls iter.Seq[Call], rates Rates) (before int64, over bool) {
 	e := &o.ended
 	e.checked = now
@@ -89,29 +89,28 @@
 	return now - releaseAfter, e.missing
 }
 
-// overdue reports whether the needed number of ends should have come since the last one, half of them of calls
-// established at that time. Guards against calls of another kind that begin after a lull: those alone are no
-// evidence.
+// overdue reports whether the needed number of ends was expected since the last one, at least half of it of calls
+// established before that. Guards against calls of another kind that begin after a pause: those alone are no evidence.
 func (e *endRecord) overdue(now int64, calls iter.Seq[Call], rates Rates, needed float64) bool {
-	count := 0
-	old, young := 0.0, 0.0
+	oldCalls := 0
+	expectedOld, expectedYoung := 0.0, 0.0
 	for call := range calls {
-		then := max(e.last-call.Since, 0)
-		since := now - call.Since
-		expected := rates.expected(call.Class, then-then/ageMargin, since-since/ageMargin)
+		ageAtLastEnd := max(e.last-call.Since, 0)
+		ageNow := now - call.Since
+		expected := rates.expected(call.Class, ageAtLastEnd-ageAtLastEnd/ageMargin, ageNow-ageNow/ageMargin)
 		switch {
 		case call.Since < e.last:
-			count++
-			old += expected
+			oldCalls++
+			expectedOld += expected
 		case call.Since < e.last+youngWithin:
-			young += expected
+			expectedYoung += expected
 		}
 	}
-	return count >= minCalls && old >= needed/2 && old+young >= needed
+	return oldCalls >= minCalls && expectedOld >= needed/2 && expectedOld+expectedYoung >= needed
 }
 
-// ratesConfirmed reports whether, up to the last end, about as many ends came of the calls begun shortly before it as
-// were expected.
+// ratesConfirmed reports whether the learned rates predict the ends, up to the last one, of the calls established
+// shortly before it.
 func (e *endRecord) ratesConfirmed(calls iter.Seq[Call], rates Rates) bool {
 	expected, came := 0.0, 0.0
 	for _, period := range confirmingPeriods {
@@ -123,8 +122,8 @@
 	return expected >= minConfirmingEnds && came*confirmingPart >= expected
 }
 
-// endsOfLatest returns how many ends, up to the last one, were expected of the calls that began within a period
-// before it, and how many came.
+// endsOfLatest returns how many ends, up to the last one, were expected of the calls established within a period
+// before it, and how many came. The calls are those that have not ended and those in recent.
 func (e *endRecord) endsOfLatest(period int64, calls iter.Seq[Call], rates Rates) (expected, came float64) {
 	begin := e.last - period
 	for call := range calls {
--- a/internal/stage/peers.go
+++ b/internal/stage/peers.go
@@ -13,8 +13,8 @@
 	incarnation, version uint64
 	zone                 string
 	state                fleet.State
-	suspect              bool
-	suspectSince         int64 // since when it has been suspected or missing from the view
+	suspect              bool  // suspected by the view, or missing from it
+	suspectChangedAt     int64 // when suspect last changed
 	inView               bool  // is in the newest view
 	status               processStatus
 	rawStatus            []byte // encoded form of status
@@ -35,18 +35,18 @@
 	byName         map[string]*peer
 	names          []string // names of all peers that are not forgotten, sorted
 	sorted         []*peer  // the peers in the order of names
-	highestFence   uint64   // the highest fencing number that any process has announced, with the write under it
-	highestWrite   uint64
-	highestOver    uint64 // the highest change that any process knows to be over
-	highestRunning uint64 // the highest change that any process conducts or takes part in
-	crashedChange  uint64 // the change whose crashes are counted, and the number of them that this process knows
-	crashes        uint64
-	lastCrashed    string // name of the process whose crash was counted last
+	highestFence   uint64   // the highest fencing number that any process has announced
+	highestWrite   uint64   // the highest write announced under highestFence
+	highestOver    uint64   // the highest change that any process knows to be over
+	highestRunning uint64   // the highest change that any process conducts or takes part in
+	crashedChange  uint64   // the change whose crashes are counted: the highest with a crash
+	crashes        uint64   // the number of these crashes that this process knows
+	lastCrashed    string   // name of the process whose crash was counted last
 	failpoints     failpoints
 }
 
-// forgetAfter is how long a name that is missing from the view is kept. Bounds the memory used if names are used
-// only once each.
+// forgetAfter is how long a process that is missing from the view is kept. Bounds the memory used where each process
+// has a new name.
 const forgetAfter = 3600 * second
 
 // update applies a view.
@@ -71,7 +71,7 @@
 		p := t.sorted[next]
 		p.inView, p.zone = true, m.Zone
 		if m.Suspect != p.suspect {
-			p.suspect, p.suspectSince = m.Suspect, now
+			p.suspect, p.suspectChangedAt = m.Suspect, now
 		}
 		if p.incarnation == m.Incarnation && p.version == m.Version {
 			continue
@@ -95,12 +95,12 @@
 		// A process that is missing from the view has left or has not been heard from for long; it is treated as
 		// suspected.
 		if !p.inView && !p.suspect {
-			p.suspect, p.suspectSince = true, now
+			p.suspect, p.suspectChangedAt = true, now
 		}
-		anyExpired = anyExpired || !p.inView && now-p.suspectSince > forgetAfter
+		anyExpired = anyExpired || !p.inView && now-p.suspectChangedAt > forgetAfter
 	}
 	if anyExpired {
-		expired := func(p *peer) bool { return !p.inView && now-p.suspectSince > forgetAfter }
+		expired := func(p *peer) bool { return !p.inView && now-p.suspectChangedAt > forgetAfter }
 		t.names = slices.DeleteFunc(t.names, func(n string) bool { return expired(t.byName[n]) })
 		t.sorted = slices.DeleteFunc(t.sorted, func(p *peer) bool {
 			if expired(p) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// merge takes over what another process announces.
+// merge raises the highest known values to those that a process announces in its status.
 func (t *peerTable) merge(status processStatus) {
 	if status.Fence > t.highestFence || status.Fence == t.highestFence && status.Write > t.highestWrite {
 		t.highestFence, t.highestWrite = status.Fence, status.Write
@@ -176,8 +176,9 @@
 	return 0
 }
 
-// isStandby reports whether this is one of the few processes that would take over as conductor. A process that is
-// the last one on its side of the change is not, because another process has to order it.
+// isStandby reports whether this is one of the few processes that would take over as conductor. They are ranked
+// independently of the order in which processes change. A process that is alone on its side of the change is not one
+// of them, because another process has to order it.
 func (t *peerTable) isStandby(change uint64) bool {
 	const maxStandbys = 3
 	self := t.byName[t.self]
@@ -193,12 +194,12 @@
 	return ahead < maxStandbys
 }
 
-// onlyOneOnSide reports whether all other reachable processes are on one side of the change and this one on the
-// other.
-func (t *peerTable) onlyOneOnSide(one *peer, change uint64) bool {
-	side, others := one.inChange(change), 0
+// onlyOneOnSide reports whether all other reachable processes, at least two, are on one side of the change and this
+// one is on the other.
+func (t *peerTable) onlyOneOnSide(process *peer, change uint64) bool {
+	side, others := process.inChange(change), 0
 	for _, p := range t.sorted {
-		if p != one && p.reachable() {
+		if p != process && p.reachable() {
 			if p.inChange(change) == side {
 				return false
 			}
--- a/internal/stage/rollout.go
+++ b/internal/stage/rollout.go
@@ -77,7 +77,7 @@
 		if q == nil || q.suspect {
 			since := c.waveStartedAt
 			if q != nil {
-				since = max(since, q.suspectSince)
+				since = max(since, q.suspectChangedAt)
 			}
 			if now-since >= p.config.Rules.Lost {
 				p.addNote(out, "cut off", c.grant.Fence, int64(change), name)
