--- a/internal/stage/simulation_test.go
+++ b/internal/stage/model_check_test.go
@@ -67,46 +67,46 @@
 
 const change = 7
 
-// world is the state of a few processes, their messages and acts, and the faults that may still occur.
-type world struct {
-	now          int64
-	lease        *fakeLease
-	parts        []*Part
-	entries      []fleet.Entry
-	acts         [][]fleet.Act
-	concluded    []uint64 // change of the target in the file of the concluded target, by process
-	mail         []fleet.Message
-	lastViewed   [2]string // the state last shown to the processes that claim the lease, and to the others
-	drops        int
-	doubles      int
-	deaths       int
-	moves        int
-	refusals     int
-	worse        int // the stage that does worse
-	failpoints   failpoints
-	program      bool
-	losesRecord  bool // the record is lost when the lease moves
-	lossy        bool
-	sharedView   bool // all processes get the same view at once, for a smaller search
-	deathCount   int
-	highestStage int // the highest stage that was stored
-	highestOrder []([2]uint64)
+// modelState is the state of a few processes, their messages and acts, and the faults that may still occur.
+type modelState struct {
+	now            int64
+	lease          *fakeLease
+	parts          []*Part
+	entries        []fleet.Entry
+	acts           [][]fleet.Act
+	concluded      []uint64 // change of the target in the file of the concluded target, by process
+	messages       []fleet.Message
+	lastViewed     [2]string // the state last shown to the processes that claim the lease, and to the others
+	dropsLeft      int
+	duplicatesLeft int
+	deathsLeft     int
+	leaseMovesLeft int
+	refusalsLeft   int
+	harmfulStage   int // the stage in which the new processes do worse; -1: none
+	failpoints     failpoints
+	program        bool
+	losesRecord    bool // the record is lost when the lease moves
+	lossy          bool
+	sharedView     bool // all processes get the same view at once, for a smaller search
+	deathCount     int
+	highestStage   int // the highest stage that was stored
+	highestOrder   []([2]uint64)
 }
 
-func (w *world) config(i int, running, concluded Target) Config {
+func (w *modelState) config(i int, running, concluded Target) Config {
 	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second,
 		Repeat: 1, MaxUnreachable: 1}
-	if w.drops == 0 && w.deaths == 0 && w.deathCount == 0 && !w.lossy {
+	if w.dropsLeft == 0 && w.deathsLeft == 0 && w.deathCount == 0 && !w.lossy {
 		tiny.Repeat = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
 	return Config{Name: w.entries[i].Name, Zone: "z", Lease: processLease{w.lease, w.entries[i].Name}, Running: running,
-		Concluded: concluded, Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.worse }}
+		Concluded: concluded, Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.harmfulStage }}
 }
 
-func newWorld(n int, faults failpoints) *world {
-	w := &world{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n),
+func newModelState(n int, faults failpoints) *modelState {
+	w := &modelState{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n),
 		acts: make([][]fleet.Act, n), concluded: make([]uint64, n),
-		highestOrder: make([][2]uint64, n), worse: -1, failpoints: faults}
+		highestOrder: make([][2]uint64, n), harmfulStage: -1, failpoints: faults}
 	for i := range n {
 		w.entries[i] = fleet.Entry{Name: string(rune('a' + i)), Incarnation: 1, Zone: "z", State: fleet.Serving}
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
@@ -114,13 +114,14 @@
 	return w
 }
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	v := *w
 	f := *w.lease
 	f.claims = slices.Clone(f.claims)
 	v.lease = &f
 	v.parts, v.entries, v.acts = make([]*Part, len(w.parts)), slices.Clone(w.entries), slices.Clone(w.acts)
-	v.concluded, v.mail, v.highestOrder = slices.Clone(w.concluded), slices.Clone(w.mail), slices.Clone(w.highestOrder)
+	v.concluded, v.messages, v.highestOrder =
+		slices.Clone(w.concluded), slices.Clone(w.messages), slices.Clone(w.highestOrder)
 	for i, p := range w.parts {
 		q := *p
 		q.config = v.config(i, p.config.Running, p.config.Concluded)
@@ -145,11 +146,11 @@
 
 // print returns everything in a state that affects what can follow. Times are left out, because nothing here
 // depends on them.
-func (w *world) print() string {
+func (w *modelState) print() string {
 	var b strings.Builder
 	f := w.lease
 	fmt.Fprintf(&b, "%v %s %d %x %d %x|%d%d%d%d%d%v|", f.claims, f.holder, f.fence, f.value, f.write, f.pending,
-		w.drops, w.doubles, w.deaths, w.moves, w.refusals, w.lastViewed)
+		w.dropsLeft, w.duplicatesLeft, w.deathsLeft, w.leaseMovesLeft, w.refusalsLeft, w.lastViewed)
 	for i, p := range w.parts {
 		c := &p.conductor
 		fmt.Fprintf(&b, "%d %d %d %d %d %s %d %v %v %v %d %d %d|", p.running.Change, p.state, p.change, p.highestFence,
@@ -165,8 +166,8 @@
 			fmt.Fprintf(&b, "%d%d%d,", x.incarnation, x.status.State, x.status.Phase)
 		}
 	}
-	m := make([]string, len(w.mail))
-	for i, x := range w.mail {
+	m := make([]string, len(w.messages))
+	for i, x := range w.messages {
 		m[i] = x.From + x.To + string(x.Body)
 	}
 	slices.Sort(m)
@@ -177,7 +178,7 @@
 func processIndex(name string) int { return int(name[0] - 'a') }
 
 // call calls a Part, collects its output and checks the invariants.
-func (w *world) call(i int, f func(p *Part, out *fleet.Out)) error {
+func (w *modelState) call(i int, f func(p *Part, out *fleet.Out)) error {
 	var out fleet.Out
 	f(w.parts[i], &out)
 	stored, err := decodeRecord(w.lease.value)
@@ -193,10 +194,10 @@
 			(stored.Phase != running || !slices.Contains(stored.Wave, nameHash(m.To))) {
 			return fmt.Errorf("ordered before the record was stored: %s", m.To)
 		}
-		if !slices.ContainsFunc(w.mail, func(x fleet.Message) bool {
+		if !slices.ContainsFunc(w.messages, func(x fleet.Message) bool {
 			return x.From == m.From && x.To == m.To && string(x.Body) == string(m.Body)
 		}) {
-			w.mail = append(w.mail, m)
+			w.messages = append(w.messages, m)
 		}
 	}
 	w.acts[i] = append(w.acts[i], out.Acts...)
@@ -221,7 +222,7 @@
 	}
 	// Drops messages that have no effect whenever they arrive: answers to an earlier record, and orders that will
 	// be refused.
-	w.mail = slices.DeleteFunc(w.mail, func(m fleet.Message) bool {
+	w.messages = slices.DeleteFunc(w.messages, func(m fleet.Message) bool {
 		var s message
 		_ = decode(m.Body, &s)
 		to := w.parts[processIndex(m.To)]
@@ -244,7 +245,7 @@
 }
 
 // restart starts the next incarnation of a process. running is the number of the change whose target it runs with.
-func (w *world) restart(i int, running uint64) error {
+func (w *modelState) restart(i int, running uint64) error {
 	t := func(n uint64) Target {
 		if n == 0 {
 			return Target{}
@@ -259,7 +260,7 @@
 	return w.call(i, func(p *Part, out *fleet.Out) { p.Start(w.now, out) })
 }
 
-func (w *world) target() Target {
+func (w *modelState) target() Target {
 	t := Target{Change: change, Settings: "new.ini"}
 	if w.program {
 		t.Program = "/new"
@@ -268,7 +269,7 @@
 }
 
 // entriesText returns the statuses in all entries.
-func (w *world) entriesText() string {
+func (w *modelState) entriesText() string {
 	var b strings.Builder
 	for _, e := range w.entries {
 		fmt.Fprintf(&b, "%d %x,", e.Incarnation, e.Parts[fleet.Stage])
@@ -277,11 +278,11 @@
 }
 
 // steps returns all events that can happen next.
-func (w *world) steps() (names []string, do []func(w *world) error) {
-	add := func(n string, f func(w *world) error) { names, do = append(names, n), append(do, f) }
+func (w *modelState) steps() (names []string, do []func(w *modelState) error) {
+	add := func(n string, f func(w *modelState) error) { names, do = append(names, n), append(do, f) }
 	f := w.lease
 	if f.pending != nil {
-		add("store", func(w *world) error {
+		add("store", func(w *modelState) error {
 			old, _ := decodeRecord(w.lease.value)
 			is, err := decodeRecord(w.lease.pending)
 			if err != nil {
@@ -304,7 +305,7 @@
 	}
 	for _, c := range f.claims {
 		i := processIndex(c)
-		add("tick "+c, func(w *world) error {
+		add("tick "+c, func(w *modelState) error {
 			return w.call(i, func(p *Part, out *fleet.Out) { p.Tick(w.now, out) })
 		})
 	}
@@ -313,7 +314,7 @@
 		if w.lastViewed[k] == seen || w.sharedView && k == 1 {
 			continue
 		}
-		add([]string{"view conductors", "view others"}[k], func(w *world) error {
+		add([]string{"view conductors", "view others"}[k], func(w *modelState) error {
 			w.lastViewed[k] = seen
 			v := &fleet.View{}
 			for _, e := range w.entries {
@@ -330,21 +331,28 @@
 			return nil
 		})
 	}
-	for k, m := range w.mail {
-		deliver := func(w *world) error {
+	for k, m := range w.messages {
+		deliver := func(w *modelState) error {
 			return w.call(processIndex(m.To), func(p *Part, out *fleet.Out) { p.Message(w.now, m, out) })
 		}
-		add("deliver to "+m.To, func(w *world) error { w.mail = slices.Delete(w.mail, k, k+1); return deliver(w) })
-		if w.doubles > 0 {
-			add("double to "+m.To, func(w *world) error { w.doubles--; return deliver(w) })
+		add("deliver to "+m.To, func(w *modelState) error {
+			w.messages = slices.Delete(w.messages, k, k+1)
+			return deliver(w)
+		})
+		if w.duplicatesLeft > 0 {
+			add("double to "+m.To, func(w *modelState) error { w.duplicatesLeft--; return deliver(w) })
 		}
-		if w.drops > 0 {
-			add("drop to "+m.To, func(w *world) error { w.drops--; w.mail = slices.Delete(w.mail, k, k+1); return nil })
+		if w.dropsLeft > 0 {
+			add("drop to "+m.To, func(w *modelState) error {
+				w.dropsLeft--
+				w.messages = slices.Delete(w.messages, k, k+1)
+				return nil
+			})
 		}
 	}
 	for i := range w.parts {
 		for _, a := range w.acts[i] {
-			done := func(w *world, err error) error {
+			done := func(w *modelState, err error) error {
 				w.acts[i] = slices.DeleteFunc(w.acts[i], func(b fleet.Act) bool { return b.Number == a.Number })
 				if err == nil && a.What == Conclude {
 					w.concluded[i] = change
@@ -359,20 +367,20 @@
 				}
 				return w.restart(i, t.Change)
 			}
-			add(a.What+" done "+w.entries[i].Name, func(w *world) error { return done(w, nil) })
-			if w.refusals > 0 && a.What == Apply {
+			add(a.What+" done "+w.entries[i].Name, func(w *modelState) error { return done(w, nil) })
+			if w.refusalsLeft > 0 && a.What == Apply {
 				add("refuse "+w.entries[i].Name,
-					func(w *world) error { w.refusals--; return done(w, errors.New("no")) })
+					func(w *modelState) error { w.refusalsLeft--; return done(w, errors.New("no")) })
 			}
 		}
-		if w.deaths > 0 {
+		if w.deathsLeft > 0 {
 			add("die "+w.entries[i].Name,
-				func(w *world) error { w.deaths--; w.deathCount++; return w.restart(i, w.concluded[i]) })
+				func(w *modelState) error { w.deathsLeft--; w.deathCount++; return w.restart(i, w.concluded[i]) })
 		}
 	}
-	if w.moves > 0 && f.holder != "" {
-		add("move", func(w *world) error {
-			w.moves--
+	if w.leaseMovesLeft > 0 && f.holder != "" {
+		add("move", func(w *modelState) error {
+			w.leaseMovesLeft--
 			if w.losesRecord {
 				w.lease.value = nil
 			}
@@ -388,7 +396,7 @@
 
 // checkEnd checks that a change is over and that every process is on the right side of it. It is called when
 // nothing more happens without a fault.
-func (w *world) checkEnd() error {
+func (w *modelState) checkEnd() error {
 	r, err := decodeRecord(w.lease.value)
 	if err != nil {
 		return err
@@ -409,11 +417,11 @@
 
 // search runs every order of events. It returns the number of states found, whether the search was complete, and
 // the first violation with the events that led to it. It stops without an error after maxStates states.
-func search(start *world, maxStates int) (states int, complete bool, path []string, err error) {
+func search(start *modelState, maxStates int) (states int, complete bool, path []string, err error) {
 	seen := map[uint64]bool{}
 	h := maphash.MakeSeed()
 	type node struct {
-		w    *world
+		w    *modelState
 		prev *node
 		name string
 	}
@@ -464,9 +472,9 @@
 	return len(seen), true, nil, nil
 }
 
-// openedWorld returns a world in which all processes have started and the first one has proposed the change.
-func openedWorld(t testing.TB, n int, faults failpoints, set func(w *world)) *world {
-	w := newWorld(n, faults)
+// newRunningModel returns a state in which all processes have started and the first one has proposed the change.
+func newRunningModel(t testing.TB, n int, faults failpoints, set func(w *modelState)) *modelState {
+	w := newModelState(n, faults)
 	set(w)
 	for i := range w.parts {
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
@@ -505,29 +513,29 @@
 	for _, c := range []struct {
 		name string
 		n    int
-		set  func(w *world)
+		set  func(w *modelState)
 	}{
-		{"nothing goes wrong", 3, func(w *world) { w.sharedView = true }},
-		{"worse at the first stage", 3, func(w *world) { w.worse, w.sharedView = One, true }},
-		{"worse at the third stage", 3, func(w *world) { w.worse, w.sharedView = Quarter, true }},
-		{"conductor moves", 3, func(w *world) { w.moves, w.sharedView = 1, true }},
-		{"a process refuses", 3, func(w *world) { w.refusals, w.sharedView = 1, true }},
-		{"record lost", 3, func(w *world) { w.moves, w.losesRecord = 1, true }},
-		{"conductor moves, old views", 3, func(w *world) { w.moves = 1 }},
-		{"a process dies", 3, func(w *world) { w.lossy, w.deaths = true, 1 }},
-		{"lost and duplicated messages", 3, func(w *world) {
-			w.lossy, w.drops, w.doubles, w.worse = true, 1, 1, Twentieth
+		{"nothing goes wrong", 3, func(w *modelState) { w.sharedView = true }},
+		{"worse at the first stage", 3, func(w *modelState) { w.harmfulStage, w.sharedView = One, true }},
+		{"worse at the third stage", 3, func(w *modelState) { w.harmfulStage, w.sharedView = Quarter, true }},
+		{"conductor moves", 3, func(w *modelState) { w.leaseMovesLeft, w.sharedView = 1, true }},
+		{"a process refuses", 3, func(w *modelState) { w.refusalsLeft, w.sharedView = 1, true }},
+		{"record lost", 3, func(w *modelState) { w.leaseMovesLeft, w.losesRecord = 1, true }},
+		{"conductor moves, old views", 3, func(w *modelState) { w.leaseMovesLeft = 1 }},
+		{"a process dies", 3, func(w *modelState) { w.lossy, w.deathsLeft = true, 1 }},
+		{"lost and duplicated messages", 3, func(w *modelState) {
+			w.lossy, w.dropsLeft, w.duplicatesLeft, w.harmfulStage = true, 1, 1, Twentieth
 		}},
-		{"program, a process dies", 3, func(w *world) { w.lossy, w.program, w.deaths = true, true, 1 }},
-		{"program, conductor moves, worse", 3, func(w *world) {
-			w.lossy, w.program, w.moves, w.worse = true, true, 1, One
+		{"program, a process dies", 3, func(w *modelState) { w.lossy, w.program, w.deathsLeft = true, true, 1 }},
+		{"program, conductor moves, worse", 3, func(w *modelState) {
+			w.lossy, w.program, w.leaseMovesLeft, w.harmfulStage = true, true, 1, One
 		}},
 		{"four processes, conductor moves, duplicated message, worse", 4,
-			func(w *world) { w.moves, w.doubles, w.worse = 1, 1, One }},
+			func(w *modelState) { w.leaseMovesLeft, w.duplicatesLeft, w.harmfulStage = 1, 1, One }},
 	} {
-		w := openedWorld(t, c.n, failpoints{}, c.set)
+		w := newRunningModel(t, c.n, failpoints{}, c.set)
 		bound := maxStates
-		if w.sharedView && w.moves == 0 {
+		if w.sharedView && w.leaseMovesLeft == 0 {
 			bound = max(bound, 4000) // these cases are searched completely
 		}
 		states, complete, path, err := search(w, bound)
--- a/internal/stage/queries.go
+++ b/internal/stage/queries.go
@@ -1,8 +1,8 @@
 package stage
 
 // Soon reports whether a process is changing or is among the next to change. Meanwhile it should not be given
-// anything to keep. The answer rests on what this process has heard, and nothing that needs exclusion depends on
-// it.
+// anything to own. The answer is based on the entries that this process has received and may be wrong, so nothing
+// that needs mutual exclusion may depend on it.
 func (p *Part) Soon(name string) bool {
 	peer := p.peers.byName[name]
 	if peer == nil {
@@ -15,8 +15,8 @@
 	if running == 0 || peer.inChange(running) {
 		return false
 	}
-	// Compares by zone, and within a zone by rank in the change, as the plan does; the first processes that are
-	// left change next.
+	// Compares by zone, and within a zone by rank in the change, as the plan does: the lowest of the remaining
+	// processes change next.
 	ahead, remaining := 0, 0
 	for _, n := range p.peers.names {
 		other := p.peers.byName[n]
--- a/internal/stage/safeguards_test.go
+++ b/internal/stage/safeguards_test.go
@@ -226,7 +226,7 @@
 
 // crash runs a change in which the one new process dies, and returns the phase and reason in the record then.
 func crash(t *testing.T, faults failpoints) string {
-	w := openedWorld(t, 4, faults, func(w *world) { w.lossy = true })
+	w := newRunningModel(t, 4, faults, func(w *modelState) { w.lossy = true })
 	result := ""
 	for range 200 {
 		names, do := w.steps()
@@ -272,8 +272,8 @@
 
 // Checks that disabling each safeguard leads to the failure that it guards against.
 func TestSafeguards(t *testing.T) {
-	searchError := func(n int, faults failpoints, set func(w *world)) error {
-		_, _, _, err := search(openedWorld(t, n, faults, set), 20000)
+	searchError := func(n int, faults failpoints, set func(w *modelState)) error {
+		_, _, _, err := search(newRunningModel(t, n, faults, set), 20000)
 		return err
 	}
 	planErrors := func(d failpoints) error {
@@ -292,12 +292,12 @@
 		want string
 	}{
 		{"orders sent before the record is stored",
-			searchError(3, failpoints{ordersBeforeRecord: true}, func(w *world) {}),
+			searchError(3, failpoints{ordersBeforeRecord: true}, func(w *modelState) {}),
 			"ordered before the record was stored"},
 		{"fencing number ignored", searchError(3, failpoints{ignoreFence: true},
-			func(w *world) { w.lossy, w.doubles, w.moves, w.worse = true, 1, 1, One }),
+			func(w *modelState) { w.lossy, w.duplicatesLeft, w.leaseMovesLeft, w.harmfulStage = true, 1, 1, One }),
 			"carries out an order with a lower fencing number"},
-		{"stages out of order", searchError(3, failpoints{skipStage: true}, func(w *world) {}), "a stage is skipped"},
+		{"stages out of order", searchError(3, failpoints{skipStage: true}, func(w *modelState) {}), "a stage is skipped"},
 		{"neighbours ignored", planErrors(failpoints{ignoreNeighbours: true}), "neighbours at once"},
 		{"capacity ignored", planErrors(failpoints{ignoreCapacity: true}), "under the capacity"},
 	} {
@@ -315,7 +315,7 @@
 
 // Checks which proposals and orders are refused, and that each error has an advice.
 func TestRefusals(t *testing.T) {
-	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
+	w := newRunningModel(t, 3, failpoints{}, func(w *modelState) {})
 	var out fleet.Out
 	p := w.parts[0]
 	for _, c := range []struct {
@@ -369,7 +369,7 @@
 	if back, err := decodeRecord(r.encode()); err != nil || back.Target != r.Target || len(back.Wave) != MaxWave {
 		t.Errorf("decoded record: %+v, %v", back, err)
 	}
-	w := openedWorld(t, 3, failpoints{}, func(w *world) {})
+	w := newRunningModel(t, 3, failpoints{}, func(w *modelState) {})
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
 		before := w.print()
--- a/internal/stage/slots.go
+++ b/internal/stage/slots.go
@@ -18,7 +18,7 @@
 }
 
 // close compares the figures of each process in the slot with those of the old processes of its zone, class by
-// class, and keeps the excess. A trouble that affects the whole zone, or all processes, is on both sides and
+// class, and keeps the excess. A problem that affects the whole zone, or all processes, is on both sides and
 // cancels out.
 func (e *evidence) close(now int64) {
 	e.slotEnd = now + e.slotLength
