--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -36,8 +36,8 @@
 // Lane is the kind of connection to an office that carries a message.
 type Lane uint8
 
-// The lanes. If no connection of the chosen lane is open, one is opened. A connection that cannot be opened is no
-// reason to use another lane.
+// The kinds of connections. If no connection of the selected kind is open, one is opened. A connection that cannot be
+// opened is no reason to use another kind.
 const (
 	// Own is the session's own connection to the office. It carries no other session's messages and stays open as
 	// long as the session.
@@ -57,7 +57,7 @@
 	Free    bool      // the call's class may be repeated freely
 	Lane    Lane      // returned by Laner.Lane for its newest set-up and stored here by it; 0: none was sent
 	Memo    uint8     // flags private to pooling, like the next field
-	Refused uint64    // office that refused the call on a shared lane; 0: none has
+	Refused uint64    // office that refused the call on a shared connection; 0: none has
 }
 
 // Happening is the kind of an observation.
@@ -71,8 +71,8 @@
 	Answered                       // the office answered and the call is established [Text: its description]
 	Failed                         // the office refused the newest set-up [Cause]; not for a withdrawn one
 	EndHeard                       // the office acknowledged a release sent by this process
-	// EndUnheard: no acknowledgement arrived in time while the connection was open. The release is then sent again,
-	// after another call of Lane.
+	// EndUnheard: no acknowledgement arrived in time while the connection was open. The release is then sent again on
+	// the connection that a further call of Lane selects.
 	EndUnheard
 	EndedThere // the office released an established call [Cause]
 	Over       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
@@ -102,10 +102,11 @@
 	// is called by the periodic sweep. They may be closed once the client's verdict has allowed sharing for long
 	// enough.
 	Keep(now int64, client ClientID, session SessionID) bool
-	// Lane returns the connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also stores
-	// it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any for an
-	// End if the set-up went on Any and the client's verdict still allows it: when a verdict falls, a call in progress
-	// stays on its connection. If a set-up was refused on a shared lane, its repeat goes on Own.
+	// Lane selects the kind of connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also
+	// stores it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any
+	// for an End if the set-up went on Any and the client's verdict still allows it: when the client's mode is lowered,
+	// a call in progress stays on its connection. If a set-up was refused on a shared connection (Taken or Any), its
+	// repeat goes on Own.
 	Lane(now int64, call *Call, kind Kind) Lane
 	// Observe reports an event of a call.
 	Observe(now int64, observation Observation)
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -12,27 +12,27 @@
 
 // Bounds of the state kept on the session loop. Times are microseconds.
 const (
-	maxLoopClients   = 4096   // clients with an open session or with counts that were not handed over
-	maxSessions      = 16384  // sessions that are tracked; any further ones go by session
-	ringSize         = 256    // batches waiting for the Part; a power of two
-	flushEvery       = 20_000 // time between two hand-overs of counts; a witness is handed over at once
-	maxTokens        = 16     // received tokens, and sent ones, remembered per session
-	minTokenLength   = 8      // bytes of the shortest word that is taken for a token
-	maxTextScanned   = 512    // bytes of a description that are scanned for tokens
-	minSureOwnSetUps = 1000   // clean own set-ups after which a missing parameter on a shared lane is a witness
-	ownKeepTime      = 60_000_000
+	maxLoopClients   = 4096       // clients with an open session or with counts that were not handed over
+	maxSessions      = 16384      // tracked sessions; any further one uses the mode BySession and is not observed
+	ringSize         = 256        // batches waiting for the Part; a power of two
+	handOverInterval = 20_000     // time between two hand-overs of counts; a witness is handed over at once
+	maxTokens        = 16         // received tokens, and sent ones, remembered per session
+	minTokenLength   = 8          // bytes of the shortest run of tokenBytes that is taken for a token
+	maxTextScanned   = 512        // bytes of a description that are scanned for tokens
+	minSureOwnSetUps = 1000       // clean set-ups on own connections after which CauseMissing on a shared one is a witness
+	ownKeepTime      = 60_000_000 // how long idle own connections are kept after a client's last change of mode
 )
 
 // Flags in Call.Memo.
 const (
 	memoMarked     uint8 = 1 << iota // the set-up repeats a token that an office gave its session
-	memoRefused                      // a set-up of the call was refused with a stateful cause
-	memoMissing                      // that refusal came on a shared lane because something was missing
+	memoRefused                      // a set-up of the call was refused with a stateful cause (see stateful)
+	memoMissing                      // that refusal had CauseMissing and came on a shared connection
 	memoEndMoved                     // the end was sent on another connection than the set-up
-	memoEndUnheard                   // and was not acknowledged there
+	memoEndUnheard                   // the moved end was not acknowledged there in time
 	memoOpen                         // the call is counted as open in its session
 	memoSent                         // a set-up of the call was sent
-	memoTrial                        // on trial: sent on a shared lane while the client went by session
+	memoTrial                        // trial: sent on a shared connection while the client's mode was BySession
 )
 
 // Verdict is the decision for one client.
@@ -41,16 +41,16 @@
 	Mode           Mode
 	Trial          Mode   // mode on trial; 0: none
 	Share          uint32 // share of plain set-ups that are tried, in units of 2^-32
-	Marked         uint32 // the same for set-ups that repeat a token
-	Ends           bool   // ends may use another connection than their set-up
-	OwnNeverMissed bool   // no parameter was ever missing on an own connection, over enough set-ups
+	Marked         uint32 // share of marked set-ups (they repeat a token) that are tried, likewise
+	Ends           bool   // the end of a call may use another connection than its set-up
+	OwnNeverMissed bool   // OwnMissing was never counted, over at least minSureOwnSetUps clean set-ups
 	Since          int64  // time of the last change of Mode
 }
 
 // Table holds the verdicts that the loop applies. It is immutable and replaced as a whole.
 type Table struct {
-	// ValidUntil is when the table expires. After that every client goes by session, because a stalled Part cannot
-	// lower any.
+	// ValidUntil is when the table expires. After that every client uses BySession, because a stalled Part cannot
+	// lower the mode of any.
 	ValidUntil int64
 	Default    Verdict
 	verdicts   map[uint64]Verdict
@@ -77,7 +77,7 @@
 type batch struct {
 	key    uint64
 	name   string
-	epoch  uint32
+	epoch  uint32 // epoch of the client's evidence to which the counts belong
 	counts Counts
 }
 
@@ -112,25 +112,25 @@
 type loopClient struct {
 	batch
 	sessions     int
-	dirty        bool
+	dirty        bool   // it has counts to hand over and is listed in Loop.dirtyClients
 	urgent       bool   // the counts include a witness
 	verdictTable *Table // the table that verdict was taken from
 	verdict      Verdict
-	denied       Modes // by a witness seen on this loop that the table may not yet contain
-	deniedEpoch  uint32
-	ownMissing   bool // something was missing on an own connection, in any epoch
+	denied       Modes  // modes denied by witnesses seen on this loop, which the table may not contain yet
+	deniedEpoch  uint32 // epoch to which denied belongs
+	ownMissing   bool   // OwnMissing was counted, in any epoch
 }
 
 type session struct {
 	client     ClientID
-	open       int
-	calls      uint32
+	open       int    // calls that are not over
+	calls      uint32 // calls so far
 	ownAnswers uint32 // set-ups answered on its own connections
-	shared     bool   // a set-up went on a shared lane, so what its own connections miss may have been left there
-	// control marks a session of the control group: none of its set-ups is tried, so its refusals on own connections
-	// are the base rate for trials.
+	shared     bool   // a set-up went on a shared connection, where state may be that its own connections lack
+	// control marks a session of the control group, which is a random half of all sessions: none of its set-ups is
+	// tried while the client's mode is BySession, so its refusals on own connections are the base rate for trials.
 	control        bool
-	guarded        bool // it had a call that may not be repeated freely
+	guarded        bool // it had a guarded call: one that may not be repeated freely
 	receivedTokens [maxTokens]uint64
 	sentTokens     [maxTokens]uint64
 	receivedCount  uint8
@@ -138,15 +138,15 @@
 }
 
 // Loop implements Laner and holds the pooling state of the session loop. Except for Verdict, its methods may only be
-// called on that loop. Its Part drains the ring.
+// called on that loop. The Part of the process drains the ring and publishes the table.
 type Loop struct {
 	table        atomic.Pointer[Table]
 	ring         ring
 	ringFull     atomic.Uint64 // hand-overs that found the ring full; the counts are kept for a later one
-	droppedSigns atomic.Uint64 // sessions opened without room in the tables, whose signs are lost
+	droppedSigns atomic.Uint64 // sessions opened without room in the tables; their signs are not counted
 	random       *rand.PCG
 	now          int64
-	flushedAt    int64
+	handedOverAt int64
 	urgent       bool
 	ids          map[uint64]ClientID
 	clients      []loopClient // indexed by ClientID; 0 is unused
@@ -159,7 +159,7 @@
 
 var _ Laner = (*Loop)(nil)
 
-// NewLoop returns a Loop that keeps every client by session until a Part publishes its first table. The seed
+// NewLoop returns a Loop that uses BySession for every client until a Part publishes its first table. The seed
 // determines which set-ups are tried.
 func NewLoop(seed uint64) *Loop {
 	l := &Loop{random: rand.NewPCG(seed, 0x706f6f6c), ids: map[uint64]ClientID{}, clients: make([]loopClient, 1, 64),
@@ -247,7 +247,7 @@
 		}
 	}
 	if l.now >= t.ValidUntil {
-		// The Part is stalled or has just resumed, so its last verdict must not be used any longer.
+		// The Part is stalled or has only just resumed, so its last verdicts may no longer be used.
 		return Verdict{Epoch: cl.epoch, Mode: BySession, Since: l.now}
 	}
 	return cl.verdict
@@ -282,9 +282,9 @@
 	l.now = now
 	sess := l.sessions[call.Session]
 	if kind != SetUp {
-		return l.laneAfterSetUp(sess, call, kind)
+		return l.connectionAfterSetUp(sess, call, kind)
 	}
-	call.Lane = l.laneForSetUp(sess, call)
+	call.Lane = l.connectionForSetUp(sess, call)
 	call.Memo |= memoSent
 	if sess == nil {
 		return call.Lane
@@ -293,8 +293,9 @@
 	return call.Lane
 }
 
-// laneForSetUp chooses the lane of a set-up.
-func (l *Loop) laneForSetUp(sess *session, call *Call) Lane {
+// connectionForSetUp selects the kind of connection for a set-up: that of the client's mode or, for a random share of
+// the set-ups, that of the mode on trial.
+func (l *Loop) connectionForSetUp(sess *session, call *Call) Lane {
 	if sess == nil {
 		return Own
 	}
@@ -302,7 +303,7 @@
 		sess.guarded = true
 	}
 	if call.Memo&memoRefused != 0 || !call.Free && !l.defects.anyClass {
-		// Evidence only covers classes that may be repeated freely, so all others go by session.
+		// Evidence only covers classes that may be repeated freely, so all others use own connections.
 		return Own
 	}
 	cl := &l.clients[sess.client]
@@ -313,10 +314,10 @@
 	}
 	mode, trial := l.mode(cl, v), l.trial(cl, v)
 	switch {
-	case trial <= mode || call.Memo&memoSent != 0:
+	case trial <= mode || call.Memo&memoSent != 0: // only the first set-up of a call is tried
 	case mode > BySession && l.draw(share):
 		mode = trial
-	// The share is doubled because half of the sessions are the control group.
+	// The share is doubled because only the half of the sessions outside the control group is tried.
 	case mode == BySession && !sess.control && sess.ownAnswers >= minOwnAnswers && l.draw(double(share)):
 		call.Memo |= memoTrial
 		mode = trial
@@ -332,9 +333,10 @@
 
 func double(share uint32) uint32 { return uint32(min(2*uint64(share), math.MaxUint32)) }
 
-// laneAfterSetUp chooses the lane of a message after the set-up. Only an end may use another connection than the
-// set-up: a give-up could overtake its set-up there, and an acknowledgement must go where the release came from.
-func (l *Loop) laneAfterSetUp(sess *session, call *Call, kind Kind) Lane {
+// connectionAfterSetUp selects the kind of connection for a message after the set-up. Only an end may use another
+// connection than the set-up: a give-up could overtake its set-up there, and an acknowledgement must go where the
+// release came from.
+func (l *Loop) connectionAfterSetUp(sess *session, call *Call, kind Kind) Lane {
 	if kind != End || sess == nil {
 		return Held
 	}
@@ -355,9 +357,9 @@
 }
 
 // Observe implements Laner.
-func (l *Loop) Observe(now int64, o Observation) {
+func (l *Loop) Observe(now int64, observation Observation) {
 	l.now = now
-	call := o.Call
+	call := observation.Call
 	sess := l.sessions[call.Session]
 	if sess == nil {
 		return // the client is unknown
@@ -365,7 +367,7 @@
 	id := sess.client
 	cl := &l.clients[id]
 	marked := call.Memo&memoMarked != 0
-	switch o.What {
+	switch observation.What {
 	case CameSetUp:
 		if !call.Free {
 			l.count(id, Guarded)
@@ -378,21 +380,21 @@
 		sess.calls++
 		sess.open++
 		call.Memo |= memoOpen
-		if sess.repeatsToken(o.Text) {
+		if sess.repeatsToken(observation.Text) {
 			call.Memo |= memoMarked
 			l.count(id, Marked)
 		}
 	case CameAgain:
-		if other := l.sessions[o.On]; other != nil && other != sess && other.client == id {
+		if other := l.sessions[observation.On]; other != nil && other != sess && other.client == id {
 			l.recordWitness(id, IDClash)
 		}
 		l.count(id, Again)
 	case CameEnd:
-		if o.On != 0 && o.On != call.Session {
+		if observation.On != 0 && observation.On != call.Session {
 			l.count(id, Crossed)
 		}
 	case Answered:
-		sess.recordReceivedTokens(o.Text)
+		sess.recordReceivedTokens(observation.Text)
 		if call.Memo&memoRefused == 0 {
 			l.count(id, l.outcomeSign(sess, call, OwnClean))
 		}
@@ -408,7 +410,7 @@
 			}
 		}
 	case Failed:
-		l.observeRefusal(sess, cl, call, o.Cause)
+		l.observeRefusal(sess, cl, call, observation.Cause)
 	case EndHeard:
 		switch call.Memo & (memoEndMoved | memoEndUnheard) {
 		case memoEndMoved:
@@ -453,9 +455,11 @@
 	}
 }
 
-// outcomeSign returns the sign of an answer (of is OwnClean) or a refusal (of is OwnFault); 0: none. Once a session
-// has used shared lanes, refusals on its own connections no longer count for the base rate. For repeatable calls the
-// trials provide the same evidence.
+// outcomeSign returns the sign to count for an answer (sign is OwnClean) or a refusal (sign is OwnFault), depending on
+// the call's connection; 0: none. The signs of each kind of connection are numbered in the same order, so the result is
+// found by adding the difference of two of them. Once a session has used shared connections, outcomes on its own ones
+// no longer count for the base rate: those of guarded calls count as AfterClean (see sharesOften) or AfterFault, and
+// those of other calls are not counted, because the trials provide the same evidence.
 func (l *Loop) outcomeSign(sess *session, call *Call, sign Sign) Sign {
 	switch call.Lane {
 	case Own:
@@ -478,14 +482,15 @@
 	return sign
 }
 
-// sharesOften reports whether about half of a session's set-ups are shared, as the test of guarded calls assumes.
-// Otherwise clean outcomes could pass that test although hardly any state could have been left on shared connections.
+// sharesOften reports whether about half of a session's set-ups use shared connections, as the test of guarded calls
+// assumes. Otherwise clean outcomes could pass that test although hardly any state could have been left there.
 func (l *Loop) sharesOften(sess *session) bool {
 	v := l.verdict(&l.clients[sess.client])
 	return v.Mode > BySession || v.Share >= fraction32(maxTrialShare)
 }
 
-// recordWitness denies modes on this loop at once and marks the client for hand-over at the end of the round.
+// recordWitness applies the denial of a witness on this loop at once and marks the client, so that its counts are
+// handed over to the Part at the end of the round.
 func (l *Loop) recordWitness(id ClientID, s Sign) {
 	cl := &l.clients[id]
 	v := l.verdict(cl)
@@ -511,14 +516,14 @@
 	}
 }
 
-// Round implements Laner. Counts for which the ring has no room are kept for a later round. Witnesses are handed over
-// first.
+// Round implements Laner. It hands over counts every handOverInterval, or at once if there is a witness; clients with a
+// witness come first. Counts for which the ring has no room are kept for a later round.
 func (l *Loop) Round(now int64) {
 	l.now = now
-	if len(l.dirtyClients) == 0 || !l.urgent && now-l.flushedAt < flushEvery {
+	if len(l.dirtyClients) == 0 || !l.urgent && now-l.handedOverAt < handOverInterval {
 		return
 	}
-	l.flushedAt = now
+	l.handedOverAt = now
 	if l.urgent {
 		l.urgent = false
 		for i, n := 0, 0; i < len(l.dirtyClients); i++ {
@@ -545,41 +550,43 @@
 	l.dirtyClients = l.dirtyClients[:copy(l.dirtyClients, l.dirtyClients[n:])]
 }
 
-// repeatsToken records the words of a set-up and reports whether one of them is a token that an office gave.
-func (x *session) repeatsToken(text []byte) bool {
+// repeatsToken records the tokens of a set-up's description and reports whether an office gave the session one of them.
+func (sess *session) repeatsToken(text []byte) bool {
 	marked := false
 	for from, to := 0, 0; nextToken(text, &from, &to); {
-		switch w := xxhash.Sum64(text[from:to]); {
-		case containsToken(&x.receivedTokens, w):
+		switch token := xxhash.Sum64(text[from:to]); {
+		case containsToken(&sess.receivedTokens, token):
 			marked = true
-		case !containsToken(&x.sentTokens, w):
-			x.sentTokens[x.sentCount%maxTokens] = w
-			x.sentCount++
+		case !containsToken(&sess.sentTokens, token):
+			sess.sentTokens[sess.sentCount%maxTokens] = token
+			sess.sentCount++
 		}
 	}
 	return marked
 }
 
-// recordReceivedTokens records the words of an office's answer that the session has not sent itself.
-func (x *session) recordReceivedTokens(text []byte) {
+// recordReceivedTokens records the tokens of an office's answer that the session has not sent itself.
+func (sess *session) recordReceivedTokens(text []byte) {
 	for from, to := 0, 0; nextToken(text, &from, &to); {
-		if w := xxhash.Sum64(text[from:to]); !containsToken(&x.sentTokens, w) && !containsToken(&x.receivedTokens, w) {
-			x.receivedTokens[x.receivedCount%maxTokens] = w
-			x.receivedCount++
+		if token := xxhash.Sum64(text[from:to]); !containsToken(&sess.sentTokens, token) &&
+			!containsToken(&sess.receivedTokens, token) {
+			sess.receivedTokens[sess.receivedCount%maxTokens] = token
+			sess.receivedCount++
 		}
 	}
 }
 
-func containsToken(in *[maxTokens]uint64, w uint64) bool {
-	for _, v := range in {
-		if v == w {
+func containsToken(tokens *[maxTokens]uint64, token uint64) bool {
+	for _, v := range tokens {
+		if v == token {
 			return true
 		}
 	}
 	return false
 }
 
-// nextToken finds the next word of at least minTokenLength bytes.
+// nextToken finds the next token after *to, a run of at least minTokenLength token bytes, and sets *from and *to to its
+// bounds. It reports whether there is one.
 func nextToken(text []byte, from, to *int) bool {
 	text = text[:min(len(text), maxTextScanned)]
 	for i := *to; i < len(text); {
--- a/internal/pooling/module.go
+++ b/internal/pooling/module.go
@@ -70,7 +70,7 @@
 	// Unsafe bounds the probability that a client is raised to a mode that is not safe for it; 0: 1 in 10,000.
 	Unsafe float64
 	// Watch computes and reports verdicts, but the table keeps every client by session. Session code that only
-	// observes and never asks for a lane makes no trials; what it observes on shared lanes still counts.
+	// observes and never calls Laner.Lane makes no trials; what it observes on shared connections still counts.
 	Watch bool
 	// Signs is the mask of the signs that are evaluated; 0: all that this version knows. For tests of mixed versions.
 	Signs uint64
--- a/internal/pooling/pooling_test.go
+++ b/internal/pooling/pooling_test.go
@@ -159,16 +159,17 @@
 	o.loop.Observe(o.now, pooling.Observation{What: event, Call: c, Cause: cause, Text: []byte(text)})
 }
 
-// playAnswered plays a call that is answered and ends, and returns its lane.
+// playAnswered plays a call that is answered and ends, and returns the kind of connection that carried it.
 func (o *process) playAnswered(free bool) pooling.Lane {
 	c := o.call(free)
-	lane := o.loop.Lane(o.now, c, pooling.SetUp)
+	connection := o.loop.Lane(o.now, c, pooling.SetUp)
 	o.observe(c, pooling.Answered, 0, "done")
 	o.observe(c, pooling.Over, 0, "")
-	return lane
+	return connection
 }
 
-// playUntilTrial plays answered calls until one is tried on a shared lane, and returns that one without an answer.
+// playUntilTrial plays answered calls until one is tried on a shared connection, and returns that one without
+// an answer.
 func (o *process) playUntilTrial(t testing.TB) *pooling.Call {
 	for range 100_000 {
 		c := o.call(true)
@@ -181,7 +182,7 @@
 			o.advance(100_000, 100_000)
 		}
 	}
-	t.Fatal("nothing was tried")
+	t.Fatal("no set-up was tried on a shared connection")
 	return nil
 }
 
@@ -218,7 +219,7 @@
 		c := o.playUntilTrial(t)
 		o.observe(c, pooling.Failed, wire.CauseMissing, "")
 		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
-			return "the repeat went on a shared lane"
+			return "the repeat went on a shared connection"
 		}
 		o.observe(c, pooling.Answered, 0, "done")
 		for i := range 3000 {
@@ -282,9 +283,9 @@
 			o := newProcess(t, defect, pooling.Config{})
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: mode})
 			c := o.call(true)
-			lane := o.loop.Lane(o.now, c, pooling.SetUp)
+			connection := o.loop.Lane(o.now, c, pooling.SetUp)
 			requireEqual(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken,
-				pooling.ByMessage: pooling.Any}[mode], lane)
+				pooling.ByMessage: pooling.Any}[mode], connection)
 			o.observe(c, pooling.Answered, 0, "done")
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession})
 			for _, k := range []pooling.Kind{pooling.End, pooling.GiveUp, pooling.Heard} {
@@ -403,9 +404,9 @@
 	o.advance(1_000_000, 100_000)
 	requireEqual(t, pooling.Taken, o.playAnswered(true))
 	o.now += pooling.TableLifetime + 1_000_000
-	requireEqual(t, pooling.Own, o.playAnswered(true), "before the part has moved")
+	requireEqual(t, pooling.Own, o.playAnswered(true), "before the first tick of the Part")
 	o.part.Tick(o.now, &o.out)
-	requireEqual(t, pooling.Own, o.playAnswered(true), "and right after")
+	requireEqual(t, pooling.Own, o.playAnswered(true), "right after the first tick of the Part")
 	o.advance(3_000_000, 100_000)
 	requireEqual(t, pooling.Taken, o.playAnswered(true))
 }
