--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -27,28 +27,30 @@
 	recordFence, write uint64
 	value              []byte
 
-	// Roster under which this process may vote on the resource; 0: not learned since this process started.
+	// Roster under which this process may vote on the resource, because its state is complete; 0: the state has not
+	// been learned since this process started or evicted the resource.
 	readyRoster         uint64
-	bothMajoritiesUntil int64 // until when votes report that a majority of the previous electors is required as well
-	generation          uint64
-	lastUsed            int64
+	bothMajoritiesUntil int64    // until when votes report that a majority of the previous electors is required as well
+	generation          uint64   // value of Part.generation when this state was created
+	lastUsed            int64    // time of the creation or of the last claim; see Config.EvictAfter
 	waiters             []string // refused claimants, to be notified when the resource is free
-	// The state of learning from other electors.
+	// Progress of learning the state from other electors, in rounds of one learn request to each peer.
 	learning      bool
 	learnRound    uint64
 	nextLearnAt   int64
 	learnInterval int64
 	learnStart    int64
 	peers         []peer
-	// Process states that had lost the resource at the moment from which this process counts; see forgottenStateID.
+	// Identifies the electors, this one included, that together had lost the resource's state when this process started
+	// to vote with a new state; see forgottenStateID. Empty if the state was learned from others.
 	forgottenStates []uint64
 }
 
 // forgottenStateID identifies the state of a process between two losses of a resource's state: its name, incarnation
 // and generation.
 func forgottenStateID(name string, incarnation, generation uint64) uint64 {
-	return xxhash.Sum64String(name + "\x00" + strconv.FormatUint(incarnation,
-		36) + "\x00" + strconv.FormatUint(generation, 36))
+	return xxhash.Sum64String(name + "\x00" + strconv.FormatUint(incarnation, 36) + "\x00" +
+		strconv.FormatUint(generation, 36))
 }
 
 // maxWaiters limits how many claimants are notified that a resource is free.
@@ -61,8 +63,8 @@
 	round                   uint64 // learn round of its last answer; 0: none
 	incarnation, generation uint64
 	readyRoster             uint64
-	// Learn round of the answer, if it was not ready in that round and in an earlier one of the same incarnation and
-	// generation
+	// Learn round of the last answer, if the peer also answered an earlier round with the same incarnation and
+	// generation. With a readyRoster that is too low, the peer already was not ready when the last round began.
 	unreadyRound        uint64
 	bothMajoritiesUntil int64
 }
@@ -98,8 +100,8 @@
 		if oldest == nil {
 			return nil
 		}
-		// Evicted state is treated as after a restart: it is learned from the other electors before the next vote, and
-		// they detect the loss by the generation.
+		// An evicted resource is treated like one after a restart: its state is learned from the other electors before
+		// the next vote, and they detect the loss by the higher generation.
 		p.observeFence(oldest.fence)
 		p.fenceFloor = max(p.fenceFloor, oldest.fence)
 		delete(p.resources, oldest.name)
@@ -139,7 +141,7 @@
 		refuse(nil, NewerRoster, 0)
 		return
 	}
-	// Otherwise majorities of two rosters could have no elector in common.
+	// If claims under an older roster got votes, majorities of two rosters could have no elector in common.
 	if msg.Roster < p.highestRoster && !p.overrides.noRosterCheck {
 		refuse(nil, OlderRoster, 0)
 		return
@@ -155,7 +157,7 @@
 		return
 	}
 	res.lastUsed = p.now
-	// A vote cast before the restart may still be valid, and this process has no memory of it.
+	// A vote that this process cast before its restart, and has no record of, may still be valid.
 	if p.now < p.voteFrom {
 		p.startLearning(res)
 		refuse(res, Waiting, p.voteFrom-p.now)
@@ -235,7 +237,8 @@
 	res.waiters = nil
 }
 
-// startLearning starts asking the other electors for their state of a resource.
+// startLearning starts to ask the resource's other electors, those of the previous roster included, for their state of
+// it. tickLearning sends the requests.
 func (p *Part) startLearning(res *resource) {
 	if res.learning {
 		return
@@ -270,8 +273,8 @@
 	p.learning = slices.DeleteFunc(p.learning, func(o *resource) bool { return o == res })
 }
 
-// tickLearning starts a new round and asks all peers again. Answers to earlier rounds then only serve to detect peers
-// that stay unready.
+// tickLearning starts a new learn round when it is due, and asks all peers again. Answers to earlier rounds then only
+// serve to detect peers that stay unready (see peer.unreadyRound).
 func (p *Part) tickLearning(res *resource, out *fleet.Out) {
 	if !res.learning || p.now < res.nextLearnAt {
 		return
@@ -296,8 +299,9 @@
 	p.checkLearned(res, out)
 }
 
-// handleLearn answers another elector's learn request with the local state. It also stops voting under the previous
-// roster, so that the state which the other elector learns from a majority stays complete.
+// handleLearn answers another elector's learn request with the local state. It first records the request's roster
+// number, so that no claim under an older roster gets a vote from now on and what the requester learns from a majority
+// stays complete.
 func (p *Part) handleLearn(from string, msg body, out *fleet.Out) {
 	if msg.Roster > p.roster+1 {
 		return
@@ -338,33 +342,36 @@
 		return
 	}
 	res.merge(msg)
-	q := &res.peers[i]
-	before := *q
-	*q = peer{name: q.name, inCurrent: q.inCurrent, inPrevious: q.inPrevious, round: res.learnRound,
+	sender := &res.peers[i]
+	before := *sender
+	*sender = peer{name: sender.name, inCurrent: sender.inCurrent, inPrevious: sender.inPrevious, round: res.learnRound,
 		incarnation: msg.Incarnation, generation: msg.Generation, readyRoster: msg.ReadyRoster,
-		bothMajoritiesUntil: q.bothMajoritiesUntil}
+		bothMajoritiesUntil: sender.bothMajoritiesUntil}
 	if msg.BothMajoritiesFor > 0 {
-		q.bothMajoritiesUntil = max(q.bothMajoritiesUntil, p.now+msg.BothMajoritiesFor+p.driftMargin)
+		sender.bothMajoritiesUntil = max(sender.bothMajoritiesUntil, p.now+msg.BothMajoritiesFor+p.driftMargin)
 	}
-	// If the same incarnation and generation is unready in two rounds, it was unready when the later round began.
+	// An incarnation and generation that answers a round after an earlier one existed when the later round began. If it
+	// is not ready now, it was not ready then either.
 	if before.round > 0 && (before.round < res.learnRound || before.unreadyRound == res.learnRound) &&
 		before.incarnation == msg.Incarnation && before.generation == msg.Generation {
-		q.unreadyRound = res.learnRound
+		sender.unreadyRound = res.learnRound
 	}
-	// The other elector counts from a moment at which a majority, including this incarnation, had lost the resource.
-	// This process may count from it too, since it has neither voted nor stored anything until now. Otherwise electors
-	// could block each other, each lacking a majority in the same state.
+	// The sender votes with a new state because a majority, which included this process in its present
+	// incarnation and generation, had lost the old one. This process may vote from now on too, since it has neither
+	// voted nor stored anything until now. Otherwise electors could block each other, each lacking a majority in the
+	// same state.
 	if required := p.requiredRoster(res.name); required > 0 && res.readyRoster < required &&
 		msg.ReadyRoster >= required &&
 		slices.Contains(msg.Forgot, forgottenStateID(p.cfg.Self, p.cfg.Incarnation, res.generation)) {
 		res.forgottenStates = msg.Forgot
-		p.finishLearning(res, required, q.bothMajoritiesUntil, out)
+		p.finishLearning(res, required, sender.bothMajoritiesUntil, out)
 		return
 	}
 	p.checkLearned(res, out)
 }
 
-// finishLearning ends learning; from now on this process votes on the resource.
+// finishLearning ends learning; from now on this process votes on the resource under the required roster. Up to the
+// time until, its votes report that a majority of the previous electors is required as well.
 func (p *Part) finishLearning(res *resource, required uint64, until int64, out *fleet.Out) {
 	res.readyRoster, res.bothMajoritiesUntil = required, max(res.bothMajoritiesUntil, until)
 	p.counts.learned++
@@ -372,8 +379,8 @@
 	p.notifyWaiters(res, out)
 }
 
-// merge adopts higher fences and newer records. A fence with two claimed owners belongs to neither and only counts as
-// used.
+// merge adopts a higher fence or a newer record that another elector reports. If the same fence is reported with
+// another owner, it belongs to neither and only counts as used.
 func (res *resource) merge(msg body) {
 	switch {
 	case msg.Fence > res.fence:
@@ -391,20 +398,24 @@
 
 // checkLearned decides whether the learned state is complete, and starts another round at once if that could decide it.
 //
-// The state is complete if a majority of the resource's other electors may vote under the roster: whatever this process
-// voted for or stored before its restart was also voted for or stored by one of them. It is also complete if a
-// majority, including this process, had lost the state at one moment; then, if the previous roster is known, a majority
-// of its electors must report their state or have lost it too.
+// The state is complete if a majority of the resource's other electors is ready, that is, may vote under the required
+// roster: whatever this process voted for or stored before its restart was also voted for or stored by one of them. It
+// is also complete if a majority, including this process, had lost the state at one moment. Then a new state starts; if
+// the previous roster is known, a majority of its electors must first report their state or have lost it too.
 func (p *Part) checkLearned(res *resource, out *fleet.Out) {
 	required := p.requiredRoster(res.name)
 	electors := p.electors(res.name)
 	if res.learnRound == 0 {
 		return
 	}
-	transfer := required == p.roster && p.previousNames != nil
+	// After a change of the roster, electors of the previous one may hold the state.
+	checkPrevious := required == p.roster && p.previousNames != nil
 	if required < p.roster {
 		electors = p.previousElectors(res.name)
 	}
+	// count returns how many electors of the set answered in this round and are ready under neededRoster, are known to
+	// have lost the state before the round began (unready), or are not ready but may have lost it only since
+	// (unconfirmed), and until when they report that majorities of both rosters are required.
 	count := func(set []string, neededRoster uint64) (ready, unready, unconfirmed int, bothUntil int64) {
 		for i := range res.peers {
 			q := &res.peers[i]
@@ -424,12 +435,15 @@
 		return ready, unready, unconfirmed, bothUntil
 	}
 	if res.readyRoster >= required || required == 0 {
-		// Already learned: it only asks so that the others learn, and stops when a majority of the electors has.
+		// This process is ready or no elector. It only asks so that the others start learning too, and stops when a
+		// majority of the electors is ready.
 		if ready, _, _, _ := count(p.electors(res.name), p.roster); ready >= len(p.electors(res.name))/2+1 {
 			p.stopLearning(res)
 		}
 		return
 	}
+	// finish ends learning. newState says that a majority has lost the state, and keeps which electors those are;
+	// useFloor raises the fence to the floor.
 	finish := func(bothUntil int64, newState, useFloor bool) {
 		// After all electors have lost their state, the fence must not go back: the floor is not below any fence
 		// granted before.
@@ -459,7 +473,7 @@
 	switch {
 	case unready < needed:
 		anotherRound = unready+unconfirmed >= needed
-	case !transfer:
+	case !checkPrevious:
 		finish(bothUntil, true, true)
 		return
 	default:
@@ -485,7 +499,7 @@
 		anotherRound = previousLost+unconfirmed >= len(previous)/2+1
 	}
 	if anotherRound {
-		res.nextLearnAt = p.now // all prerequisites of a further round are met
+		res.nextLearnAt = p.now // enough electors are not ready; if they still are not in one more round, that confirms it
 		p.tickLearning(res, out)
 	}
 }
