--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -15,7 +15,7 @@
 
 func (a *Agent) deliverMessage(message fleet.Message) {
 	if message.Kind == fleet.Repair {
-		a.repair.Message(a.now, message, &a.out)
+		a.entryRepair.Message(a.now, message, &a.out)
 		return
 	}
 	for _, module := range a.modules {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,19 +20,21 @@
 
 const (
 	defaultWindowLength = 1_000_000
-	// moduleStartDelay is how long after the start the modules are created; see Config.Make.
+	// moduleStartDelay is the time from the start of the agent to the creation of the modules; see Config.Make.
 	moduleStartDelay = 1_000_000
 	defaultQueueSize = 1024
-	// minUpdateInterval is the minimum time between two publications of the own entry and between two views: a module
-	// may change its entry part at every message.
+	// minUpdateInterval is the minimum time between two publications of this process's entry and between two views,
+	// because a module may change its part of the entry at every message.
 	minUpdateInterval = 50_000
 	// suspicionInterval is how often suspicions are evaluated when nothing has changed.
 	suspicionInterval = 500_000
 	// warnInterval is the minimum time between two log lines about the same ongoing condition.
 	warnInterval = 60_000_000
-	// maxActs limits the acts that run or whose end is not handled yet; further ones fail with an *ActError.
+	// maxActs limits the acts (blocking actions that modules request) that run or whose result is not handled yet;
+	// further ones fail with an *ActError.
 	maxActs = 16
-	// maxSelfMessages limits the messages between modules of one process within one round, in case they never stop.
+	// maxSelfMessages limits the messages between the modules of this process that one carryOut delivers, in case the
+	// modules answer each other without end.
 	maxSelfMessages = 10_000
 	// stopTimeout is how long Stop waits for running acts.
 	stopTimeout = 2 * time.Second
@@ -55,21 +57,21 @@
 	actSlots    chan struct{}
 
 	now               int64
-	out               fleet.Out
-	selfMessages      []fleet.Message
-	windowStart       int64 // start time of the current window
-	windows           []fleet.Window
-	windowStartCPU    int64
+	out               fleet.Out       // actions that the modules requested and that are not carried out yet
+	selfMessages      []fleet.Message // messages between modules of this process that are not delivered yet
+	windowStart       int64           // start time of the current window
+	windows           []fleet.Window  // the latest ended windows, oldest first
+	windowStartCPU    int64           // CPU time of this process at windowStart
 	metrics           *metrics
-	make              int64                // when to create the modules; 0: they have been created
-	failedActs        []endedAct           // acts that were refused; the modules are notified in the next round
-	pendingChanges    []func(*fleet.Entry) // changes of the own entry that are not published yet
-	lastPublished     int64                // time of the last publication of the own entry
-	publishedDigest   uint64               // digest of the registry with which the network answers probes
-	repair            *dissemination.Repair
-	lastView          int64 // time of the last view
-	lastEntryWarning  int64 // time of the last warning about a dropped entry
-	lastBudgetWarning int64 // time of the last warning about an exceeded traffic budget
+	make              int64                 // when to create the modules; 0: they have been created
+	failedActs        []endedAct            // acts that were not started; runDue notifies their modules
+	pendingChanges    []func(*fleet.Entry)  // changes of this process's entry that are not published yet
+	lastPublished     int64                 // time of the last publication of this process's entry
+	publishedDigest   uint64                // digest of the registry last given to the network, for its probes
+	entryRepair       *dissemination.Repair // reconciles the known entries with other members
+	lastView          int64                 // time at which a view was last due, whether or not there was a change
+	lastEntryWarning  int64                 // time of the last warning about a dropped entry
+	lastBudgetWarning int64                 // time of the last warning about an exceeded traffic budget
 	// budgetRefusalsWarned is the number of refused messages at that warning.
 	budgetRefusalsWarned uint64
 
@@ -79,8 +81,8 @@
 // Views returns the holder of the latest view.
 func (a *Agent) Views() *fleet.ViewHolder { return a.views }
 
-// Post passes an observation made elsewhere, for example in the loop of calls, to the modules: f is called on the
-// agent's goroutine, and the actions that it requests are carried out. Post never blocks; if the queue is full, it
+// Post passes an observation made on another goroutine, for example the loop of calls, to the modules: f is called on
+// the agent's goroutine, and the actions that it requests are carried out. Post never blocks; if the queue is full, it
 // drops f, counts the drop and returns false.
 func (a *Agent) Post(f func(now int64, out *fleet.Out)) bool {
 	select {
@@ -100,10 +102,11 @@
 	}
 }
 
-// Name updates the addresses of the members.
+// Name sets the addresses of the members on the network, by member name.
 func (a *Agent) Name(addresses map[string]netip.AddrPort) { a.cfg.Net.Name(addresses) }
 
-// Goes publishes the settings and the roster that the process uses from now on.
+// Goes publishes the digest of the settings and the number of the roster that the process uses from now on. It returns
+// false if the queue of Post is full.
 func (a *Agent) Goes(settings, roster uint64) bool {
 	return a.Post(func(int64, *fleet.Out) {
 		a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) { e.Settings, e.Roster = settings, roster })
@@ -187,7 +190,8 @@
 	return min(wake, a.lastView+suspicionInterval)
 }
 
-// nextPublish returns when the own entry is published: shortly after a change, otherwise at its heartbeat.
+// nextPublish returns when this process's entry is due to be published: minUpdateInterval after the last publication if
+// it has changed, otherwise at the heartbeat.
 func (a *Agent) nextPublish() int64 {
 	if len(a.pendingChanges) > 0 {
 		return a.lastPublished + minUpdateInterval
@@ -195,7 +199,8 @@
 	return a.lastPublished + fleet.DefaultHeartbeat*a.registry.IntervalFactor()
 }
 
-// runDue runs what is due: the modules' ticks, the end of the window, the publication of the own entry and the view.
+// runDue does what is due: it notifies modules of refused acts, creates the modules, calls their ticks, ends the
+// window, publishes this process's entry, updates the view and gives the network the digest of the registry.
 func (a *Agent) runDue() {
 	failed := a.failedActs
 	a.failedActs = nil
@@ -227,8 +232,8 @@
 	}
 }
 
-// viewInterval returns the minimum time between two views. A view lists all members, so it is built less often in a
-// large fleet.
+// viewInterval returns the minimum time between two views. A view lists all members, so its cost grows with the fleet;
+// in a large fleet it is built less often.
 func (a *Agent) viewInterval() int64 { return minUpdateInterval * a.registry.IntervalFactor() }
 
 // updateView builds a view if anything has changed, and passes it to all modules.
@@ -247,8 +252,9 @@
 	}
 }
 
-// setWholeEntries adapts to the members heard: while one of them reads only whole entries, the windows are part of the
-// own entry, which is published with each of them.
+// setWholeEntries selects the format in which this process's entry is published. While there is a member of the
+// previous version (older), which reads only whole entries, windows are part of the entry and it is published at the
+// end of each window. Otherwise it has no windows and modules send them to the members that ask for them.
 func (a *Agent) setWholeEntries(older bool) {
 	if a.registry.Heads != older {
 		return
@@ -259,7 +265,7 @@
 	a.publish()
 }
 
-// startModules creates the modules for the current incarnation and starts them.
+// startModules creates the modules for the current incarnation, in place of earlier ones, and starts them.
 func (a *Agent) startModules() {
 	if a.cfg.Make == nil {
 		return
@@ -291,7 +297,7 @@
 		name, spread, err := a.registry.Take(a.now, event.Bytes)
 		a.warnOfEntry(err)
 		if spread != nil {
-			a.spreadNews(name, fleet.Coded{Entry: spread}, event.Passed)
+			a.spreadNewEntry(name, fleet.Coded{Entry: spread}, event.Passed)
 		}
 	case fleetnet.Update:
 		if failpoint.On("deaf-own") && isUpdateOf(event.Bytes, a.cfg.Self) {
@@ -300,10 +306,10 @@
 		name, spread, err := a.registry.TakeUpdate(a.now, event.Bytes)
 		a.warnOfEntry(err)
 		if spread != nil {
-			a.spreadNews(name, *spread, event.Passed)
+			a.spreadNewEntry(name, *spread, event.Passed)
 		}
 	case fleetnet.Root:
-		a.repair.Root(a.now, event.Name, event.Digest, &a.out)
+		a.entryRepair.Root(a.now, event.Name, event.Digest, &a.out)
 		a.carryOut()
 	case fleetnet.Up:
 		a.registry.Up(a.now, event.Name)
@@ -321,15 +327,16 @@
 	a.log.Warn("entry dropped", "error", err, advice.Attr(err))
 }
 
-// spreadNews spreads a new entry, unless it came by repair: the other members know it then. If the entry is the
-// process's own, the process had to take a higher incarnation.
-func (a *Agent) spreadNews(name string, newest fleet.Coded, byRepair bool) {
+// spreadNewEntry spreads a new entry or update to the other members. One of another process that came by repair is only
+// kept, since the other members know it already. If it is this process's own, a later incarnation than the current one
+// was heard and the registry has taken a higher one; the modules are then created again.
+func (a *Agent) spreadNewEntry(name string, newest fleet.Coded, byRepair bool) {
 	if byRepair && name != a.cfg.Self {
 		a.cfg.Net.Keep(name, newest)
 		return
 	}
 	a.cfg.Net.Spread(name, newest)
-	if name == a.cfg.Self && a.make == 0 { // the modules' messages carried the lower incarnation
+	if name == a.cfg.Self && a.make == 0 { // the modules exist and their messages carried the lower incarnation
 		a.log.Info("heard of a later incarnation of this process; took a higher one", "life",
 			a.registry.Own().Incarnation)
 		a.startModules()
@@ -345,7 +352,7 @@
 	a.log.Info("process state changed", "self", a.cfg.Self, "state", uint8(s))
 }
 
-// publish applies the pending changes to the own entry and spreads it.
+// publish applies the pending changes to this process's entry and spreads it.
 func (a *Agent) publish() {
 	changes := a.pendingChanges
 	a.pendingChanges, a.lastPublished = nil, a.now
@@ -362,7 +369,8 @@
 	a.setState(fleet.Leaving)
 	a.cfg.Net.Leave()
 	a.cfg.Net.Close()
-	// Running acts have room in their channel. The timeout covers acts that never end.
+	// The channel endedActs has room for the results of all running acts, so none of them blocks on it. The timeout
+	// covers acts that never end.
 	done := make(chan struct{})
 	go func() { a.runningActs.Wait(); close(done) }()
 	select {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -118,7 +118,7 @@
 		Settings: cfg.Settings, Roster: cfg.Roster, Protocol: fleet.ProtocolHeads, State: fleet.Starting,
 		Parts: cfg.First})
 	a.registry.Heads = true
-	a.repair = dissemination.NewRepair(dissemination.RepairConfig{Self: cfg.Self, Seed: incarnation}, a.registry)
+	a.entryRepair = dissemination.NewRepair(dissemination.RepairConfig{Self: cfg.Self, Seed: incarnation}, a.registry)
 	a.registry.Stale, a.registry.Absent = cfg.Stale, cfg.Absent
 	if failpoint.On("gone-is-left") {
 		a.registry.Absent = 1
--- a/internal/agent/window.go
+++ b/internal/agent/window.go
@@ -99,7 +99,7 @@
 	put("fleet_posts_dropped", a.droppedPosts.Load(), false)
 	put("fleet_refused", a.refusedCount.Load(), false)
 	a.cfg.Net.Figures(put)
-	a.repair.Figures(put)
+	a.entryRepair.Figures(put)
 	for _, module := range a.modules {
 		module.Figures(put)
 	}
