--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -55,7 +55,7 @@
 				role.Part = s.now
 				s.handleCallerMessage(role, message, arrival.At)
 			})
-		case *state.Lane:
+		case *state.OfficeConn:
 			if role.Spoken.Heard = s.now; len(role.In) == 0 {
 				role.Partial = s.now
 			}
@@ -78,10 +78,10 @@
 	case Closed:
 		s.connClosed(arrival.Conn, arrival.Err)
 	case Stop:
-		if s.stoppedAt == 0 {
-			s.stoppedAt = s.now
-			s.wheel.Set(s.stoppedAt+acceptAfterStop, state.Timer{Kind: state.TimerLeave})
-			s.wheel.Set(s.lastAnswerTime(), state.Timer{Kind: state.TimerStop})
+		if s.shutdownSince == 0 {
+			s.shutdownSince = s.now
+			s.wheel.Set(s.shutdownSince+acceptAfterShutdown, state.Timer{Kind: state.TimerLeave})
+			s.wheel.Set(s.lastAnswerTime(), state.Timer{Kind: state.TimerShutdownDeadline})
 			s.log.Info("stopping", "open", s.countOpen(), "standing", len(s.established))
 		}
 	case Left:
@@ -145,7 +145,7 @@
 	switch role := s.connOwners[conn].(type) {
 	case *state.Caller:
 		s.writeCaller(role)
-	case *state.Lane:
+	case *state.OfficeConn:
 		s.writeOffice(role)
 	}
 	_ = conn.Close() // the connection is being abandoned
@@ -158,7 +158,7 @@
 	switch role := role.(type) {
 	case *state.Caller:
 		s.callerDisconnected(role)
-	case *state.Lane:
+	case *state.OfficeConn:
 		s.officeDisconnected(role, err)
 	case *journal:
 		s.journalDisconnected(err)
@@ -167,18 +167,18 @@
 	}
 }
 
-// dial opens a connection for a lane, or to the journal if the lane is nil.
-func (s *Session) dial(address string, lane *state.Lane) uint64 {
+// dial opens an office connection, or the journal connection if officeConn is nil.
+func (s *Session) dial(address string, officeConn *state.OfficeConn) uint64 {
 	s.lastDialID++
 	id := s.lastDialID
-	s.dials[id] = lane
+	s.dials[id] = officeConn
 	s.wheel.Set(s.now+s.dialTimeout, state.Timer{Kind: state.TimerDial, ID: id})
 	s.net.Dial(address, id)
 	return id
 }
 
 func (s *Session) dialFinished(arrival Arrival) {
-	lane, ok := s.dials[arrival.Dial]
+	officeConn, ok := s.dials[arrival.Dial]
 	if !ok { // the dial timed out and was abandoned
 		if arrival.Conn != nil {
 			_ = arrival.Conn.Close() // nothing was written to it
@@ -187,13 +187,13 @@
 	}
 	delete(s.dials, arrival.Dial)
 	switch {
-	case arrival.Err != nil && lane == nil:
+	case arrival.Err != nil && officeConn == nil:
 		s.journalDisconnected(arrival.Err)
 	case arrival.Err != nil:
-		s.officeDialFailed(lane, arrival.Err)
-	case lane == nil:
+		s.officeDialFailed(officeConn, arrival.Err)
+	case officeConn == nil:
 		s.journalConnected(arrival.Conn)
 	default:
-		s.officeConnected(lane, arrival.Conn)
+		s.officeConnected(officeConn, arrival.Conn)
 	}
 }
--- a/internal/session/attempts.go
+++ b/internal/session/attempts.go
@@ -27,11 +27,11 @@
 			Outcome: decide.Unsent, Final: call.Answered, Load: decide.NoLoad()})
 		return
 	}
-	lane := &office.Lane
-	if s.lanes.laner != nil {
-		lane = s.laneFor(call, office)
+	officeConn := &office.OfficeConn
+	if s.pooled.connSelector != nil {
+		officeConn = s.connForSetUp(call, office)
 	}
-	attempt := call.Try(lane, s.now)
+	attempt := call.Try(officeConn, s.now)
 	call.Attempt, attempt.Until = attempt, action.Until
 	s.setTimer(call.Deadline, state.Timer{Kind: state.TimerAttempt, ID: call.ID, N: int32(attempt.N)})
 	if action.Until != 0 {
@@ -43,7 +43,7 @@
 // sendOrQueue writes an attempt's set-up to its connection. It queues the set-up while the connection is not
 // up or the caller's input is still unread.
 func (s *Session) sendOrQueue(attempt *state.Attempt) {
-	lane, from := attempt.On, attempt.Call.From
+	officeConn, from := attempt.Conn, attempt.Call.From
 	attempt.Queued = true
 	switch {
 	case attempt.Call.Answered: // where attempts may not be cancelled, one outlives its call and caller
@@ -56,16 +56,16 @@
 		s.cancelAttempt(attempt, decide.TimedOut)
 		return
 	}
-	if lane.Conn != nil && !lane.Conn.Unsent() && !s.mayHaveCancelled(from) {
+	if officeConn.Conn != nil && !officeConn.Conn.Unsent() && !s.mayHaveCancelled(from) {
 		s.sendSetUp(attempt)
 		return
 	}
-	lane.Queue = append(lane.Queue, attempt)
-	if lane == lane.To.Room {
-		s.waitForLane(attempt)
+	officeConn.Queue = append(officeConn.Queue, attempt)
+	if officeConn == officeConn.To.Overflow {
+		s.waitForConn(attempt)
 		return
 	}
-	s.connect(lane)
+	s.connect(officeConn)
 }
 
 // mayHaveCancelled reports whether a caller may have cancelled its calls in input that is still unread because
@@ -75,9 +75,9 @@
 }
 
 // flushQueue sends the set-ups queued for a connection, as far as they no longer have to wait.
-func (s *Session) flushQueue(lane *state.Lane) {
-	queue := lane.Queue
-	lane.Queue = nil
+func (s *Session) flushQueue(officeConn *state.OfficeConn) {
+	queue := officeConn.Queue
+	officeConn.Queue = nil
 	for _, attempt := range queue {
 		s.sendOrQueue(attempt)
 	}
@@ -88,11 +88,11 @@
 	attempt.Queued = false
 	// An earlier attempt of the same call may have been cancelled there without acknowledgment. Dropping its
 	// release keeps the end of the new call from being taken for the answer to that release.
-	lane := attempt.On
-	attempt.Over, attempt.Unheard = lane.To.Ended[attempt.Call.ID]
-	delete(lane.To.Ended, attempt.Call.ID)
-	lane.Out[attempt.Call.ID] = attempt
-	box := s.officeOutbox(lane)
+	officeConn := attempt.Conn
+	attempt.Over, attempt.Unheard = officeConn.To.Ended[attempt.Call.ID]
+	delete(officeConn.To.Ended, attempt.Call.ID)
+	officeConn.Out[attempt.Call.ID] = attempt
+	box := s.officeOutbox(officeConn)
 	out, err := attempt.Call.SetUp.AppendOnward(box.Bytes, attempt.Call.ID, attempt.Call.Deadline-s.now)
 	if err != nil {
 		attempt.Failed = true // the set-up is too long for any office
@@ -110,12 +110,12 @@
 // endAttemptWith is endAttempt with the office's last message and the time at which it arrived.
 func (s *Session) endAttemptWith(attempt *state.Attempt, outcome decide.Outcome, message wire.Message, arrivedAt int64) {
 	call := attempt.Call
-	delete(attempt.On.Out, call.ID)
-	if attempt.On.Number != 0 {
-		s.freeLane(attempt.On, call.ID)
+	delete(attempt.Conn.Out, call.ID)
+	if attempt.Conn.Number != 0 {
+		s.freePooledConn(attempt.Conn, call.ID)
 	}
 	call.Attempt = nil
-	event := decide.Event{Kind: decide.Ended, Call: decide.CallID(call.ID), Server: attempt.On.To.ID, Attempt: attempt.N,
+	event := decide.Event{Kind: decide.Ended, Call: decide.CallID(call.ID), Server: attempt.Conn.To.ID, Attempt: attempt.N,
 		Took: max(0, arrivedAt-attempt.Since), Outcome: outcome, Final: call.Answered, Full: message.Overload(), Load: message.Load()}
 	if outcome == decide.Failed && message.Cause() == wire.CauseBusy {
 		event.Busy, event.Key = true, call.SetUp.Number
@@ -130,22 +130,22 @@
 // notification is ignored.
 func (s *Session) cancelAttempt(attempt *state.Attempt, outcome decide.Outcome) {
 	if !attempt.Queued {
-		attempt.On.To.Liveness.GivenUp(s.now, attempt.Since)
+		attempt.Conn.To.Liveness.GivenUp(s.now, attempt.Since)
 	}
-	if isUnsent(attempt.On, attempt) {
-		s.closeConn(attempt.On.Conn, errUnsentSetUps) // ends the set-up, which would begin once the office reads again
+	if isUnsent(attempt.Conn, attempt) {
+		s.closeConn(attempt.Conn.Conn, errUnsentSetUps) // otherwise the set-up would begin once the office reads again
 		return
 	}
 	if attempt.Queued {
-		queue := attempt.On.Queue
+		queue := attempt.Conn.Queue
 		for i := range queue {
 			if queue[i] == attempt {
-				attempt.On.Queue = append(queue[:i:i], queue[i+1:]...)
+				attempt.Conn.Queue = append(queue[:i:i], queue[i+1:]...)
 				break
 			}
 		}
 	} else {
-		s.releaseAtOffice(attempt.On, attempt.Call.ID, wire.CauseNormal)
+		s.releaseAtOffice(attempt.Conn, attempt.Call.ID, wire.CauseNormal)
 		s.recordSentTime(attempt)
 	}
 	s.endAttempt(attempt, outcome)
@@ -154,7 +154,7 @@
 // recordSentTime keeps the time at which a cancelled set-up was sent, so that a late answer shows the office's
 // delay.
 func (s *Session) recordSentTime(attempt *state.Attempt) {
-	office := attempt.On.To
+	office := attempt.Conn.To
 	if ending, kept := office.Ended[attempt.Call.ID]; kept {
 		ending.Asked = attempt.Since
 		office.Ended[attempt.Call.ID] = ending
@@ -162,16 +162,16 @@
 }
 
 // isUnsent reports whether a set-up, or part of it, may still be buffered in this process.
-func isUnsent(lane *state.Lane, attempt *state.Attempt) bool {
-	return attempt.Stuck && !attempt.Queued && lane.Conn != nil && lane.Conn.Unsent()
+func isUnsent(officeConn *state.OfficeConn, attempt *state.Attempt) bool {
+	return attempt.Stuck && !attempt.Queued && officeConn.Conn != nil && officeConn.Conn.Unsent()
 }
 
 // withdrawQueued ensures that no further set-up leaves for an office that takes no new calls.
-func (s *Session) withdrawQueued(lane *state.Lane) {
-	s.failQueued(lane)
-	for _, attempt := range inKeyOrder(lane.Out) {
-		if isUnsent(lane, attempt) {
-			s.closeConn(lane.Conn, errUnsentSetUps)
+func (s *Session) withdrawQueued(officeConn *state.OfficeConn) {
+	s.failQueued(officeConn)
+	for _, attempt := range inKeyOrder(officeConn.Out) {
+		if isUnsent(officeConn, attempt) {
+			s.closeConn(officeConn.Conn, errUnsentSetUps)
 			return
 		}
 	}
--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -24,7 +24,7 @@
 	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, Quiet: s.now, Unsure: map[uint64]state.Ending{}}
 	s.connOwners[arrival.Conn] = caller
 	s.callers = append(s.callers, caller)
-	if s.lanes.laner != nil {
+	if s.pooled.connSelector != nil {
 		s.registerCaller(caller)
 	}
 }
@@ -83,7 +83,7 @@
 			continue
 		}
 		// A caller that has not read an answer for so long has most likely vanished.
-		if !caller.Conn.Waiting() || s.now-caller.Quiet > unconfirmedReleaseTTL && !caller.Conn.Unread() {
+		if !caller.Conn.Waiting() || s.now-caller.Quiet > callerReleaseTTL && !caller.Conn.Unread() {
 			idle = caller
 		}
 	}
@@ -144,13 +144,13 @@
 		if kept, ok := s.unsentReleases[id]; ok {
 			kept.Sent = false
 			s.unsentReleases[id] = kept
-		} else if s.now-ending.At <= unconfirmedReleaseTTL {
+		} else if s.now-ending.At <= callerReleaseTTL {
 			s.releaseToCaller(id, ending.Cause, nil)
 		}
 	}
 	caller.Conn = nil
-	if s.lanes.laner != nil {
-		s.lanes.laner.Closed(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session))
+	if s.pooled.connSelector != nil {
+		s.pooled.connSelector.Closed(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session))
 	}
 }
 
@@ -169,7 +169,7 @@
 	case wire.TypeTest:
 		s.Counters[state.TestsIn]++
 		var passed byte = 1
-		if s.stoppedAt != 0 || s.drainingSince != 0 {
+		if s.shutdownSince != 0 || s.drainingSince != 0 {
 			passed = 0
 		}
 		if box := s.callerOutbox(caller); box != nil {
@@ -233,7 +233,7 @@
 		// it gets none and its connection ends. A first set-up that is open on the same connection fails with
 		// it.
 		s.Counters[state.BadIn]++
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeRepeatedSetUp(caller, message.Call)
 		}
 		s.disconnectCaller(caller, errIDInUse)
@@ -274,12 +274,12 @@
 		return
 	}
 	call.ID, call.From, call.Deadline = message.Call, caller, admit.Deadline(at, setUp.Wait)
-	if s.stoppedAt != 0 {
+	if s.shutdownSince != 0 {
 		call.Deadline = min(call.Deadline, s.lastAnswerTime())
 	}
 	s.calls[call.ID], caller.Open[call.ID] = call, call
 	s.callBytes += size
-	if s.lanes.laner != nil {
+	if s.pooled.connSelector != nil {
 		s.trackCall(call, class)
 	}
 	s.offeredSetUps = append(s.offeredSetUps, offeredSetUp{call: call, id: call.ID, arrivedAt: at, event: len(s.events)})
@@ -308,7 +308,7 @@
 func (s *Session) handleCallerRelease(caller *state.Caller, message wire.Message) {
 	if call := s.calls[message.Call]; call != nil && !call.Answered {
 		s.Counters[state.GiveUpsIn]++
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeCallerRelease(caller, message.Call)
 		}
 		s.callerCancelled(call)
@@ -321,14 +321,14 @@
 		cause = wire.CauseNormal
 	}
 	if established := s.established[message.Call]; established != nil {
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeCallerRelease(caller, message.Call)
 		}
 		s.trustCaller(caller)
 		s.endedCalls[message.Call] = s.now
 		s.callDurations.Outlived(established.Class, s.now-established.Since)
 		s.endEstablished(established)
-		s.releaseAtOffice(established.On, message.Call, cause)
+		s.releaseAtOffice(established.Conn, message.Call, cause)
 	} else if _, known := s.endedCalls[message.Call]; !known {
 		// A call of a previous process: any office may hold it, and the others ignore the release.
 		s.endedCalls[message.Call] = s.now
@@ -337,7 +337,7 @@
 		}
 		for _, office := range s.offices.All() {
 			if office.State != decide.Removed {
-				s.releaseAtOffice(&office.Lane, message.Call, cause)
+				s.releaseAtOffice(&office.OfficeConn, message.Call, cause)
 			}
 		}
 		s.countInvalid(caller, 1)
@@ -374,8 +374,8 @@
 	}
 	delete(s.calls, call.ID)
 	s.endedCalls[call.ID] = s.now
-	if s.lanes.laner != nil {
-		s.lanes.maybeOver = append(s.lanes.maybeOver, call.ID)
+	if s.pooled.connSelector != nil {
+		s.pooled.maybeOver = append(s.pooled.maybeOver, call.ID)
 	}
 }
 
--- a/internal/session/control.go
+++ b/internal/session/control.go
@@ -78,7 +78,7 @@
 		}
 		return wire.Told(b, true, "draining")
 	case wire.AskUndrain:
-		if s.stoppedAt != 0 {
+		if s.shutdownSince != 0 {
 			return wire.Told(b, false, "stopping")
 		}
 		if s.drainingSince != 0 {
@@ -93,7 +93,7 @@
 
 // ready reports whether callers may be sent to this process.
 func (s *Session) ready() bool {
-	return s.stoppedAt == 0 && s.drainingSince == 0 && (s.journal.ready || s.now-s.startedAt >= readyWithoutJournal)
+	return s.shutdownSince == 0 && s.drainingSince == 0 && (s.journal.ready || s.now-s.startedAt >= readyWithoutJournal)
 }
 
 // appendMetrics appends the program's counters and gauges.
@@ -122,8 +122,8 @@
 			}
 		})
 	}
-	if s.lanes.laner != nil {
-		b = s.appendLaneMetrics(b)
+	if s.pooled.connSelector != nil {
+		b = s.appendPooledConnMetrics(b)
 	}
 	b = wire.Count(b, wire.FigureAttempts, "", s.Counters[state.AttemptsOut])
 	b = wire.Gauge(b, wire.FigurePending, s.countOpen()+len(s.established))
--- a/internal/session/leave.go
+++ b/internal/session/drain.go
@@ -33,8 +33,8 @@
 // yet.
 func (s *Session) drainElapsed() int64 {
 	switch {
-	case s.stoppedAt != 0:
-		return s.now - s.stoppedAt - acceptAfterStop
+	case s.shutdownSince != 0:
+		return s.now - s.shutdownSince - acceptAfterShutdown
 	case s.drainingSince != 0:
 		return s.now - s.drainingSince - drainCloseAfter
 	}
@@ -54,7 +54,7 @@
 	}
 	for _, caller := range slices.Clone(s.callers) {
 		switch {
-		case len(caller.Open) == 0 && (caller.Stands == 0 || s.stoppedAt != 0) && (caller.Told || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Waiting():
+		case len(caller.Open) == 0 && (caller.Stands == 0 || s.shutdownSince != 0) && (caller.Told || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Waiting():
 			s.closeConn(caller.Conn, errDrained)
 		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter && caller.Asked > s.drainingSince+drainRefuseAfter:
 			s.closeDrained(caller)
--- a/internal/session/exchange_test.go
+++ b/internal/session/exchange_test.go
@@ -67,7 +67,7 @@
 	ended           bool
 	// listenerClosing: Leave was called. holdsListenerClosed: only the test reports that the listener is closed.
 	listenerClosing, holdsListenerClosed bool
-	laner                                *fakeLaner              // nil: calls are not assigned to lanes
+	connSelector                         *fakeConnSelector       // nil: calls are not assigned to pooled connections
 	onWrite                              func(*fakeConn, []byte) // receives what is written; nil: recorded in lines
 	onClose, onConnect                   func(*fakeConn)         // called for closed and opened connections
 	greeting                             func(*fakeConn) []byte  // an office's first message on a connection
@@ -202,7 +202,7 @@
 		return
 	}
 	if words[1] == "verdict" {
-		p.laner.modes[words[2]] = words[3]
+		p.connSelector.modes[words[2]] = words[3]
 		return
 	}
 	name, conn := words[1], p.conns[words[1]]
@@ -210,8 +210,8 @@
 	case "open":
 		conn = &fakeConn{p: p, name: name}
 		p.conns[name] = conn
-		if p.laner != nil {
-			p.laner.nextCaller = name
+		if p.connSelector != nil {
+			p.connSelector.nextCaller = name
 		}
 		kind := Accepted
 		if name[0] == 'q' {
@@ -549,7 +549,7 @@
 	}
 	p.until(p.now + 2*endedCallTTL)
 	s := p.s
-	for what, n := range map[string]int{"calls": len(s.calls), "standing calls": len(s.established), "unsent releases": len(s.unsentReleases),
+	for what, n := range map[string]int{"calls": len(s.calls), "established calls": len(s.established), "unsent releases": len(s.unsentReleases),
 		"remembered ids": len(s.endedCalls), "bytes": int(s.callBytes), "dials": len(s.dials), "callers": len(s.callers)} {
 		if n != 0 {
 			t.Errorf("%d %s are left", n, what)
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -103,8 +103,8 @@
 		return 0
 	}
 	n := len(office.Standing) + len(office.Out) + len(office.Ended)
-	for _, lane := range office.Lanes {
-		n += len(lane.Out)
+	for _, officeConn := range office.Pooled {
+		n += len(officeConn.Out)
 	}
 	return n
 }
@@ -149,12 +149,12 @@
 		if office.State != decide.Up {
 			// Set-ups waiting for a connection would reach the office after the grace period; they have not
 			// been sent yet.
-			s.withdrawQueued(&office.Lane)
-			for _, lane := range slices.Clone(office.Lanes) {
-				s.withdrawQueued(lane)
+			s.withdrawQueued(&office.OfficeConn)
+			for _, officeConn := range slices.Clone(office.Pooled) {
+				s.withdrawQueued(officeConn)
 			}
-			if office.Room != nil {
-				s.withdrawQueued(office.Room)
+			if office.Overflow != nil {
+				s.withdrawQueued(office.Overflow)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		// connection.
 		listed := s.offices.Get(office.ID)
 		if listed.State != decide.Removed && len(s.offices.All()) <= s.maxEagerOffices {
-			s.connect(&listed.Lane)
+			s.connect(&listed.OfficeConn)
 		}
 		s.redialIfNeeded(listed)
 	}
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -15,59 +15,60 @@
 	"pewterwheel/internal/wire"
 )
 
-func (s *Session) connect(lane *state.Lane) {
-	if lane.Conn == nil && lane.Dialling == 0 {
-		lane.Dialling = s.dial(lane.To.Address.String(), lane)
+func (s *Session) connect(officeConn *state.OfficeConn) {
+	if officeConn.Conn == nil && officeConn.Dialling == 0 {
+		officeConn.Dialling = s.dial(officeConn.To.Address.String(), officeConn)
 	}
 }
 
 // connectReplacement opens a connection that replaces the present one once it is open.
 func (s *Session) connectReplacement(office *state.Office) {
 	if office.Dialling == 0 && s.now >= office.NotUntil {
-		office.Dialling = s.dial(office.Address.String(), &office.Lane)
+		office.Dialling = s.dial(office.Address.String(), &office.OfficeConn)
 	}
 }
 
-func (s *Session) officeConnected(lane *state.Lane, conn state.Conn) {
-	office := lane.To
-	if lane.Conn != nil {
-		if len(lane.Out) > 0 { // closing the present connection would reset the attempts that are out on it
-			lane.Dialling = 0
+func (s *Session) officeConnected(officeConn *state.OfficeConn, conn state.Conn) {
+	office := officeConn.To
+	if officeConn.Conn != nil {
+		if len(officeConn.Out) > 0 { // closing the present connection would reset the attempts that are out on it
+			officeConn.Dialling = 0
 			_ = conn.Close() // nothing was written to it
 			return
 		}
-		s.closeConn(lane.Conn, errOfficeSilent)
+		s.closeConn(officeConn.Conn, errOfficeSilent)
 	}
-	if lane.Dialling, lane.In = 0, nil; lane.Number == 0 { // the backoff continues until a connection has lasted
+	if officeConn.Dialling, officeConn.In = 0, nil; officeConn.Number == 0 {
+		// The backoff continues until a connection has lasted.
 		office.Unreached = false
 		office.Liveness.Connected()
 	}
 	if office.State == decide.Removed {
 		_ = conn.Close() // nothing was written to it
-		s.failQueued(lane)
-		s.removeLane(lane)
+		s.failQueued(officeConn)
+		s.removePooledConn(officeConn)
 		return
 	}
-	lane.Conn = conn
-	lane.Spoken.Up(s.now)
-	s.connOwners[conn] = lane
-	if lane.Number == 0 {
-		s.resendReleases(lane)
+	officeConn.Conn = conn
+	officeConn.Spoken.Up(s.now)
+	s.connOwners[conn] = officeConn
+	if officeConn.Number == 0 {
+		s.repeatPendingReleases(officeConn)
 	}
-	s.flushQueue(lane)
+	s.flushQueue(officeConn)
 }
 
-func (s *Session) officeDialFailed(lane *state.Lane, err error) {
-	office := lane.To
-	lane.Dialling = 0
-	s.laneLogger(lane).Warn("office unreached", "office", office.ID, "error", err)
-	if lane.Conn != nil {
+func (s *Session) officeDialFailed(officeConn *state.OfficeConn, err error) {
+	office := officeConn.To
+	officeConn.Dialling = 0
+	s.officeConnLogger(officeConn).Warn("office unreached", "office", office.ID, "error", err)
+	if officeConn.Conn != nil {
 		s.scheduleRedial(office, maxRedialDelay)
 		return
 	}
-	s.failQueued(lane)
-	if lane.Number != 0 {
-		s.removeLane(lane)
+	s.failQueued(officeConn)
+	if officeConn.Number != 0 {
+		s.removePooledConn(officeConn)
 		return
 	}
 	office.Unreached = true
@@ -82,9 +83,9 @@
 }
 
 // failQueued ends the set-ups that wait for a connection. Nothing of them has been sent.
-func (s *Session) failQueued(lane *state.Lane) {
-	queue := lane.Queue
-	lane.Queue = nil
+func (s *Session) failQueued(officeConn *state.OfficeConn) {
+	queue := officeConn.Queue
+	officeConn.Queue = nil
 	for _, attempt := range queue {
 		s.Counters[state.Unreached]++
 		s.endAttempt(attempt, decide.Unreached)
@@ -93,18 +94,18 @@
 
 // officeDisconnected ends what was open on a connection. Established calls outlive it: the office sends their
 // releases on the next connection, which is opened at once.
-func (s *Session) officeDisconnected(lane *state.Lane, err error) {
-	office, unsent := lane.To, errors.Is(err, errUnsentSetUps) || lane.Conn.Unsent()
-	unanswered := s.unansweredSetUps(lane)
-	lane.Conn, lane.In = nil, nil
-	s.writeOffice(lane) // discards the outbox and marks its attempts as not sent
+func (s *Session) officeDisconnected(officeConn *state.OfficeConn, err error) {
+	office, unsent := officeConn.To, errors.Is(err, errUnsentSetUps) || officeConn.Conn.Unsent()
+	unanswered := s.unansweredSetUps(officeConn)
+	officeConn.Conn, officeConn.In = nil, nil
+	s.writeOffice(officeConn) // discards the outbox and marks its attempts as not sent
 	level := slog.LevelWarn
 	if errors.Is(err, errIdle) {
 		level = slog.LevelDebug
 	}
-	s.laneLogger(lane).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(lane.Out), "standing", len(office.Standing),
+	s.officeConnLogger(officeConn).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(officeConn.Out), "standing", len(office.Standing),
 		"silent_ms", millisSince(s.now, office.Liveness.Spoke()), "served_ms", millisSince(s.now, office.Liveness.Served()), "error", err)
-	for _, attempt := range inKeyOrder(lane.Out) {
+	for _, attempt := range inKeyOrder(officeConn.Out) {
 		if attempt.Failed {
 			s.Counters[state.Unreached]++
 			if attempt.Unheard { // the call of the earlier attempt may be established there all the same
@@ -115,23 +116,23 @@
 		}
 		s.Counters[state.Resets]++
 		office.Liveness.Cut(s.now, attempt.Since)
-		office.Ended[attempt.Call.ID] = state.Ending{Cause: wire.CauseNormal, At: s.now, On: lane.Number}
-		if s.lanes.laner != nil {
+		office.Ended[attempt.Call.ID] = state.Ending{Cause: wire.CauseNormal, At: s.now, ConnNumber: officeConn.Number}
+		if s.pooled.connSelector != nil {
 			s.observe(pooling.LaneLost, attempt.Call.ID, 0, nil)
 		}
 		s.endAttempt(attempt, decide.Cut)
 	}
 	if unsent {
-		s.scheduleReleaseRepeats(lane)
+		s.scheduleReleaseRepeats(officeConn)
 	}
-	if s.lanes.laner != nil {
-		s.laneLost(lane)
+	if s.pooled.connSelector != nil {
+		s.officeConnLost(officeConn)
 	}
-	if lane.Number == 0 {
-		office.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: lane.Spoken.Opened, Unanswered: unanswered})
+	if officeConn.Number == 0 {
+		office.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: officeConn.Spoken.Opened, Unanswered: unanswered})
 	}
-	switch short := s.now-lane.Spoken.Opened < maxRedialDelay; {
-	case lane.Number != 0: // a lane says nothing about the main connection
+	switch short := s.now-officeConn.Spoken.Opened < maxRedialDelay; {
+	case officeConn.Number != 0: // a pooled connection says nothing about the main connection
 	case short && office.Backoff != 0: // else a connect per round trip where each is closed at once
 		s.scheduleRedial(office, maxReopenDelay)
 		return
@@ -151,28 +152,28 @@
 	return (now - time) / 1000
 }
 
-// scheduleReleaseRepeats schedules another transmission of the unacknowledged releases of a connection that
+// scheduleReleaseRepeats schedules the repetition of the pending releases of a connection that
 // ended before everything on it had been sent: those of attempts that ended with it, and those of attempts
 // cancelled before. The release of the latter may be lost although its set-up was sent.
-func (s *Session) scheduleReleaseRepeats(lane *state.Lane) {
-	office := lane.To
+func (s *Session) scheduleReleaseRepeats(officeConn *state.OfficeConn) {
+	office := officeConn.To
 	for call, ending := range office.Ended {
-		if ending.On == lane.Number && ending.Again == 0 {
+		if ending.ConnNumber == officeConn.Number && ending.Again == 0 {
 			ending.Again = s.now + releaseRepeatDelay
 			office.Ended[call] = ending
 		}
 	}
 }
 
-// repeatReleases sends an office the releases that are due for repetition. An office may read a set-up of an
+// repeatDueReleases sends an office the releases that are due for repetition. An office may read a set-up of an
 // ended connection only after it has read the call's release on the next one; the call would then stay
 // established without a caller.
-func (s *Session) repeatReleases(office *state.Office) {
+func (s *Session) repeatDueReleases(office *state.Office) {
 	for call, ending := range inKeyOrder(office.Ended) {
 		if ending.Again != 0 && s.now >= ending.Again && office.Conn != nil {
 			ending.Again = 0
 			office.Ended[call] = ending
-			s.sendOfficeRelease(&office.Lane, call, ending.Cause)
+			s.sendOfficeRelease(&office.OfficeConn, call, ending.Cause)
 		}
 	}
 }
@@ -182,7 +183,7 @@
 func (s *Session) redialIfNeeded(office *state.Office) {
 	needed := len(office.Standing) > 0 || len(office.Ended) > 0 || s.mayHaveEarlierCalls(office)
 	if office.State != decide.Removed && needed && s.now >= office.NotUntil {
-		s.connect(&office.Lane)
+		s.connect(&office.OfficeConn)
 	}
 }
 
@@ -210,34 +211,34 @@
 		startedBefore = office.Started
 	}
 	s.cutEstablishedBefore(office, startedBefore)
-	for _, lane := range slices.Clone(office.Lanes) {
-		s.endLane(lane, startedBefore)
+	for _, officeConn := range slices.Clone(office.Pooled) {
+		s.endOfficeConn(officeConn, startedBefore)
 	}
-	s.endLane(&office.Lane, startedBefore)
+	s.endOfficeConn(&office.OfficeConn, startedBefore)
 }
 
-// endLane closes a connection to an office, or to one incarnation of it, that has ended.
-func (s *Session) endLane(lane *state.Lane, openedBefore int64) {
-	if lane.Conn != nil && lane.Spoken.Opened >= openedBefore {
+// endOfficeConn closes a connection to an office, or to one incarnation of it, that has ended.
+func (s *Session) endOfficeConn(officeConn *state.OfficeConn, openedBefore int64) {
+	if officeConn.Conn != nil && officeConn.Spoken.Opened >= openedBefore {
 		return
 	}
-	if lane.Conn != nil {
-		s.writeOffice(lane)
-		delete(s.connOwners, lane.Conn)
-		_ = lane.Conn.Close() // the connection is being abandoned
-		lane.Conn = nil
+	if officeConn.Conn != nil {
+		s.writeOffice(officeConn)
+		delete(s.connOwners, officeConn.Conn)
+		_ = officeConn.Conn.Close() // the connection is being abandoned
+		officeConn.Conn = nil
 	}
-	for _, attempt := range inKeyOrder(lane.Out) {
+	for _, attempt := range inKeyOrder(officeConn.Out) {
 		s.Counters[state.Resets]++
 		s.endAttempt(attempt, decide.Cut)
 	}
-	if lane.Number == 0 {
-		clear(lane.To.Ended)
+	if officeConn.Number == 0 {
+		clear(officeConn.To.Ended)
 	}
-	if lane.Dialling != 0 { // it may lead to the old address
-		delete(s.dials, lane.Dialling)
-		lane.Dialling = 0
+	if officeConn.Dialling != 0 { // it may lead to the old address
+		delete(s.dials, officeConn.Dialling)
+		officeConn.Dialling = 0
 	}
-	s.failQueued(lane)
-	s.removeLane(lane)
+	s.failQueued(officeConn)
+	s.removePooledConn(officeConn)
 }
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -61,7 +61,7 @@
 	// silence.
 	paused := s.livenessClock.advance(s.now)
 	for _, office := range s.offices.All() {
-		s.checkLane(&office.Lane, len(office.Standing), paused)
+		s.checkOfficeConn(&office.OfficeConn, len(office.Standing), paused)
 		if len(office.Standing) == 0 || paused && office.Liveness.CanWait(s.now, minSettleTime) {
 			continue
 		}
@@ -70,26 +70,26 @@
 		s.judgeRestart(office)
 		s.judgeUnended(office)
 	}
-	if s.lanes.laner != nil {
-		s.checkLanes(paused)
+	if s.pooled.connSelector != nil {
+		s.checkPooledConns(paused)
 	}
 }
 
-// checkLane ends a connection that brings nothing any more, or no complete message. established is the number
+// checkOfficeConn ends a connection that brings nothing any more, or no complete message. established is the number
 // of calls on it. A connection with unread input is kept, because this process may be busy with others.
-func (s *Session) checkLane(lane *state.Lane, established int, paused bool) {
-	if lane.Conn != nil && len(lane.Queue) > 0 {
-		s.flushQueue(lane)
+func (s *Session) checkOfficeConn(officeConn *state.OfficeConn, established int, paused bool) {
+	if officeConn.Conn != nil && len(officeConn.Queue) > 0 {
+		s.flushQueue(officeConn)
 	}
 	switch {
-	case lane.Conn == nil:
-	case len(lane.In) > 0 && s.now-lane.Partial >= officeMessageTimeout:
-		if !lane.Conn.Unread() {
+	case officeConn.Conn == nil:
+	case len(officeConn.In) > 0 && s.now-officeConn.Partial >= officeMessageTimeout:
+		if !officeConn.Conn.Unread() {
 			s.Counters[state.BadIn]++
-			s.closeConn(lane.Conn, errPartialMessage)
+			s.closeConn(officeConn.Conn, errPartialMessage)
 		}
-	case len(lane.Out)+established > 0 && !paused && lane.Spoken.Mute(s.now, s.reportRhythm) && !lane.Conn.Unread():
-		s.closeConn(lane.Conn, errOfficeSilent)
+	case len(officeConn.Out)+established > 0 && !paused && officeConn.Spoken.Mute(s.now, s.reportRhythm) && !officeConn.Conn.Unread():
+		s.closeConn(officeConn.Conn, errOfficeSilent)
 	}
 }
 
@@ -106,18 +106,18 @@
 }
 
 // recordOfficeMessage records a complete message of an office.
-func (s *Session) recordOfficeMessage(lane *state.Lane, message wire.Message, at int64) {
-	record := liveness.Message{At: s.earliestWriteTime(at), Word: s.messageKind(lane, message), Main: lane.Number == 0, Opened: lane.Spoken.Opened}
+func (s *Session) recordOfficeMessage(officeConn *state.OfficeConn, message wire.Message, at int64) {
+	record := liveness.Message{At: s.earliestWriteTime(at), Word: s.messageKind(officeConn, message), Main: officeConn.Number == 0, Opened: officeConn.Spoken.Opened}
 	if record.Word == liveness.Answer {
-		record.Asked = s.setUpSentAt(lane, message.Call)
+		record.Asked = s.setUpSentAt(officeConn, message.Call)
 	}
-	if transition, changed := lane.To.Liveness.Heard(record); changed {
-		s.applyTransition(lane.To, transition)
+	if transition, changed := officeConn.To.Liveness.Heard(record); changed {
+		s.applyTransition(officeConn.To, transition)
 	}
 }
 
 // messageKind returns the kind of an office's message.
-func (s *Session) messageKind(lane *state.Lane, message wire.Message) liveness.Word {
+func (s *Session) messageKind(officeConn *state.OfficeConn, message wire.Message) liveness.Word {
 	switch {
 	case message.Type == wire.TypeGroup:
 		return liveness.Report
@@ -127,7 +127,7 @@
 		return liveness.Answer
 	case message.Type != wire.TypeRelease:
 		return liveness.Progress
-	case s.outstandingAttempt(lane, message.Call) != nil:
+	case s.outstandingAttempt(officeConn, message.Call) != nil:
 		return liveness.Refusal
 	}
 	return liveness.End
@@ -135,11 +135,11 @@
 
 // setUpSentAt returns when the set-up of a call was sent to an office at which it is out, or was until it was
 // cancelled; 0: neither.
-func (s *Session) setUpSentAt(lane *state.Lane, call uint64) int64 {
-	if attempt := s.outstandingAttempt(lane, call); attempt != nil {
+func (s *Session) setUpSentAt(officeConn *state.OfficeConn, call uint64) int64 {
+	if attempt := s.outstandingAttempt(officeConn, call); attempt != nil {
 		return attempt.Since
 	}
-	return lane.To.Ended[call].Asked
+	return officeConn.To.Ended[call].Asked
 }
 
 // earliestWriteTime returns the earliest time at which an office may have written a message that was read at
@@ -172,12 +172,12 @@
 // nearDeparture reports whether callers are about to be disconnected for good, after which releases can't be
 // delivered.
 func (s *Session) nearDeparture() bool {
-	return s.stoppedAt != 0 && s.now >= s.stoppedAt+acceptAfterStop-2*watchInterval
+	return s.shutdownSince != 0 && s.now >= s.shutdownSince+acceptAfterShutdown-2*watchInterval
 }
 
 // judgeDeparting releases the calls at a doubtful office while their callers are still connected.
 func (s *Session) judgeDeparting(office *state.Office) {
-	observation := liveness.LastObservation{Usual: max(s.reportRhythm, office.Spoken.Rhythm), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.Lane)}
+	observation := liveness.LastObservation{Usual: max(s.reportRhythm, office.Spoken.Rhythm), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.OfficeConn)}
 	if transition, changed := office.Liveness.JudgeDeparting(s.now, observation); changed && len(office.Standing) > 0 {
 		s.applyTransition(office, transition)
 	}
@@ -231,7 +231,7 @@
 }
 
 // releaseEstablished releases the calls established at an office that can't end them. If the office can't be
-// connected to, those on a lane that is still open are kept.
+// connected to, those on a pooled connection that is still open are kept.
 func (s *Session) releaseEstablished(office *state.Office, reason liveness.Reason) {
 	unconnected := reason == liveness.Refused || reason == liveness.Unreachable
 	for _, established := range inKeyOrder(office.Standing) {
@@ -318,8 +318,8 @@
 	for _, attempt := range office.Out {
 		waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
 	}
-	for _, lane := range office.Lanes {
-		for _, attempt := range lane.Out {
+	for _, officeConn := range office.Pooled {
+		for _, attempt := range officeConn.Out {
 			waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
 		}
 	}
@@ -340,10 +340,10 @@
 }
 
 // unansweredSetUps counts the set-ups that have been out on a connection long enough to have been answered.
-func (s *Session) unansweredSetUps(lane *state.Lane) int {
+func (s *Session) unansweredSetUps(officeConn *state.OfficeConn) int {
 	n := 0
-	for _, attempt := range lane.Out {
-		if s.now-attempt.Since >= liveness.LeastWait && lane.To.Liveness.Served() <= attempt.Since {
+	for _, attempt := range officeConn.Out {
+		if s.now-attempt.Since >= liveness.LeastWait && officeConn.To.Liveness.Served() <= attempt.Since {
 			n++
 		}
 	}
@@ -352,15 +352,15 @@
 
 // releaseForOffice releases a call to its caller and, if the office is connected, at the office.
 func (s *Session) releaseForOffice(office *state.Office, established *state.Standing, reason liveness.Reason) {
-	call, lane := established.ID, established.On
+	call, officeConn := established.ID, established.Conn
 	s.log.Info("releasing call because its office cannot end it", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
 		"stood_ms", (s.now-established.Since)/1000)
 	s.Counters[releaseCounters[reason]]++
 	s.cutEstablished(established)
-	if office.Conn != nil || lane.Conn != nil {
-		s.releaseAtOffice(lane, call, wire.CauseCut)
+	if office.Conn != nil || officeConn.Conn != nil {
+		s.releaseAtOffice(officeConn, call, wire.CauseCut)
 	}
 	if len(office.Ended) < maxPendingReleases {
-		office.Ended[call] = state.Ending{Cause: wire.CauseCut, At: s.now, On: lane.Number, Unresponsive: true}
+		office.Ended[call] = state.Ending{Cause: wire.CauseCut, At: s.now, ConnNumber: officeConn.Number, Unresponsive: true}
 	}
 }
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -40,84 +40,84 @@
 }
 
 // officeOutbox returns the buffer for messages to an office.
-func (s *Session) officeOutbox(lane *state.Lane) *state.Outbox {
-	if len(lane.Box.Bytes) > maxOutbox {
-		s.writeOffice(lane)
+func (s *Session) officeOutbox(officeConn *state.OfficeConn) *state.Outbox {
+	if len(officeConn.Box.Bytes) > maxOutbox {
+		s.writeOffice(officeConn)
 	}
-	return s.outbox(lane, &lane.Box)
+	return s.outbox(officeConn, &officeConn.Box)
 }
 
 // sendOfficeRelease sends a release to an office if it is connected.
-func (s *Session) sendOfficeRelease(lane *state.Lane, call uint64, cause byte) {
-	if lane.Conn != nil {
-		box := s.officeOutbox(lane)
+func (s *Session) sendOfficeRelease(officeConn *state.OfficeConn, call uint64, cause byte) {
+	if officeConn.Conn != nil {
+		box := s.officeOutbox(officeConn)
 		box.Bytes = wire.AppendRelease(box.Bytes, call, cause, 0)
 	}
 }
 
 // releaseAtOffice releases a call at an office, or cancels its set-up there, on this connection or the next.
-func (s *Session) releaseAtOffice(lane *state.Lane, call uint64, cause byte) {
-	office := lane.To
+func (s *Session) releaseAtOffice(officeConn *state.OfficeConn, call uint64, cause byte) {
+	office := officeConn.To
 	if office.State == decide.Removed {
 		return
 	}
-	if s.lanes.laner != nil {
-		lane = s.laneForRelease(lane, call)
+	if s.pooled.connSelector != nil {
+		officeConn = s.connForRelease(officeConn, call)
 	}
 	if len(office.Ended) < maxPendingReleases {
-		office.Ended[call] = state.Ending{Cause: cause, At: s.now, On: lane.Number}
+		office.Ended[call] = state.Ending{Cause: cause, At: s.now, ConnNumber: officeConn.Number}
 	}
-	if lane.Conn != nil {
-		s.sendOfficeRelease(lane, call, cause)
+	if officeConn.Conn != nil {
+		s.sendOfficeRelease(officeConn, call, cause)
 	} else {
 		s.redialIfNeeded(office)
 	}
 }
 
-func (s *Session) handleOfficeMessage(lane *state.Lane, message wire.Message, at int64) {
+func (s *Session) handleOfficeMessage(officeConn *state.OfficeConn, message wire.Message, at int64) {
 	if message.Bad {
 		// After an invalid parameter nothing further on this connection can be relied on.
 		s.Counters[state.BadIn]++
-		s.closeConn(lane.Conn, errMalformed)
+		s.closeConn(officeConn.Conn, errMalformed)
 		return
 	}
-	s.recordOfficeMessage(lane, message, at)
+	s.recordOfficeMessage(officeConn, message, at)
 	switch message.Type {
 	case wire.TypeAnswer:
-		s.handleOfficeAnswer(lane, message, at)
+		s.handleOfficeAnswer(officeConn, message, at)
 	case wire.TypeRelease:
-		s.handleOfficeRelease(lane, message, at)
+		s.handleOfficeRelease(officeConn, message, at)
 	case wire.TypeHeard:
-		if lane.To.Ended[message.Call].Again != 0 {
+		if officeConn.To.Ended[message.Call].Again != 0 {
 			break // the release has to be repeated first
 		}
-		delete(lane.To.Ended, message.Call)
-		if s.lanes.laner != nil {
-			s.releaseAcknowledged(lane, message.Call)
+		delete(officeConn.To.Ended, message.Call)
+		if s.pooled.connSelector != nil {
+			s.releaseAcknowledged(officeConn, message.Call)
 		}
 	case wire.TypeGroup:
 		// Arrives unrequested at regular intervals; the module weights its choice by the free lines.
-		lane.Spoken.Report(at, &s.reportRhythm)
-		if lane.Number != 0 && lane.To.Conn != nil {
+		officeConn.Spoken.Report(at, &s.reportRhythm)
+		if officeConn.Number != 0 && officeConn.To.Conn != nil {
 			break // the report also arrives on the main connection
 		}
 		if lines, reported := message.LinesInUse(); reported {
-			lane.To.Liveness.LinesInUse(at, lines, countEstablished(lane.To))
+			officeConn.To.Liveness.LinesInUse(at, lines, countEstablished(officeConn.To))
 		}
-		s.queueEvent(decide.Event{Kind: decide.Checked, Server: lane.To.ID, Outcome: decide.OK, Load: message.Load()})
+		s.queueEvent(decide.Event{Kind: decide.Checked, Server: officeConn.To.ID, Outcome: decide.OK, Load: message.Load()})
 	case wire.TypeProgress, wire.TypeTested:
 	default:
 		s.Counters[state.BadIn]++
 	}
 }
 
-func (s *Session) handleOfficeAnswer(lane *state.Lane, message wire.Message, arrivedAt int64) {
-	office, attempt := lane.To, s.outstandingAttempt(lane, message.Call)
+func (s *Session) handleOfficeAnswer(officeConn *state.OfficeConn, message wire.Message, arrivedAt int64) {
+	office, attempt := officeConn.To, s.outstandingAttempt(officeConn, message.Call)
 	if attempt == nil {
 		_, ended := office.Ended[message.Call]
-		if established := s.established[message.Call]; !ended && (established == nil || established.On.To != office) {
+		if established := s.established[message.Call]; !ended && (established == nil || established.Conn.To != office) {
 			s.Counters[state.BadIn]++
-			s.releaseAtOffice(lane, message.Call, wire.CauseNormal) // it is established there without a caller
+			s.releaseAtOffice(officeConn, message.Call, wire.CauseNormal) // it is established there without a caller
 		}
 		return
 	}
@@ -126,28 +126,28 @@
 		// The call is established there, but without a usable description. Passing it on would report a call
 		// as served that no office set up. officeDisconnected releases it on the next connection.
 		s.Counters[state.BadIn]++
-		s.closeConn(lane.Conn, errMalformed)
+		s.closeConn(officeConn.Conn, errMalformed)
 		return
 	}
 	s.Counters[state.AnswersBack]++
-	call, lane := attempt.Call, attempt.On
-	delete(lane.Out, call.ID)
+	call, officeConn := attempt.Call, attempt.Conn
+	delete(officeConn.Out, call.ID)
 	call.Attempt = nil
 	s.queueEvent(decide.Event{Kind: decide.Begun, Call: decide.CallID(call.ID), Server: office.ID, Attempt: attempt.N,
 		Took: max(0, arrivedAt-attempt.Since)})
 	if call.Answered {
 		s.forgetCall(call)
 		s.reportCallOver(call.ID)
-		s.releaseAtOffice(lane, call.ID, wire.CauseNormal)
-		s.freeLane(lane, call.ID)
+		s.releaseAtOffice(officeConn, call.ID, wire.CauseNormal)
+		s.freePooledConn(officeConn, call.ID)
 		return
 	}
 	s.markAnswered(call)
 	s.forgetCall(call)
 	if !s.sendAnswer(call.From, call.ID, description) {
 		s.reportCallOver(call.ID)
-		s.releaseAtOffice(lane, call.ID, wire.CauseNormal) // no caller knows that it is established
-		s.freeLane(lane, call.ID)
+		s.releaseAtOffice(officeConn, call.ID, wire.CauseNormal) // no caller knows that it is established
+		s.freePooledConn(officeConn, call.ID)
 		return
 	}
 	s.Counters[state.AnswersOut]++
@@ -155,11 +155,11 @@
 	s.trustCaller(call.From)
 	delete(s.endedCalls, call.ID)
 	st := s.callPool.Standing()
-	*st = state.Standing{ID: call.ID, On: lane, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
+	*st = state.Standing{ID: call.ID, Conn: officeConn, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
 	s.established[call.ID], office.Standing[call.ID] = st, st
 	call.From.Stands++
-	if s.lanes.laner != nil {
-		s.markEstablished(lane, call.ID, description)
+	if s.pooled.connSelector != nil {
+		s.markEstablished(officeConn, call.ID, description)
 	}
 }
 
@@ -167,10 +167,10 @@
 func (s *Session) answerUndelivered(call uint64) {
 	if established := s.established[call]; established != nil {
 		s.Counters[state.AnswersOut]--
-		lane := established.On
+		officeConn := established.Conn
 		s.endedCalls[call] = s.now
 		s.endEstablished(established)
-		s.releaseAtOffice(lane, call, wire.CauseNormal)
+		s.releaseAtOffice(officeConn, call, wire.CauseNormal)
 	}
 }
 
@@ -183,26 +183,26 @@
 
 	wire.CauseCut: {decide.Cut, state.Resets}}
 
-func (s *Session) handleOfficeRelease(lane *state.Lane, message wire.Message, arrivedAt int64) {
-	office, cause := lane.To, message.Cause()
+func (s *Session) handleOfficeRelease(officeConn *state.OfficeConn, message wire.Message, arrivedAt int64) {
+	office, cause := officeConn.To, message.Cause()
 	// If no caller is connected that could be told of the call's end, the release is not acknowledged, so that
 	// the office repeats it on its next connection. This process may have exited by then, and what it has
 	// received would be lost.
 	if _, ended := office.Ended[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
-		ackOn := lane
-		if s.lanes.laner != nil {
-			ackOn = s.laneForAck(lane, message.Call)
+		ackOn := officeConn
+		if s.pooled.connSelector != nil {
+			ackOn = s.connForAck(officeConn, message.Call)
 		}
 		box := s.officeOutbox(ackOn)
 		box.Bytes = wire.AppendHeard(box.Bytes, message.Call)
 	}
-	if attempt := s.outstandingAttempt(lane, message.Call); attempt != nil {
+	if attempt := s.outstandingAttempt(officeConn, message.Call); attempt != nil {
 		ended, ok := releaseOutcomes[cause]
 		if !ok {
 			ended.outcome, ended.counter = decide.Failed, state.ErrorsBack
 		}
 		s.Counters[ended.counter]++
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observe(pooling.Failed, message.Call, cause, nil)
 		}
 		s.endAttemptWith(attempt, ended.outcome, message, arrivedAt)
@@ -214,18 +214,18 @@
 			office.Liveness.EndSeen(arrivedAt)
 		}
 		delete(office.Ended, message.Call) // it crossed this side's release
-		if s.lanes.laner != nil {
-			s.releaseAcknowledged(lane, message.Call)
+		if s.pooled.connSelector != nil {
+			s.releaseAcknowledged(officeConn, message.Call)
 		}
 		return
 	}
 	if established := s.established[message.Call]; established != nil {
-		if established.On.To != office {
+		if established.Conn.To != office {
 			return // it was cancelled here and is established elsewhere; only its end there counts
 		}
-		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, lane.Spoken.Opened)
+		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, officeConn.Spoken.Opened)
 		s.callDurations.Ended(established.Class, s.now-established.Since)
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observe(pooling.EndedThere, message.Call, cause, nil)
 		}
 		s.endEstablished(established)
@@ -245,8 +245,8 @@
 	s.reportCallOver(established.ID)
 	delete(s.established, established.ID)
 	established.From.Stands--
-	delete(established.On.To.Standing, established.ID)
-	if s.lanes.laner != nil {
+	delete(established.Conn.To.Standing, established.ID)
+	if s.pooled.connSelector != nil {
 		s.markEnded(established)
 	}
 	s.callPool.Ended(established)
--- a/internal/session/outbox.go
+++ b/internal/session/outbox.go
@@ -25,7 +25,7 @@
 		switch to := s.pendingWrites[i].(type) {
 		case *state.Caller:
 			s.writeCaller(to)
-		case *state.Lane:
+		case *state.OfficeConn:
 			s.writeOffice(to)
 		}
 	}
@@ -44,21 +44,21 @@
 	caller.Box.Clear()
 }
 
-// writeOffice writes a lane's pending messages. A failed write, for instance on a connection that was reset
-// while idle, proves that the office received nothing of them. The end of the connection is reported next and
-// ends the attempts.
-func (s *Session) writeOffice(lane *state.Lane) {
-	sent := s.writeBox(lane.Conn, &lane.Box)
-	stuck := sent && len(lane.Box.Sent) > 0 && lane.Conn.Unsent()
-	for _, b := range lane.Box.Sent {
+// writeOffice writes the pending messages of an office connection. A failed write, for instance on a connection
+// that was reset while idle, proves that the office received nothing of them. The end of the connection is
+// reported next and ends the attempts.
+func (s *Session) writeOffice(officeConn *state.OfficeConn) {
+	sent := s.writeBox(officeConn.Conn, &officeConn.Box)
+	stuck := sent && len(officeConn.Box.Sent) > 0 && officeConn.Conn.Unsent()
+	for _, b := range officeConn.Box.Sent {
 		if sent {
 			s.Counters[state.AttemptsOut]++
 		}
-		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.N == b.N && call.Attempt.On == lane {
+		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.N == b.N && call.Attempt.Conn == officeConn {
 			call.Attempt.Failed, call.Attempt.Stuck = !sent, stuck
 		}
 	}
-	lane.Box.Clear()
+	officeConn.Box.Clear()
 }
 
 // writeBox writes an outbox. It reports false if the connection is closed.
--- a/internal/session/lanes_bench_test.go
+++ b/internal/session/pooled_conns_bench_test.go
@@ -7,18 +7,18 @@
 	"pewterwheel/internal/wire"
 )
 
-// BenchmarkCallOnLanes measures the session's own cost of a call without sockets, from its set-up to the
+// BenchmarkCallOnPooledConns measures the session's own cost of a call without sockets, from its set-up to the
 // acknowledgment of its release.
-func BenchmarkCallOnLanes(b *testing.B) {
+func BenchmarkCallOnPooledConns(b *testing.B) {
 	for _, how := range []string{"off", "watch", "any", "own", "taken"} {
 		b.Run(how, func(b *testing.B) {
 			cfg := Config{Sockets: 1024, Seed: 7, Watch: how == "watch"}
-			laner := &fakeLaner{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a", silent: true}
+			connSelector := &fakeConnSelector{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a", silent: true}
 			if how != "off" {
-				cfg.Laner = laner
+				cfg.Laner = connSelector
 			}
 			p := newPlayerOf(b, cfg)
-			laner.picks, laner.p, laner.callers = nil, p, nil
+			connSelector.picks, connSelector.p, connSelector.callers = nil, p, nil
 			var on *fakeConn
 			p.onWrite = func(conn *fakeConn, b []byte) {
 				if conn.name[0] == 'o' && b[2] == byte(wire.TypeSetUp) {
--- a/internal/session/lanes_world_test.go
+++ b/internal/session/pooled_conns_sim_test.go
@@ -14,17 +14,17 @@
 	"pewterwheel/internal/wire"
 )
 
-// laneSim simulates callers and two offices of a session whose calls use lanes, by a seed. Offices read
+// connSim simulates callers and two offices of a session whose calls use pooled connections, by a seed. Offices read
 // late, lose unread messages when a connection ends, end connections and refuse new ones; verdicts change.
-// Every message is checked against the rules for lanes.
-type laneSim struct {
+// Every message is checked against the rules for pooled connections.
+type connSim struct {
 	*player
 	rng           *rand.Rand
 	officeConns   []*fakeConn                 // to offices
 	unread        map[*fakeConn][]sentMessage // by an office
-	ownerSession  map[*fakeConn]int           // of a lane owned by a caller
-	pooled        map[*fakeConn]bool          // lanes that a call has held exclusively
-	holder        map[*fakeConn]uint64        // the call that holds the lane now
+	ownerSession  map[*fakeConn]int           // of a connection owned by a caller
+	shared        map[*fakeConn]bool          // connections that a call has held exclusively
+	holder        map[*fakeConn]uint64        // the call that holds the connection now
 	callers       []*simCaller
 	calls         map[uint64]*simCall
 	lastID        uint64
@@ -64,7 +64,7 @@
 // officeIndex returns the index of the office that a connection leads to.
 func (c *fakeConn) officeIndex() int { return int(c.name[1] - '1') }
 
-func (w *laneSim) fault(format string, args ...any) {
+func (w *connSim) fault(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%d ms: ", w.now/1000)+fmt.Sprintf(format, args...))
 }
 
@@ -80,7 +80,7 @@
 	return ms
 }
 
-func (w *laneSim) handleWrite(conn *fakeConn, b []byte) {
+func (w *connSim) handleWrite(conn *fakeConn, b []byte) {
 	for _, message := range messages(b) {
 		call := w.calls[message.Call]
 		switch {
@@ -99,19 +99,19 @@
 	}
 }
 
-func (w *laneSim) handleSetUp(conn *fakeConn, id uint64, call *simCall) {
-	call.pick = w.laner.picks[id]
+func (w *connSim) handleSetUp(conn *fakeConn, id uint64, call *simCall) {
+	call.pick = w.connSelector.picks[id]
 	if call.sentOn != nil || w.now < call.guardUntil {
 		w.fault("set-up %x on %s while one is out, or within the guard", id, conn.name)
 	}
 	call.sentOn = conn
-	_, lane, _ := strings.Cut(conn.name, ".")
-	w.seen["set-up "+laneNames[call.pick]]++
+	_, number, _ := strings.Cut(conn.name, ".")
+	w.seen["set-up "+connKindNames[call.pick]]++
 	switch owner, owned := w.ownerSession[conn]; {
-	case (lane == "") != (call.pick == pooling.Any):
-		w.fault("set-up %x is to go on %s but went on %s", id, laneNames[call.pick], conn.name)
+	case (number == "") != (call.pick == pooling.Any):
+		w.fault("set-up %x is to go on %s but went on %s", id, connKindNames[call.pick], conn.name)
 	case call.pick == pooling.Own:
-		if owned && owner != call.caller.session || w.pooled[conn] {
+		if owned && owner != call.caller.session || w.shared[conn] {
 			w.fault("set-up %x of session %d on %s, which is not its own", id, call.caller.session, conn.name)
 		}
 		w.ownerSession[conn] = call.caller.session
@@ -119,34 +119,34 @@
 		if w.holder[conn] != 0 || owned {
 			w.fault("set-up %x on %s, which %x holds", id, conn.name, w.holder[conn])
 		}
-		w.holder[conn], w.pooled[conn] = id, true
+		w.holder[conn], w.shared[conn] = id, true
 	}
-	lanes := 0
+	conns := 0
 	for _, l := range w.officeConns {
 		if strings.Contains(l.name, ".") {
-			lanes++
+			conns++
 		}
 	}
-	if lanes > 10 {
-		w.fault("%d lanes", lanes)
+	if conns > 10 {
+		w.fault("%d pooled connections", conns)
 	}
 }
 
-func (w *laneSim) handleRelease(conn *fakeConn, id uint64, call *simCall) {
+func (w *connSim) handleRelease(conn *fakeConn, id uint64, call *simCall) {
 	w.free(id)
 	if call.sentOn != nil && call.sentOn.officeIndex() == conn.officeIndex() {
 		if call.sentOn != conn && !call.sentOn.closed {
 			w.fault("the cancellation of %x on %s overtakes its set-up on %s", id, conn.name, call.sentOn.name)
 		}
 		call.sentOn, call.guardUntil = nil, w.now+200_000
-		w.seen["give-up"]++
+		w.seen["cancelled"]++
 	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed && call.pick != pooling.Any {
-		w.fault("the end of %x on %s, not on %s", id, conn.name, s.name)
+		w.fault("the release of %x on %s, not on %s", id, conn.name, s.name)
 	}
 }
 
-// free notes that a call no longer holds its lane.
-func (w *laneSim) free(id uint64) {
+// free notes that a call no longer holds its connection.
+func (w *connSim) free(id uint64) {
 	for conn, h := range w.holder {
 		if h == id {
 			delete(w.holder, conn)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (w *laneSim) handleToCaller(conn *fakeConn, message wire.Message) {
+func (w *connSim) handleToCaller(conn *fakeConn, message wire.Message) {
 	call := w.calls[message.Call]
 	switch {
 	case call == nil || message.Type != wire.TypeAnswer && message.Type != wire.TypeRelease:
@@ -179,12 +179,12 @@
 }
 
 // handleClose handles a connection closed by the process: what was written to it is read.
-func (w *laneSim) handleClose(conn *fakeConn) {
+func (w *connSim) handleClose(conn *fakeConn) {
 	if conn.name[0] != 'o' {
 		return
 	}
 	for _, caller := range w.callers {
-		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed && w.laner.modes[w.laner.callers[s-1]] != "taken" {
+		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed && w.connSelector.modes[w.connSelector.callers[s-1]] != "taken" {
 			w.fault("%s is closed, though its caller is connected", conn.name)
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // loseConn handles the end of a connection to an office.
-func (w *laneSim) loseConn(conn *fakeConn) {
+func (w *connSim) loseConn(conn *fakeConn) {
 	conn.closed = true
 	w.officeConns = slices.DeleteFunc(w.officeConns, func(l *fakeConn) bool { return l == conn })
 	delete(w.unread, conn)
@@ -209,7 +209,7 @@
 }
 
 // send delivers a message to the process if its connection is open.
-func (w *laneSim) send(conn *fakeConn, message wire.Message) {
+func (w *connSim) send(conn *fakeConn, message wire.Message) {
 	b, err := message.Append(nil)
 	if err == nil && !conn.closed {
 		w.pendingArrivals = append(w.pendingArrivals, Arrival{Kind: Data, At: w.now, Conn: conn, Data: b})
@@ -217,7 +217,7 @@
 }
 
 // readMessages lets an office read what arrived on a connection; quiet: it sends no replies.
-func (w *laneSim) readMessages(conn *fakeConn, quiet bool) {
+func (w *connSim) readMessages(conn *fakeConn, quiet bool) {
 	unread := w.unread[conn]
 	delete(w.unread, conn)
 	for _, m := range unread {
@@ -237,14 +237,14 @@
 	}
 }
 
-func (w *laneSim) eachCall(do func(id uint64, call *simCall)) {
+func (w *connSim) eachCall(do func(id uint64, call *simCall)) {
 	for id := uint64(1); id <= w.lastID; id++ {
 		do(id, w.calls[id])
 	}
 }
 
 // tick advances the clock a little with random events; calm: nothing new begins.
-func (w *laneSim) tick(calm bool) {
+func (w *connSim) tick(calm bool) {
 	w.until(w.now + 3000 + w.rng.Int64N(20_000))
 	chance := func(one int) bool { return w.rng.IntN(one) == 0 }
 	for _, conn := range slices.Clone(w.officeConns) {
@@ -274,18 +274,18 @@
 	}
 	w.step()
 	for _, office := range w.s.offices.All() {
-		for i := 0; office.Room != nil && i < len(office.Room.Queue); i++ {
-			call := office.Room.Queue[i].Call
+		for i := 0; office.Overflow != nil && i < len(office.Overflow.Queue); i++ {
+			call := office.Overflow.Queue[i].Call
 			w.seen["waits"]++
 			if waits := w.now - (call.Deadline - call.SetUp.Wait); waits > w.s.settings.Classes[w.s.classIndex[call.SetUp.Class]].Aim+100_000 {
-				w.fault("%x has waited %d ms for a lane", call.ID, waits/1000)
+				w.fault("%x has waited %d ms for a pooled connection", call.ID, waits/1000)
 			}
 		}
 	}
 }
 
 // advanceCall advances a call at an office.
-func (w *laneSim) advanceCall(id uint64, call *simCall, side *officeSide, calm bool, chance func(int) bool) {
+func (w *connSim) advanceCall(id uint64, call *simCall, side *officeSide, calm bool, chance func(int) bool) {
 	switch {
 	case side.openOn != nil && (calm || chance(2)):
 		on := side.openOn
@@ -318,7 +318,7 @@
 }
 
 // injectEvents starts new calls and causes faults.
-func (w *laneSim) injectEvents(chance func(int) bool) {
+func (w *connSim) injectEvents(chance func(int) bool) {
 	for range w.rng.IntN(3) {
 		by := w.callers[w.rng.IntN(len(w.callers))]
 		w.lastID++
@@ -330,7 +330,7 @@
 	}
 	if chance(40) {
 		modes := []string{"own", "taken", "any", "taken"}
-		w.laner.modes[w.laner.callers[w.rng.IntN(len(w.laner.callers))]] = modes[w.rng.IntN(len(modes))]
+		w.connSelector.modes[w.connSelector.callers[w.rng.IntN(len(w.connSelector.callers))]] = modes[w.rng.IntN(len(modes))]
 	}
 	if chance(60) {
 		i := w.rng.IntN(len(w.callers))
@@ -354,16 +354,16 @@
 	}
 }
 
-func (w *laneSim) connectCaller() *simCaller {
-	caller := &simCaller{conn: &fakeConn{p: w.player, name: fmt.Sprint("c", len(w.laner.callers))}}
-	w.laner.nextCaller = caller.conn.name
-	w.laner.modes[caller.conn.name] = []string{"own", "taken", "any"}[w.rng.IntN(3)]
+func (w *connSim) connectCaller() *simCaller {
+	caller := &simCaller{conn: &fakeConn{p: w.player, name: fmt.Sprint("c", len(w.connSelector.callers))}}
+	w.connSelector.nextCaller = caller.conn.name
+	w.connSelector.modes[caller.conn.name] = []string{"own", "taken", "any"}[w.rng.IntN(3)]
 	w.step(Arrival{Kind: Accepted, At: w.now, Conn: caller.conn})
-	caller.session = len(w.laner.callers)
+	caller.session = len(w.connSelector.callers)
 	return caller
 }
 
-func (w *laneSim) disconnectCaller(caller *simCaller) {
+func (w *connSim) disconnectCaller(caller *simCaller) {
 	w.step() // it disconnects once what it has sent is handled
 	caller.conn.closed = true
 	for _, call := range w.calls {
@@ -374,13 +374,13 @@
 	w.step(Arrival{Kind: Closed, At: w.now, Conn: caller.conn, Err: io.EOF})
 }
 
-// runLaneSim runs the simulation for a number of ticks, then lets everything finish. It returns the violations
+// runConnSim runs the simulation for a number of ticks, then lets everything finish. It returns the violations
 // found.
-func runLaneSim(t *testing.T, seed uint64, ticks int, disabled disabledGuards, events map[string]int) []string {
-	sim := &laneSim{player: newLanePlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]sentMessage{},
-		ownerSession: map[*fakeConn]int{}, pooled: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*simCall{},
+func runConnSim(t *testing.T, seed uint64, ticks int, disabled disabledGuards, events map[string]int) []string {
+	sim := &connSim{player: newPooledConnPlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]sentMessage{},
+		ownerSession: map[*fakeConn]int{}, shared: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*simCall{},
 		refused: map[string]int64{}, seen: events}
-	sim.laner.silent, sim.s.lanes.disabled = true, disabled
+	sim.connSelector.silent, sim.s.pooled.disabled = true, disabled
 	sim.onWrite, sim.onClose, sim.onConnect = sim.handleWrite, sim.handleClose, func(conn *fakeConn) { sim.officeConns = append(sim.officeConns, conn) }
 	for _, arrival := range sim.pendingArrivals { // the connections opened at the start
 		if conn, ok := arrival.Conn.(*fakeConn); ok && conn.name[0] == 'o' {
@@ -397,7 +397,7 @@
 		}
 		sim.lines = nil
 	}
-	sim.officesPaused = true // releases sent now are lost with the lanes
+	sim.officesPaused = true // releases sent now are lost with the pooled connections
 	for range 5 {
 		sim.tick(false)
 	}
@@ -426,36 +426,36 @@
 		sim.disconnectCaller(caller)
 	}
 	sim.until(sim.now + 4*endedCallTTL)
-	lanes := &sim.s.lanes
-	left := lanes.count + len(lanes.tracked) + len(lanes.sentReleases)
+	pooled := &sim.s.pooled
+	left := pooled.count + len(pooled.tracked) + len(pooled.sentReleases)
 	for _, office := range sim.s.offices.All() {
-		left += len(office.Lanes) + len(office.Own) + len(office.Free)
-		if office.Room != nil {
-			left += len(office.Room.Queue)
+		left += len(office.Pooled) + len(office.CallerConns) + len(office.FreeConns)
+		if office.Overflow != nil {
+			left += len(office.Overflow.Queue)
 		}
-		for _, lane := range append([]*state.Lane{&office.Lane}, office.Lanes...) {
-			left += len(lane.Out) + len(lane.Queue) + lane.Stands
+		for _, officeConn := range append([]*state.OfficeConn{&office.OfficeConn}, office.Pooled...) {
+			left += len(officeConn.Out) + len(officeConn.Queue) + officeConn.Stands
 		}
 	}
 	if left != 0 {
-		sim.fault("%d lanes, %d calls, %d releases are left; %d in all", lanes.count, len(lanes.tracked), len(lanes.sentReleases), left)
+		sim.fault("%d pooled connections, %d calls, %d releases are left; %d in all", pooled.count, len(pooled.tracked), len(pooled.sentReleases), left)
 	}
 	return sim.violations
 }
 
-func TestLanesUnderRandomFaults(t *testing.T) {
+func TestPooledConnsUnderRandomFaults(t *testing.T) {
 	days := 16
 	if testing.Short() {
 		days = 8
 	}
 	seen := map[string]int{}
 	for seed := range uint64(days) {
-		if broken := runLaneSim(t, seed, 1500, disabledGuards{}, seen); len(broken) > 0 {
+		if broken := runConnSim(t, seed, 1500, disabledGuards{}, seen); len(broken) > 0 {
 			t.Errorf("seed %d: %s", seed, strings.Join(broken[:min(3, len(broken))], "; "))
 		}
 	}
 	t.Log(seen)
-	for _, what := range []string{"set-up own", "set-up taken", "set-up any", "give-up", "waits", "refused"} {
+	for _, what := range []string{"set-up own", "set-up taken", "set-up any", "cancelled", "waits", "refused"} {
 		if seen[what] < days {
 			t.Errorf("%s: %d in %d days", what, seen[what], days)
 		}
@@ -463,24 +463,24 @@
 }
 
 // Each guard is needed: without it the same simulation finds the violation that it prevents.
-func TestEachGuardOfLanesIsNeeded(t *testing.T) {
+func TestEachPooledConnGuardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
 		without disabledGuards
 		finds   string
 	}{
-		{disabledGuards{exclusiveLane: true}, "which"},
-		{disabledGuards{waitForLane: true}, "is to go on"},
+		{disabledGuards{exclusiveConn: true}, "which"},
+		{disabledGuards{waitForConn: true}, "is to go on"},
 		{disabledGuards{repeatLost: true}, "is still established at its office"},
 		{disabledGuards{cancelInOrder: true}, "overtakes"},
-		{disabledGuards{laneLimit: true}, "lanes"},
-		{disabledGuards{returnLane: true}, "are left"},
-		{disabledGuards{keepOnOpenLane: true}, "is cut, though its connection"},
-		{disabledGuards{waitLimit: true}, "for a lane"},
+		{disabledGuards{connLimit: true}, "pooled connections"},
+		{disabledGuards{returnConn: true}, "are left"},
+		{disabledGuards{keepOnOpenConn: true}, "is cut, though its connection"},
+		{disabledGuards{waitLimit: true}, "for a pooled connection"},
 		{disabledGuards{keepOwned: true}, "though its caller is connected"},
 	} {
 		caught := ""
 		for seed := uint64(0); seed < 40 && !strings.Contains(caught, c.finds); seed++ {
-			caught = strings.Join(runLaneSim(t, seed, 1500, c.without, map[string]int{}), "; ")
+			caught = strings.Join(runConnSim(t, seed, 1500, c.without, map[string]int{}), "; ")
 		}
 		if !strings.Contains(caught, c.finds) {
 			t.Errorf("%+v was not caught; found: %.200s", c.without, caught)
--- a/internal/session/lanes_sockets_test.go
+++ b/internal/session/pooled_conns_sockets_test.go
@@ -18,7 +18,7 @@
 	"pewterwheel/internal/wire"
 )
 
-// fixed is a Laner that assigns all calls to one kind of lane and counts observations.
+// fixed is a connection selector that assigns all calls to one kind of connection and counts observations.
 type fixed struct {
 	mu   sync.Mutex
 	mode pooling.Mode
@@ -102,10 +102,10 @@
 // With real sockets and an office that keeps state per connection: clients whose behaviour permits a mode are
 // not harmed by it, and some of the others are, so the office does detect violations. In both cases no rule is
 // broken, and every call has exactly one final answer.
-func TestLanesKeepWhatOfficesKeepOnConnections(t *testing.T) {
-	lanes := map[pooling.Mode]string{pooling.BySession: "by session", pooling.ByCall: "by call", pooling.ByMessage: "by message"}
+func TestPooledConnsPreserveConnectionState(t *testing.T) {
+	modeNames := map[pooling.Mode]string{pooling.BySession: "by session", pooling.ByCall: "by call", pooling.ByMessage: "by message"}
 	harmed := map[string]bool{"by call, repeats token": true, "by call, relies on order": true, "by message, relies on order": true}
-	for mode, name := range lanes {
+	for mode, name := range modeNames {
 		for habit := standin.Stateless; habit < standin.Rarely; habit++ {
 			name := name + ", " + habit.String()
 			t.Run(name, func(t *testing.T) {
@@ -154,9 +154,9 @@
 	}
 }
 
-// With real sockets, capacity for eight lanes, offices that reset connections with open set-ups, and SIGTERM
-// while calls are established: no rule is broken, and every call has exactly one final answer.
-func TestLanesUnderFaultsOnSockets(t *testing.T) {
+// With real sockets, capacity for eight pooled connections, offices that reset connections with open set-ups,
+// and SIGTERM while calls are established: no rule is broken, and every call has exactly one final answer.
+func TestPooledConnsUnderFaultsOnSockets(t *testing.T) {
 	for _, mode := range []pooling.Mode{pooling.BySession, pooling.ByCall} {
 		t.Run(fmt.Sprint(mode), func(t *testing.T) {
 			t.Parallel()
@@ -196,7 +196,7 @@
 			<-faults
 			all.Wait()
 			is(t, "all answered", clients[0].Play("sale-auth", 3*time.Second, 5), "")
-			stop() // while calls are established on lanes
+			stop() // while calls are established on pooled connections
 			for _, c := range clients {
 				c.Close()
 			}
--- a/internal/session/lanes_test.go
+++ b/internal/session/pooled_conns_test.go
@@ -7,8 +7,9 @@
 	"pewterwheel/internal/pooling"
 )
 
-// fakeLaner assigns each caller's calls to the lane that a test chooses, and records its observations.
-type fakeLaner struct {
+// fakeConnSelector assigns each caller's calls to the kind of connection that a test chooses, and records the
+// observations reported to it.
+type fakeConnSelector struct {
 	p          *player
 	nextCaller string            // the caller that connects next
 	modes      map[string]string // by caller: own, taken or any
@@ -17,24 +18,24 @@
 	silent     bool
 }
 
-var laneNames = map[pooling.Lane]string{0: "none", pooling.Own: "own", pooling.Taken: "taken", pooling.Any: "any"}
+var connKindNames = map[pooling.Lane]string{0: "none", pooling.Own: "own", pooling.Taken: "taken", pooling.Any: "any"}
 
 var observationNames = map[pooling.Happening]string{pooling.CameSetUp: "came", pooling.CameAgain: "again", pooling.CameEnd: "end",
 	pooling.Answered: "answered", pooling.Failed: "failed", pooling.EndHeard: "heard", pooling.EndUnheard: "unheard",
 	pooling.EndedThere: "ended", pooling.Over: "over", pooling.LaneLost: "lost"}
 
-func (l *fakeLaner) Open(_ int64, s pooling.SessionID, _, _ string) pooling.ClientID {
+func (l *fakeConnSelector) Open(_ int64, s pooling.SessionID, _, _ string) pooling.ClientID {
 	l.callers = append(l.callers, l.nextCaller)
 	return pooling.ClientID(s)
 }
 
-func (l *fakeLaner) Closed(int64, pooling.ClientID, pooling.SessionID) {}
+func (l *fakeConnSelector) Closed(int64, pooling.ClientID, pooling.SessionID) {}
 
-func (l *fakeLaner) Keep(_ int64, _ pooling.ClientID, s pooling.SessionID) bool {
+func (l *fakeConnSelector) Keep(_ int64, _ pooling.ClientID, s pooling.SessionID) bool {
 	return l.modes[l.callers[s-1]] != "taken"
 }
 
-func (l *fakeLaner) Lane(_ int64, call *pooling.Call, kind pooling.Kind) pooling.Lane {
+func (l *fakeConnSelector) Lane(_ int64, call *pooling.Call, kind pooling.Kind) pooling.Lane {
 	mode := l.modes[l.callers[call.Session-1]]
 	if kind != pooling.SetUp {
 		if kind == pooling.End && call.Lane == pooling.Any && mode == "any" {
@@ -44,7 +45,7 @@
 	}
 	call.Lane = pooling.Own
 	switch {
-	case call.Memo != 0: // it was refused on a shared lane
+	case call.Memo != 0: // it was refused on a connection that is not its own
 	case mode == "taken":
 		call.Lane = pooling.Taken
 	case mode == "any":
@@ -56,7 +57,7 @@
 	return call.Lane
 }
 
-func (l *fakeLaner) Observe(_ int64, observation pooling.Observation) {
+func (l *fakeConnSelector) Observe(_ int64, observation pooling.Observation) {
 	if observation.What == pooling.Failed && observation.Call.Lane != pooling.Own {
 		observation.Call.Memo = 1
 	}
@@ -74,20 +75,20 @@
 	if observation.Text != nil {
 		text += fmt.Sprintf(" %q", observation.Text)
 	}
-	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.What], observation.Call.ID, by, laneNames[observation.Call.Lane], text))
+	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.What], observation.Call.ID, by, connKindNames[observation.Call.Lane], text))
 }
 
-func (l *fakeLaner) Round(int64) {}
+func (l *fakeConnSelector) Round(int64) {}
 
-func newLanePlayer(t *testing.T, sockets int) *player {
-	laner := &fakeLaner{modes: map[string]string{}, picks: map[uint64]pooling.Lane{}}
-	p := newPlayerOf(t, Config{Sockets: sockets, Seed: 7, Laner: laner})
-	laner.p, p.laner = p, laner
+func newPooledConnPlayer(t *testing.T, sockets int) *player {
+	connSelector := &fakeConnSelector{modes: map[string]string{}, picks: map[uint64]pooling.Lane{}}
+	p := newPlayerOf(t, Config{Sockets: sockets, Seed: 7, Laner: connSelector})
+	connSelector.p, p.connSelector = p, connSelector
 	return p
 }
 
-// Recorded exchanges of calls on lanes: o1 is an office's main connection, o1.1 a lane; verdict sets the mode
-// of a caller's further calls, and see is an observation reported to pooling.
-func TestLaneExchanges(t *testing.T) {
-	playFiles(t, "testdata/lanes/*.txt", func(t *testing.T) *player { return newLanePlayer(t, 68) })
+// Recorded exchanges of calls on pooled connections: o1 is an office's main connection, o1.1 a pooled one. The
+// word verdict sets the mode of a caller's further calls, and see is an observation reported to pooling.
+func TestPooledConnExchanges(t *testing.T) {
+	playFiles(t, "testdata/lanes/*.txt", func(t *testing.T) *player { return newPooledConnPlayer(t, 68) })
 }
--- a/internal/session/pooling_world_test.go
+++ b/internal/session/pooling_world_test.go
@@ -12,7 +12,7 @@
 	"pewterwheel/internal/wire"
 )
 
-var hours = flag.Float64("hours", 0, "hours of virtual time that clients call in TestVerdictsReachTheLanes; 0: a few minutes")
+var hours = flag.Float64("hours", 0, "hours of virtual time that clients call in TestVerdictsSelectConnections; 0: a few minutes")
 
 // addressedConn is a caller's connection with a source address.
 type addressedConn struct {
@@ -41,10 +41,10 @@
 }
 
 // Verdicts of the real pooling module in virtual time, with one process: clients of every habit call through
-// sessions whose lanes the module chooses, at two offices that keep state per connection. No client is raised
+// sessions whose connections the module chooses, at two offices that keep state per connection. No client is raised
 // above what its habit permits, and those that rely on no state are raised. Each call has exactly one final
 // answer, and a client harmed in a trial is still answered.
-func TestVerdictsReachTheLanes(t *testing.T) {
+func TestVerdictsSelectConnections(t *testing.T) {
 	long := int64(230_000_000)
 	if *hours > 0 {
 		long = int64(*hours * 3.6e9)
@@ -76,11 +76,11 @@
 	}
 	ties := []standin.Ties{{}, {}}
 	clients, of, finals := []*simClient{}, map[uint64]*simClient{}, map[uint64]int{}
-	lanes, mostLanes := 0, 0
-	p.onConnect = func(*fakeConn) { lanes++; mostLanes = max(mostLanes, lanes) }
+	conns, mostConns := 0, 0
+	p.onConnect = func(*fakeConn) { conns++; mostConns = max(mostConns, conns) }
 	p.onClose = func(conn *fakeConn) {
 		if conn.name[0] == 'o' {
-			lanes--
+			conns--
 			ties[conn.officeIndex()].Forget(conn)
 		}
 	}
@@ -187,5 +187,5 @@
 			t.Errorf("call %x has %d final answers", id+1, finals[id+1])
 		}
 	}
-	t.Logf("%d calls, %d connections to offices at the most", ids, mostLanes)
+	t.Logf("%d calls, %d connections to offices at the most", ids, mostConns)
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -72,7 +72,7 @@
 	// One part in memoryDivisor of the memory is for open set-ups, each of which takes callOverhead beside its
 	// description. Otherwise the settings would allow more set-ups of 16 KiB each than fit in memory.
 	memoryDivisor, callOverhead = 8, 1024
-	// maxPendingReleases bounds the unacknowledged releases kept for one office.
+	// maxPendingReleases bounds the pending releases kept for one office.
 	maxPendingReleases = 4096
 	// maxEarlierReleases bounds the releases of a previous process's calls that are kept for offices listed
 	// later.
@@ -95,15 +95,15 @@
 	// process's call.
 	endedCallTTL  = 20_000_000
 	sweepInterval = 1_000_000
-	// releaseRepeatDelay is how much later an office is told again of set-ups that were stuck on an ended
-	// connection.
+	// releaseRepeatDelay is how much later a release is repeated to an office if its connection ended with unsent
+	// data.
 	releaseRepeatDelay = 1_000_000
-	// unconfirmedReleaseTTL: a caller that disconnects within this time after a release was written to it,
-	// without acknowledging it, may not have read it.
-	unconfirmedReleaseTTL = 6_000_000
-	// acceptAfterStop is how long after SIGTERM connections (0.4 s) and set-ups on them (another 0.2 s) may
+	// callerReleaseTTL is how long a release to a caller is pending: if the caller disconnects within this
+	// time without acknowledging it, it may not have read it.
+	callerReleaseTTL = 6_000_000
+	// acceptAfterShutdown is how long after SIGTERM connections (0.4 s) and set-ups on them (another 0.2 s) may
 	// still arrive.
-	acceptAfterStop = 850_000
+	acceptAfterShutdown = 850_000
 	// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as at most maxCountedDeadline,
 	// plus killDelay. Every call gets its final answer killMargin before that.
 	maxCountedDeadline, killDelay, killMargin = 3_000_000, 700_000, 200_000
@@ -121,7 +121,7 @@
 	// Node creates the decider; nil: the decision module alone.
 	Node func(decide.Settings, uint64) (Decider, error)
 	// Laner selects the connection to an office for each message; nil: each office has a single connection,
-	// and no state is kept for lanes.
+	// and no state is kept for pooled connections.
 	Laner pooling.Laner
 	// Watch: Laner is informed but not asked, and calls are routed as without it.
 	Watch bool
@@ -151,7 +151,7 @@
 	actions           []decide.Action
 	controlReply      []byte
 	params            []wire.Param // of the message being read
-	pendingWrites     []any        // *state.Caller and *state.Lane with messages to write
+	pendingWrites     []any        // *state.Caller and *state.OfficeConn with messages to write
 	callPool          state.Calls
 	callerScratch     []*state.Caller
 	admission         admit.Door
@@ -179,7 +179,7 @@
 	reportRhythm    liveness.Rhythm    // of all offices' reports
 	callDurations   *liveness.Holding  // distribution of call durations
 	livenessClock   checkClock         // state of the office checks
-	connOwners      map[state.Conn]any // *state.Caller, *state.Lane, *state.Asker or *journal
+	connOwners      map[state.Conn]any // *state.Caller, *state.OfficeConn, *state.Asker or *journal
 	callers         []*state.Caller    // in order of arrival
 	controlConns    []*state.Asker     // in order of arrival
 	answerCounts    []state.Ends       // by class
@@ -191,15 +191,15 @@
 	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
 	offices                                    state.Offices
-	dials                                      map[uint64]*state.Lane   // nil: the journal
-	pendingRedials                             map[uint64]*state.Office // by number of the timer
+	dials                                      map[uint64]*state.OfficeConn // nil: the journal
+	pendingRedials                             map[uint64]*state.Office     // by number of the timer
 	lastDialID                                 uint64
 	startedAt                                  int64
 	earlierCallSeen                            int64 // last sign of a previous process's call; initially the start
-	stoppedAt                                  int64 // when SIGTERM arrived; 0: not yet
+	shutdownSince                              int64 // since when a shutdown lasts, which SIGTERM starts; 0: none
 	listenerClosed                             bool  // the callers' listener is closed
 	drainingSince                              int64 // since when a drain lasts; 0: none
-	lanes                                      lanes
+	pooled                                     pooledConns
 }
 
 // New returns a session with the list in the source's configuration. The first Step starts it.
@@ -220,9 +220,9 @@
 		maxCallers: max(minCallers, cfg.Sockets/2), maxControlConns: controlConnLimit(cfg.Sockets), descriptorLimit: cfg.Sockets - reservedDescriptors(cfg.Sockets), maxCallBytes: math.MaxInt64, dialTimeout: cfg.Settings.DialLimit().Microseconds(),
 		connOwners: map[state.Conn]any{}, calls: map[uint64]*state.Call{},
 		established: map[uint64]*state.Standing{}, unsentReleases: map[uint64]state.Ending{}, earlierReleases: map[uint64]state.Ending{}, endedCalls: map[uint64]int64{},
-		dials: map[uint64]*state.Lane{}, pendingRedials: map[uint64]*state.Office{}}
+		dials: map[uint64]*state.OfficeConn{}, pendingRedials: map[uint64]*state.Office{}}
 	s.maxEagerOffices = min(maxEagerOffices, max(1, s.descriptorLimit-cfg.Sockets/callerReserveDivisor))
-	s.lanes.init(cfg)
+	s.pooled.init(cfg)
 	if cfg.Memory > 0 {
 		s.maxCallBytes = cfg.Memory / memoryDivisor
 	}
@@ -298,8 +298,8 @@
 			s.execute(action)
 		}
 	}
-	if s.lanes.laner != nil {
-		s.finishLaneRound()
+	if s.pooled.connSelector != nil {
+		s.finishConnRound()
 	}
 	s.flush()
 	s.callPool.Settle()
@@ -315,12 +315,12 @@
 // everything written has been read, or SIGKILL may come. Exiting while callers wait to be accepted would reset
 // their connections and lose the set-ups that they have sent.
 func (s *Session) Done() bool {
-	return s.stoppedAt != 0 && s.now >= s.stoppedAt+acceptAfterStop && s.countOpen() == 0 && !s.releasesPending() && (s.listenerClosed && len(s.callers) == 0 || s.now >= s.lastAnswerTime())
+	return s.shutdownSince != 0 && s.now >= s.shutdownSince+acceptAfterShutdown && s.countOpen() == 0 && !s.releasesPending() && (s.listenerClosed && len(s.callers) == 0 || s.now >= s.lastAnswerTime())
 }
 
-// lastAnswerTime is when the last call must have its answer after SIGTERM.
+// lastAnswerTime is when the last call must have its answer at shutdown.
 func (s *Session) lastAnswerTime() int64 {
-	return s.stoppedAt + min(maxCountedDeadline, s.maxDeadline) + killDelay - killMargin
+	return s.shutdownSince + min(maxCountedDeadline, s.maxDeadline) + killDelay - killMargin
 }
 
 // failOpenCalls gives each open call its final answer, because SIGKILL would lose it; a caller's own time
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -25,12 +25,12 @@
 			s.cancelAttempt(call.Attempt, decide.TimedOut)
 		}
 	case state.TimerDial:
-		if lane, ok := s.dials[timer.ID]; ok {
+		if officeConn, ok := s.dials[timer.ID]; ok {
 			delete(s.dials, timer.ID)
-			if lane == nil {
+			if officeConn == nil {
 				s.journalDisconnected(errDialTimeout)
 			} else {
-				s.officeDialFailed(lane, errDialTimeout)
+				s.officeDialFailed(officeConn, errDialTimeout)
 			}
 		}
 	case state.TimerRedial:
@@ -47,11 +47,11 @@
 		s.checkControlConns()
 		s.closeDrainedCallers()
 		s.wheel.Set(s.now+watchInterval, timer)
-	case state.TimerRoom:
+	case state.TimerConnWait:
 		s.refuseWaiting(timer.ID, int(timer.N))
 	case state.TimerLeave:
 		s.net.Leave()
-	case state.TimerStop:
+	case state.TimerShutdownDeadline:
 		s.failOpenCalls()
 	case state.TimerSweep:
 		s.sweep()
@@ -72,21 +72,21 @@
 	s.endedCalls = shrinkMap(s.endedCalls, &s.mostEndedCalls)
 	s.calls = shrinkMap(s.calls, &s.mostCalls)
 	s.established = shrinkMap(s.established, &s.mostEstablished)
-	s.lanes.mostTracked = max(s.lanes.mostTracked, len(s.lanes.tracked))
-	s.lanes.tracked = shrinkMap(s.lanes.tracked, &s.lanes.mostTracked)
+	s.pooled.mostTracked = max(s.pooled.mostTracked, len(s.pooled.tracked))
+	s.pooled.tracked = shrinkMap(s.pooled.tracked, &s.pooled.mostTracked)
 	expired := func(_ uint64, ending state.Ending) bool { return s.now-ending.At > endedCallTTL }
 	maps.DeleteFunc(s.unsentReleases, expired)
 	maps.DeleteFunc(s.earlierReleases, expired)
 	for _, caller := range s.callers {
-		maps.DeleteFunc(caller.Unsure, func(_ uint64, ending state.Ending) bool { return s.now-ending.At > unconfirmedReleaseTTL })
+		maps.DeleteFunc(caller.Unsure, func(_ uint64, ending state.Ending) bool { return s.now-ending.At > callerReleaseTTL })
 	}
 	for _, office := range s.offices.All() {
 		maps.DeleteFunc(office.Ended, expired)
-		s.repeatReleases(office)
+		s.repeatDueReleases(office)
 		office.Strays = 0
 	}
-	if s.lanes.laner != nil {
-		s.closeIdleOwnedLanes()
+	if s.pooled.connSelector != nil {
+		s.closeIdleOwnedConns()
 	}
 	s.offices.Forget()
 }
--- a/internal/session/gone_test.go
+++ b/internal/session/unsent_set_ups_test.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// lane returns the session's main connection to an office.
-func (p *player) lane(office string) *state.Lane {
-	return &p.s.offices.Get(decide.ServerID(office)).Lane
+// mainConn returns the session's main connection to an office.
+func (p *player) mainConn(office string) *state.OfficeConn {
+	return &p.s.offices.Get(decide.ServerID(office)).OfficeConn
 }
 
 // newPlayerWithHeldCall sets up call 3 of the caller b, which is held for a slot: each of the two offices has one
@@ -81,7 +81,7 @@
 // A connect for a call takes long, and meanwhile the caller has disconnected or cancelled. The other waiting
 // call is sent.
 func TestNoAttemptForCallEndedDuringConnect(t *testing.T) {
-	for _, how := range []string{"gone", "given up", "not heard yet"} {
+	for _, how := range []string{"gone", "cancelled", "not heard yet"} {
 		p := newPlayer(t)
 		p.step()
 		for _, line := range []string{"5 a open", "5 b open", "6 o1 silent", "7 o1 close", "7 o2 silent", "8 o2 close"} {
@@ -92,7 +92,7 @@
 		switch how {
 		case "gone":
 			p.play("100 b gone")
-		case "given up":
+		case "cancelled":
 			p.play("100 b > " + cancelMessage(2))
 		}
 		if how == "not heard yet" { // nothing is read for 250 ms; then the offices' connections are reported first
@@ -104,13 +104,13 @@
 		p.now = 400_000
 		var up []Arrival
 		for i, office := range []string{"s-00000001", "s-00000002"} {
-			lane := p.lane(office)
-			if len(lane.Queue) == 0 && (how != "given up" || i == 0) {
+			officeConn := p.mainConn(office)
+			if len(officeConn.Queue) == 0 && (how != "cancelled" || i == 0) {
 				t.Fatalf("%s: no set-up waits for %s", how, office)
 			}
 			conn := &fakeConn{p: p, name: fmt.Sprintf("o%d", i+1)}
 			p.conns[conn.name] = conn
-			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: lane.Dialling, Conn: conn})
+			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: officeConn.Dialling, Conn: conn})
 		}
 		p.step(up...)
 		if how == "not heard yet" {
@@ -130,7 +130,7 @@
 // After a process pause an attempt waits while input of its caller is unread, but no longer than two watch
 // intervals.
 func TestAttemptAfterProcessPause(t *testing.T) {
-	for _, how := range []string{"given up", "something else"} {
+	for _, how := range []string{"cancelled", "something else"} {
 		p := newPlayerWithHeldCall(t)
 		p.conns["b"].waiting = true
 		p.now = 400_000 // no round since 20 ms
@@ -138,7 +138,7 @@
 		if p.wroteMessage("o", 1, 3) {
 			t.Errorf("%s: an attempt began before its caller's input was read", how)
 		}
-		if how == "given up" {
+		if how == "cancelled" {
 			p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["b"], Data: parse(t, cancelMessage(3))})
 		}
 		p.until(500_000) // some input stays unread
@@ -151,7 +151,7 @@
 // While data written to an office has not left, further set-ups are queued in this process, where they can be
 // withdrawn.
 func TestNoSetUpBehindUnsentData(t *testing.T) {
-	for _, how := range []string{"given up", "gone", "drained", "waits"} {
+	for _, how := range []string{"cancelled", "gone", "drained", "waits"} {
 		p := newPlayer(t)
 		p.step()
 		for _, line := range []string{"5 a open", "5 b open", "6 o1 stuck", "6 o2 stuck"} {
@@ -160,7 +160,7 @@
 		p.play("10 a > " + setUpMessage(1, 0))
 		p.play("10 b > " + setUpMessage(2, 1))
 		switch how {
-		case "given up":
+		case "cancelled":
 			p.play("100 b > " + cancelMessage(2))
 		case "gone":
 			p.play("100 b gone")
@@ -185,7 +185,7 @@
 // connection must be closed, because the set-up would otherwise begin once the office reads again. The
 // established calls there are released on the next connection.
 func TestUnsentSetUpIsWithdrawn(t *testing.T) {
-	for _, how := range []string{"given up", "gone", "drained", "taken in time"} {
+	for _, how := range []string{"cancelled", "gone", "drained", "taken in time"} {
 		p := newPlayer(t)
 		p.step()
 		p.play("5 b open")
@@ -196,7 +196,7 @@
 			t.Fatal("no set-up was written")
 		}
 		switch how {
-		case "given up":
+		case "cancelled":
 			p.play("100 b > " + cancelMessage(2))
 		case "gone":
 			p.play("100 b close")
@@ -258,7 +258,7 @@
 		p.until(up * 1000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
-		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
+		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
 		if left := p.wroteMessage("o1", 1, 1); left != (up < 300) || left != (len(decider.ended) == 0) {
 			t.Errorf("connected at %d: sent: %t; ended: %v", up, left, decider.ended)
@@ -289,7 +289,7 @@
 		p.until(200_000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
-		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.lane("s-00000001").Dialling, Conn: conn})
+		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").Dialling, Conn: conn})
 		p.until(900_000)
 		if p.wroteMessage("o1", 1, 1) || len(decider.ended) != 1 || len(p.s.calls) != 0 {
 			t.Errorf("caller disconnects: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
@@ -321,7 +321,7 @@
 	if wrote == 0 || most > 64<<10 {
 		t.Errorf("%d writes, one of %d bytes", wrote, most)
 	}
-	if out, queue := len(p.lane("s-00000001").Out), len(p.lane("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
+	if out, queue := len(p.mainConn("s-00000001").Out), len(p.mainConn("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
 		t.Errorf("%d set-ups are out, %d wait", out, queue)
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -62,8 +62,8 @@
 }
 
 // Try begins the call's next attempt. A call never has more than one.
-func (c *Call) Try(on *Lane, now int64) *Attempt {
-	c.currentAttempt = Attempt{Call: c, N: c.Sends, On: on, Since: now}
+func (c *Call) Try(on *OfficeConn, now int64) *Attempt {
+	c.currentAttempt = Attempt{Call: c, N: c.Sends, Conn: on, Since: now}
 	c.Sends++
 	return &c.currentAttempt
 }
@@ -138,13 +138,13 @@
 type Attempt struct {
 	Call   *Call
 	N      int
-	On     *Lane // the connection on which it was sent, or for which it waits
-	Since  int64 // when it was sent, or queued
-	Queued bool  // it waits for a connection: nothing of it has reached the office
-	Failed bool  // it could not be written: nothing of it was sent
-	Until  int64 // it must not be sent from this time on; 0: no limit
-	Stuck  bool  // not all data written with it had been sent at that time
-	// An earlier attempt at the same office was cancelled, and its release was not acknowledged when this one was
+	Conn   *OfficeConn // the connection on which it was sent, or for which it waits
+	Since  int64       // when it was sent, or queued
+	Queued bool        // it waits for a connection: nothing of it has reached the office
+	Failed bool        // it could not be written: nothing of it was sent
+	Until  int64       // it must not be sent from this time on; 0: no limit
+	Stuck  bool        // not all data written with it had been sent at that time
+	// An earlier attempt at the same office was cancelled, and its release was still pending when this one was
 	// made.
 	Unheard bool
 	Over    Ending // release of the earlier attempt
@@ -153,7 +153,7 @@
 // Standing is an established call.
 type Standing struct {
 	ID    uint64
-	On    *Lane // the connection on which it was set up; it may have been closed
+	Conn  *OfficeConn // the connection on which it was set up; it may have been closed
 	From  *Caller
 	Since int64
 	Class int // index of the class in the settings
@@ -163,20 +163,20 @@
 type Caller struct {
 	Conn   Conn
 	Box    Outbox
-	Since  int64            // when it was accepted
-	In     []byte           // incomplete message
-	Part   int64            // since when In holds an incomplete message
-	Open   map[uint64]*Call // set-ups without a final answer
-	Quiet  int64            // since when no set-up is open
-	Stands int              // number of established calls that were set up on it
-	Asked  int64            // when its last set-up was received
-	Told   bool             // it was sent an answer, a refusal or the result of a test
-	Good   bool             // a call of it was established, or it acknowledged an end; abusive clients do neither
-	Odd    int              // number of set-ups and releases that could not be interpreted
-	Unsure map[uint64]Ending
-
-	Session uint64 // number of the connection, never reused; 0: calls are not assigned to lanes
-	Client  uint32 // identity of the client, for the decision on its lanes
+	Since  int64             // when it was accepted
+	In     []byte            // incomplete message
+	Part   int64             // since when In holds an incomplete message
+	Open   map[uint64]*Call  // set-ups without a final answer
+	Quiet  int64             // since when no set-up is open
+	Stands int               // number of established calls that were set up on it
+	Asked  int64             // when its last set-up was received
+	Told   bool              // it was sent an answer, a refusal or the result of a test
+	Good   bool              // a call of it was established, or it acknowledged an end; abusive clients do neither
+	Odd    int               // number of set-ups and releases that could not be interpreted
+	Unsure map[uint64]Ending // pending releases to the caller
+
+	Session uint64 // number of the connection, never reused; 0: calls are not assigned to pooled connections
+	Client  uint32 // identity of the client, as assigned by pooling
 }
 
 // Asker is a connection on the control address.
@@ -189,22 +189,24 @@
 // Ends counts the final answers given to a class's calls.
 type Ends struct{ Completed, Rejected, Failed uint64 }
 
-// Ending is a release that was sent, or is to be sent, and is not acknowledged yet.
+// Ending is a pending release: it was sent, or is to be sent, and is not acknowledged yet.
 type Ending struct {
-	Cause byte
-	At    int64
-	Sent  bool   // it was sent to a caller that is not known to be a regular one
-	On    uint32 // number of the lane on which it was sent to an office
-	Again int64  // when it is sent to the office once more although it was acknowledged; 0: it is not
+	Cause      byte
+	At         int64
+	Sent       bool   // it was sent to a caller that is not known to be a regular one
+	ConnNumber uint32 // number of the connection on which it was sent to an office
+	Again      int64  // when it is repeated to the office although it was acknowledged; 0: it is not
 	// Unresponsive: it was sent because the office was assumed to be unable to end the call.
 	Unresponsive bool
-	Asked        int64 // when its set-up was sent to an office, if it was given up there; otherwise 0
+	Asked        int64 // when its set-up was sent to an office, if the set-up was cancelled there; otherwise 0
 }
 
-// Lane is an existing or planned connection to an office and what is open on it.
-type Lane struct {
+// OfficeConn is an office connection, existing or planned, and what is open on it. An office has one main connection
+// and may have pooled connections: each of these is owned by one caller, or shared by the calls of several callers,
+// one call at a time.
+type OfficeConn struct {
 	To       *Office
-	Number   uint32 // 0: the office's main connection; additional lanes have numbers that are never reused
+	Number   uint32 // 0: the office's main connection; pooled connections have numbers that are never reused
 	Conn     Conn
 	Box      Outbox
 	Spoken   liveness.Connection // what was received on it, and when
@@ -214,38 +216,40 @@
 	Out      map[uint64]*Attempt // attempts that were sent and have not ended
 	Queue    []*Attempt          // attempts that wait for the connection
 
-	// Only for additional lanes.
-	Owner  *Caller // the caller whose own lane it is; nil: it belongs to the pool
-	Holder uint64  // the call that has taken it from the pool; 0: none has
+	// Only for pooled connections.
+	Owner  *Caller // the caller that owns it; nil: it is shared
+	Holder uint64  // the call that holds it if it is shared; 0: none does
 	Stands int     // number of established calls that were set up on it
 	Idle   int64   // since when nothing is open on it
 }
 
-// Quiet reports whether an additional lane has no open set-ups, waiting attempts or established calls.
-func (l *Lane) Quiet() bool { return l.Holder == 0 && l.Stands == 0 && len(l.Out)+len(l.Queue) == 0 }
+// Quiet reports whether a pooled connection has no open set-ups, waiting attempts or established calls.
+func (c *OfficeConn) Quiet() bool {
+	return c.Holder == 0 && c.Stands == 0 && len(c.Out)+len(c.Queue) == 0
+}
 
-// Loose reports whether an additional lane is unused: its caller has disconnected, or no call has taken it from the
-// pool.
-func (l *Lane) Loose() bool { return l.Quiet() && (l.Owner == nil || l.Owner.Conn == nil) }
+// Loose reports whether a pooled connection is unused: nothing is open on it, and its owner has disconnected or it is
+// shared.
+func (c *OfficeConn) Loose() bool { return c.Quiet() && (c.Owner == nil || c.Owner.Conn == nil) }
 
 // Office is a call server and the main connection to it.
 type Office struct {
 	wire.Office
-	Lane
+	OfficeConn
 	Unreached bool                 // the last connect was refused or not established
 	Backoff   int64                // next pause between dials
 	NotUntil  int64                // no dial before this time
 	Liveness  liveness.Office      // whether it can still end its calls
 	Standing  map[uint64]*Standing // calls established there
-	Ended     map[uint64]Ending    // releases that the office has not acknowledged
+	Ended     map[uint64]Ending    // pending releases to the office
 	Strays    int                  // number of releases of unknown calls that it has sent since the last sweep
 
-	// The following fields are used only where calls are assigned to lanes.
-	Serial uint64           // number of the office, for the decision on its lanes
-	Lanes  []*Lane          // additional lanes, in the order in which they were requested
-	Own    map[uint64]*Lane // of these, the lanes of callers that are connected or just disconnected, by session
-	Free   []*Lane          // of these, the lanes of the pool that no call has taken; the last one returned is last
-	Room   *Lane            // not a connection: attempts wait here when there is no room for another lane
+	// The following fields are used only where calls are assigned to pooled connections.
+	Serial      uint64                 // number by which pooling refers to the office
+	Pooled      []*OfficeConn          // in the order in which they were requested
+	CallerConns map[uint64]*OfficeConn // owned by callers that are connected or just disconnected, by session
+	FreeConns   []*OfficeConn          // the shared ones that no call holds, the last one released last
+	Overflow    *OfficeConn            // placeholder: attempts wait here if no further connection is allowed
 }
 
 // Offices is the list of offices.
@@ -278,7 +282,7 @@
 		listed[o.ID] = true
 		known := l.byID[o.ID]
 		if known == nil {
-			known = &Office{Office: o, Lane: Lane{Out: map[uint64]*Attempt{}}, Standing: map[uint64]*Standing{},
+			known = &Office{Office: o, OfficeConn: OfficeConn{Out: map[uint64]*Attempt{}}, Standing: map[uint64]*Standing{},
 				Ended: map[uint64]Ending{}}
 			known.To = known
 			l.byID[o.ID] = known
@@ -311,7 +315,7 @@
 func (l *Offices) Forget() {
 	l.inOrder = slices.DeleteFunc(l.inOrder, func(o *Office) bool {
 		empty := o.State == decide.Removed && o.Conn == nil && o.Dialling == 0 && len(o.Out) == 0 &&
-			len(o.Queue) == 0 && len(o.Standing) == 0 && len(o.Lanes) == 0 && (o.Room == nil || len(o.Room.Queue) == 0)
+			len(o.Queue) == 0 && len(o.Standing) == 0 && len(o.Pooled) == 0 && (o.Overflow == nil || len(o.Overflow.Queue) == 0)
 		if empty {
 			delete(l.byID, o.ID)
 		}
--- a/internal/state/wheel.go
+++ b/internal/state/wheel.go
@@ -4,16 +4,16 @@
 
 // Timer kinds. The meaning of the other fields of a Timer depends on the kind.
 const (
-	TimerModule  = iota + 1 // timer of the decision module: ID is its token
-	TimerAttempt            // the time limit of an attempt: ID is the call, N the attempt
-	TimerDial               // the time limit of a connect: ID is the dial
-	TimerRedial             // an office may be dialled again: ID is the number of the wait
-	TimerJournal            // check of the journal connection
-	TimerPartial            // check for incomplete messages, and for idle callers
-	TimerLeave              // new callers are no longer accepted
-	TimerStop               // all open calls must be answered now
-	TimerSweep              // removal of outdated state
-	TimerRoom               // the time limit of an attempt that waits for a lane: ID is the call, N the attempt
+	TimerModule           = iota + 1 // timer of the decision module: ID is its token
+	TimerAttempt                     // the time limit of an attempt: ID is the call, N the attempt
+	TimerDial                        // the time limit of a connect: ID is the dial
+	TimerRedial                      // an office may be dialled again: ID is the number of the wait
+	TimerJournal                     // check of the journal connection
+	TimerPartial                     // check for incomplete messages, and for idle callers
+	TimerLeave                       // at shutdown: new callers are no longer accepted
+	TimerShutdownDeadline            // at shutdown: all open calls must be answered now
+	TimerSweep                       // removal of outdated state
+	TimerConnWait                    // the time limit of a wait for a pooled connection; ID and N as for TimerAttempt
 )
 
 // Timer is one entry of the wheel. It cannot be cancelled; whoever set it checks whether it is still relevant. It
