--- a/internal/session/silent_office_test.go
+++ b/internal/session/silent_office_test.go
@@ -98,7 +98,7 @@
 	return fmt.Sprintf(`%d a > [01 00000000000001%02x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, ms, call, call+10)
 }
 
-// A caller waited too long for the release of a call whose office had gone silent in one of these ways.
+// A caller waited too long for the release of a call whose office had stopped responding in one of these ways.
 func TestSilentOfficeLeavesNoCallerWaiting(t *testing.T) {
 	setUps := func() (lines []string) {
 		for i := range 40 {
@@ -106,7 +106,7 @@
 		}
 		return lines
 	}
-	turns := func(first int) func() []string {
+	alternating := func(first int) func() []string {
 		return func() (lines []string) {
 			for at := first; at < caseLength; at += 2400 {
 				lines = append(lines, fmt.Sprintf("%d o1 silent", at), fmt.Sprintf("%d o1 accept", at+1800))
@@ -114,26 +114,26 @@
 			return lines
 		}
 	}
-	half := func(*player) []byte { return []byte{0, 30, 43, 0, 0} }
+	incompleteMessage := func(*player) []byte { return []byte{0, 30, 43, 0, 0} }
 	for _, scenario := range []officeCase{
-		{name: "reported before, connects do not come up", reports: true, events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "reported before, connects are not answered", reports: true, events: func() []string { return []string{"506 o1 silent"} }},
 		{name: "reported before, connects are refused", reports: true, events: func() []string { return []string{"506 o1 refuse"} }},
-		{name: "reported before, connections come up and bring nothing", reports: true},
-		{name: "reported before, connections come up by turns", reports: true, events: turns(700)},
-		{name: "reported before, connections come up by turns, later", reports: true, events: turns(1300)},
-		{name: "reported before, connections come up by turns, later still", reports: true, events: turns(1900)},
-		{name: "reported before, says half messages", reports: true, greeting: half},
-		{name: "reported before, set-ups go there", reports: true, events: setUps},
+		{name: "reported before, connections open and bring nothing", reports: true},
+		{name: "reported before, connects are answered at times", reports: true, events: alternating(700)},
+		{name: "reported before, connects are answered at times, later", reports: true, events: alternating(1300)},
+		{name: "reported before, connects are answered at times, later still", reports: true, events: alternating(1900)},
+		{name: "reported before, sends incomplete messages", reports: true, greeting: incompleteMessage},
+		{name: "reported before, set-ups are sent there", reports: true, events: setUps},
 		{name: "never reported"},
-		{name: "never reported, connects would not come up", events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "never reported, connects would not be answered", events: func() []string { return []string{"506 o1 silent"} }},
 		{name: "never reported, connects would be refused", events: func() []string { return []string{"506 o1 refuse"} }},
-		{name: "never reported, connections come up by turns", events: turns(700)},
-		{name: "never reported, says half messages", greeting: half},
-		{name: "never reported, set-ups go there", events: setUps},
-		{name: "never reported, drains on the list", events: func() []string {
+		{name: "never reported, connects are answered at times", events: alternating(700)},
+		{name: "never reported, sends incomplete messages", greeting: incompleteMessage},
+		{name: "never reported, set-ups are sent there", events: setUps},
+		{name: "never reported, drains according to the list", events: func() []string {
 			return []string{"900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}"}
 		}},
-		{name: "reports go on, and set-ups have no answer", reports: true, events: func() []string {
+		{name: "reports go on, and set-ups are not answered", reports: true, events: func() []string {
 			return append(setUps(), repeatEvery(1000, 500, fmt.Sprintf(freeLinesReport, 8))...)
 		}},
 	} {
@@ -146,33 +146,33 @@
 	}
 }
 
-// A call was cut at an office that is alive but slow, idle, draining, or reconnecting.
+// A call was released (cause cut) although its office responds: it is slow, idle, draining, or reconnecting.
 func TestResponsiveOfficeKeepsItsCalls(t *testing.T) {
-	reporting := func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
+	reportOnConnect := func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
 	reports := func(gap int) []string { return repeatEvery(lastMessageAt+gap, gap, fmt.Sprintf(freeLinesReport, 8)) }
 	for _, scenario := range []officeCase{
 		{name: "reports", reports: true, events: func() []string { return reports(500) }},
-		{name: "reports seldom", reports: true, greeting: reporting, events: func() []string { return reports(4000) }},
-		{name: "reports, and drains on the list", reports: true, events: func() []string {
+		{name: "reports rarely", reports: true, greeting: reportOnConnect, events: func() []string { return reports(4000) }},
+		{name: "reports, and drains according to the list", reports: true, events: func() []string {
 			return append(reports(500), "900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}")
 		}},
 		{name: "reports, and loses a connection", reports: true, events: func() []string {
 			return append(reports(500), "700 o1 close", "9700 o1 close")
 		}},
-		{name: "reports, and a set-up gets lost", reports: true, events: func() []string {
+		{name: "reports, and a set-up is not answered", reports: true, events: func() []string {
 			return append(reports(500), strings.Replace(setUpAt(4000, 1), `"3000"`, `"1300"`, 1))
 		}},
-		{name: "reports, a set-up gets lost, and the next one is answered", reports: true, events: func() []string {
+		{name: "reports, a set-up is not answered, and the next one is", reports: true, events: func() []string {
 			return append(reports(500), setUpAt(4000, 1), `6600 o1 > [09 0000000000000101 3d["d"]]`)
 		}},
-		{name: "reports, and set-ups get lost while others are answered", reports: true, events: func() (lines []string) {
+		{name: "reports, and some set-ups are not answered while others are", reports: true, events: func() (lines []string) {
 			for i := 0; i < 14; i += 2 {
 				lines = append(lines, setUpAt(2000+2000*i, i), setUpAt(2400+2000*i, i+1),
 					fmt.Sprintf(`%d o1 > [09 00000000000001%02x 3d["d"]]`, 2450+2000*i, i+1))
 			}
 			return append(lines, reports(500)...)
 		}},
-		{name: "reports, and this process is short of descriptors", reports: true, greeting: reporting, events: func() []string {
+		{name: "reports, and this process is short of descriptors", reports: true, greeting: reportOnConnect, events: func() []string {
 			return append(reports(500), "1000 o1 short", "1001 o1 close", "4500 o1 accept")
 		}},
 		{name: "never reports, and refuses set-ups", events: func() (lines []string) {
@@ -191,12 +191,12 @@
 	}
 }
 
-// A process that shuts down left a caller waiting for the release of a call at a silent office, because no
-// later process knows of it.
+// A process that shut down left a caller waiting for the release of a call at a silent office: no later process
+// knows of the call, so this one must release it before it exits.
 func TestSilentOfficeAsTheProcessEnds(t *testing.T) {
 	reports := repeatEvery(lastMessageAt+500, 500, fmt.Sprintf(freeLinesReport, 8))
 	term := "2000 term"
-	for _, c := range []struct {
+	for _, scenario := range []struct {
 		officeCase
 		release bool
 	}{
@@ -204,62 +204,66 @@
 		{officeCase{name: "reported before, connects are refused", reports: true, events: func() []string {
 			return []string{"506 o1 refuse", "507 o1 close", term}
 		}}, true},
-		{officeCase{name: "a set-up has no answer", events: func() []string { return []string{setUpAt(600, 1), term} }}, true},
-		{officeCase{name: "a set-up has no answer, and reports go on", reports: true, events: func() []string {
+		{officeCase{name: "a set-up is not answered", events: func() []string { return []string{setUpAt(600, 1), term} }}, true},
+		{officeCase{name: "a set-up is not answered, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), term)
 		}}, true},
 		{officeCase{name: "a set-up was answered, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), `700 o1 > [09 0000000000000101 3d["d1"]]`, term)
 		}}, false},
-		{officeCase{name: "never reported, suspected", events: func() []string { return []string{"4000 term"} }}, true},
+		{officeCase{name: "never reported, already suspected", events: func() []string { return []string{"4000 term"} }}, true},
 		{officeCase{name: "reports", reports: true, events: func() []string { return append(reports, term) }}, false},
-		{officeCase{name: "never reports, and nothing is out", events: func() []string { return []string{term} }}, false},
+		{officeCase{name: "never reports, and no set-up is outstanding", events: func() []string { return []string{term} }}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			lines := c.play(t)
-			end := caseLength
+		t.Run(scenario.name, func(t *testing.T) {
+			lines := scenario.play(t)
+			processEnd := caseLength
 			for _, line := range lines {
 				if strings.HasSuffix(line, " end") {
-					end = eventTime(line)
+					processEnd = eventTime(line)
 				}
 			}
-			told, cause := releaseOfFirstCall(lines)
-			if c.release != (told != 0) || told > end {
+			releasedAt, cause := releaseOfFirstCall(lines)
+			if scenario.release != (releasedAt != 0) || releasedAt > processEnd {
 				t.Errorf("released at %d ms with cause %q (0: never), want %t, before the process ends at %d ms\n%s",
-					told, cause, c.release, end, strings.Join(lines, "\n"))
+					releasedAt, cause, scenario.release, processEnd, strings.Join(lines, "\n"))
 			}
 		})
 	}
 }
 
 // A caller waited too long for the release of a call whose office's process had died and restarted at once,
-// while discovery could not report the restart.
+// while discovery could not report the restart. The office's connection ends at 1001 ms, from which the time limit
+// counts.
 func TestRestartedOfficeWhileDiscoveryIsSilent(t *testing.T) {
 	restart := []string{"1000 o1 refuse", "1001 o1 close", "1800 o1 accept"}
-	frames := repeatEvery(500, 500, "j > {0000000000000001 00}")
-	for _, c := range []struct {
+	journalFrames := repeatEvery(500, 500, "j > {0000000000000001 00}")
+	for _, scenario := range []struct {
 		officeCase
 		release bool
 	}{
 		{officeCase{name: "discovery is silent", reports: true, events: func() []string { return restart }}, true},
-		{officeCase{name: "discovery speaks, and tells of no start", reports: true, events: func() []string { return append(frames, restart...) }}, false},
-		{officeCase{name: "discovery is silent, nothing was refused", reports: true, events: func() []string { return restart[1:2] }}, false},
+		{officeCase{name: "discovery sends frames, and reports no restart", reports: true, events: func() []string { return append(journalFrames, restart...) }}, false},
+		{officeCase{name: "discovery is silent, no connect was refused", reports: true, events: func() []string { return restart[1:2] }}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			own := c.events
-			c.events = func() []string { return append(own(), repeatEvery(2500, 500, fmt.Sprintf(freeLinesReport, 8))...) }
-			c.greeting = func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
-			lines := c.play(t)
-			told, cause := releaseOfFirstCall(lines)
-			if c.release != (told != 0) || told > 1001+8050 {
-				t.Errorf("released at %d ms with cause %q (0: never), want %t, by %d ms\n%s", told, cause, c.release, 1001+8050, strings.Join(lines, "\n"))
+		t.Run(scenario.name, func(t *testing.T) {
+			caseEvents := scenario.events
+			scenario.events = func() []string {
+				return append(caseEvents(), repeatEvery(2500, 500, fmt.Sprintf(freeLinesReport, 8))...)
+			}
+			scenario.greeting = func(*player) []byte { return parse(t, `[2b 0000000000000000 2b["free:8;size:9"]]`) }
+			lines := scenario.play(t)
+			releasedAt, cause := releaseOfFirstCall(lines)
+			if scenario.release != (releasedAt != 0) || releasedAt > 1001+8050 {
+				t.Errorf("released at %d ms with cause %q (0: never), want %t, by %d ms\n%s", releasedAt, cause, scenario.release, 1001+8050, strings.Join(lines, "\n"))
 			}
 		})
 	}
 }
 
-// The releases of many calls filled a caller's outbox, its connection was closed unnoticed, and one of the
-// calls, whose answer was in the outbox, was ended by the failed write: the process crashed.
+// The process crashed: an office was removed from the list, and the releases of its many calls filled the outbox
+// of a caller whose disconnect was not reported yet. The failed write ended one of the calls, whose answer was in
+// the outbox, while the calls were being released.
 func TestManyReleasesToDisconnectedCaller(t *testing.T) {
 	p := newPlayer(t)
 	p.step()
