--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// markActive notes that a connection has asked for a call or ended one, which makes it eligible for pending
-// releases. Connections of the load balancer only carry health tests and must not receive releases: the load
-// balancer would count the test as failed.
+// markActive notes that a connection has asked for a call or ended one, which makes it eligible for
+// undelivered releases. Connections of the load balancer only carry health tests and must not receive releases:
+// the load balancer would count the test as failed.
 func (s *Session) markActive(caller *state.Caller) {
 	caller.Asked = s.now
-	if len(s.unsentReleases) == 0 {
+	if len(s.undeliveredReleases) == 0 {
 		return
 	}
-	for id, ending := range inKeyOrder(s.unsentReleases) {
+	for id, ending := range inKeyOrder(s.undeliveredReleases) {
 		if !ending.Sent {
 			s.releaseToCaller(id, ending.Cause, nil)
 		}
@@ -55,8 +55,8 @@
 	}
 	caller.Good = true
 	caller.Conn.Trust()
-	for id, ending := range inKeyOrder(s.unsentReleases) {
-		delete(s.unsentReleases, id)
+	for id, ending := range inKeyOrder(s.undeliveredReleases) {
+		delete(s.undeliveredReleases, id)
 		if _, alreadySent := caller.Unsure[id]; !alreadySent {
 			s.releaseToCaller(id, ending.Cause, caller)
 		}
@@ -141,9 +141,9 @@
 	// A release written shortly before the connection closed may not have been read; it is sent again on
 	// another connection.
 	for id, ending := range inKeyOrder(caller.Unsure) {
-		if kept, ok := s.unsentReleases[id]; ok {
+		if kept, ok := s.undeliveredReleases[id]; ok {
 			kept.Sent = false
-			s.unsentReleases[id] = kept
+			s.undeliveredReleases[id] = kept
 		} else if s.now-ending.At <= callerReleaseTTL {
 			s.releaseToCaller(id, ending.Cause, nil)
 		}
@@ -163,7 +163,7 @@
 	case wire.TypeHeard:
 		if _, ours := caller.Unsure[message.Call]; ours {
 			delete(caller.Unsure, message.Call)
-			delete(s.unsentReleases, message.Call)
+			delete(s.undeliveredReleases, message.Call)
 			s.trustCaller(caller)
 		}
 	case wire.TypeTest:
@@ -418,7 +418,7 @@
 			}
 		}
 		if caller == nil || !caller.Good {
-			s.unsentReleases[call] = state.Ending{Cause: cause, At: s.now, Sent: caller != nil}
+			s.undeliveredReleases[call] = state.Ending{Cause: cause, At: s.now, Sent: caller != nil}
 		}
 		if caller == nil {
 			return
--- a/internal/session/drain.go
+++ b/internal/session/drain.go
@@ -7,10 +7,10 @@
 	"pewterwheel/internal/state"
 )
 
-// Callers are disconnected during a drain and after SIGTERM. New connections still arrive for a while; then
+// Callers are disconnected during a drain and a shutdown. New connections still arrive for a while; then
 // each connection is closed as soon as no set-up is open on it. Where one always is, new set-ups are refused
 // until none is. During a drain a connection stays while a call that was set up on it is established, because
-// its release has to be delivered; after SIGTERM another process delivers it. The times below count from the
+// its release has to be delivered; at a shutdown another process delivers it. The times below count from the
 // start of a drain:
 const (
 	// drainCloseAfter is when the first connections are closed. The load balancer checks every 0.1 s and sends
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -31,7 +31,7 @@
 func (s *Session) officeConnected(officeConn *state.OfficeConn, conn state.Conn) {
 	office := officeConn.To
 	if officeConn.Conn != nil {
-		if len(officeConn.Out) > 0 { // closing the present connection would reset the attempts that are out on it
+		if len(officeConn.Out) > 0 { // closing the present connection would reset its outstanding attempts
 			officeConn.Dialling = 0
 			_ = conn.Close() // nothing was written to it
 			return
--- a/internal/session/reload_test.go
+++ b/internal/session/reload_test.go
@@ -69,7 +69,7 @@
 		{"good, then bad", []func(*player){hup("journal2"), func(p *player) {
 			p.step(Arrival{Kind: Reload, At: p.now, Update: updateOf(t, "journal", "ASLEEP")})
 		}}, []string{"j2 < 0000000000000001"}, 1, 1},
-		{"while stopping", []func(*player){line("1000 term"), hup("journal2")}, []string{"j2 < 0000000000000001"}, 1, 0},
+		{"during a shutdown", []func(*player){line("1000 term"), hup("journal2")}, []string{"j2 < 0000000000000001"}, 1, 0},
 	} {
 		p := newPlayer(t)
 		p.step()
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -176,18 +176,18 @@
 	dialTimeout     int64
 	maxDeadline     int64 // the longest deadline of a class
 
-	reportRhythm    liveness.Rhythm    // of all offices' reports
-	callDurations   *liveness.Holding  // distribution of call durations
-	livenessClock   checkClock         // state of the office checks
-	connOwners      map[state.Conn]any // *state.Caller, *state.OfficeConn, *state.Asker or *journal
-	callers         []*state.Caller    // in order of arrival
-	controlConns    []*state.Asker     // in order of arrival
-	answerCounts    []state.Ends       // by class
-	calls           map[uint64]*state.Call
-	established     map[uint64]*state.Standing
-	unsentReleases  map[uint64]state.Ending // releases for callers that could not be sent to a trusted one
-	earlierReleases map[uint64]state.Ending // callers' releases of a previous process's calls, for offices listed later
-	endedCalls      map[uint64]int64        // ids of ended calls, and when they ended
+	reportRhythm        liveness.Rhythm    // of all offices' reports
+	callDurations       *liveness.Holding  // distribution of call durations
+	livenessClock       checkClock         // state of the office checks
+	connOwners          map[state.Conn]any // *state.Caller, *state.OfficeConn, *state.Asker or *journal
+	callers             []*state.Caller    // in order of arrival
+	controlConns        []*state.Asker     // in order of arrival
+	answerCounts        []state.Ends       // by class
+	calls               map[uint64]*state.Call
+	established         map[uint64]*state.Standing
+	undeliveredReleases map[uint64]state.Ending // releases for callers that were not sent to a trusted one
+	earlierReleases     map[uint64]state.Ending // callers' releases of earlier calls, for offices listed later
+	endedCalls          map[uint64]int64        // ids of ended calls, and when they ended
 	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
 	offices                                    state.Offices
@@ -219,7 +219,7 @@
 		startedAt: now, earlierCallSeen: now, answerCounts: make([]state.Ends, len(cfg.Settings.Classes)), settings: cfg.Settings, classIndex: map[string]int{}, classNames: map[string]string{}, maxTries: set.MaxTries, maxCalls: cfg.Settings.Limits.MaxHeld,
 		maxCallers: max(minCallers, cfg.Sockets/2), maxControlConns: controlConnLimit(cfg.Sockets), descriptorLimit: cfg.Sockets - reservedDescriptors(cfg.Sockets), maxCallBytes: math.MaxInt64, dialTimeout: cfg.Settings.DialLimit().Microseconds(),
 		connOwners: map[state.Conn]any{}, calls: map[uint64]*state.Call{},
-		established: map[uint64]*state.Standing{}, unsentReleases: map[uint64]state.Ending{}, earlierReleases: map[uint64]state.Ending{}, endedCalls: map[uint64]int64{},
+		established: map[uint64]*state.Standing{}, undeliveredReleases: map[uint64]state.Ending{}, earlierReleases: map[uint64]state.Ending{}, endedCalls: map[uint64]int64{},
 		dials: map[uint64]*state.OfficeConn{}, pendingRedials: map[uint64]*state.Office{}}
 	s.maxEagerOffices = min(maxEagerOffices, max(1, s.descriptorLimit-cfg.Sockets/callerReserveDivisor))
 	s.pooled.init(cfg)
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -75,7 +75,7 @@
 	s.pooled.mostTracked = max(s.pooled.mostTracked, len(s.pooled.tracked))
 	s.pooled.tracked = shrinkMap(s.pooled.tracked, &s.pooled.mostTracked)
 	expired := func(_ uint64, ending state.Ending) bool { return s.now-ending.At > endedCallTTL }
-	maps.DeleteFunc(s.unsentReleases, expired)
+	maps.DeleteFunc(s.undeliveredReleases, expired)
 	maps.DeleteFunc(s.earlierReleases, expired)
 	for _, caller := range s.callers {
 		maps.DeleteFunc(caller.Unsure, func(_ uint64, ending state.Ending) bool { return s.now-ending.At > callerReleaseTTL })
--- a/internal/session/unsent_set_ups_test.go
+++ b/internal/session/unsent_set_ups_test.go
@@ -245,7 +245,7 @@
 func (*singleOfficeDecider) Avoids(decide.ServerID) bool { return false }
 
 // The time in which a call may be repeated ends while its set-up waits for a connection: it is withdrawn. A
-// set-up sent in time stays out until it is answered.
+// set-up sent in time stays outstanding until it is answered.
 func TestSetUpIsSentWithinItsTimeLimit(t *testing.T) {
 	for _, up := range []int64{250, 299, 301, 400} {
 		decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
@@ -322,7 +322,7 @@
 		t.Errorf("%d writes, one of %d bytes", wrote, most)
 	}
 	if out, queue := len(p.mainConn("s-00000001").Out), len(p.mainConn("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
-		t.Errorf("%d set-ups are out, %d wait", out, queue)
+		t.Errorf("%d set-ups are outstanding, %d wait", out, queue)
 	}
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,7 +22,7 @@
 	Unsent() bool
 	// Gone reports whether the peer has closed the connection, even if the session was not notified yet.
 	Gone() bool
-	// Trust marks the peer as a regular caller: if it sends too much, the connection is throttled instead of closed.
+	// Trust marks the peer as a trusted caller: if it sends too much, the connection is throttled instead of closed.
 	Trust()
 }
 
@@ -171,7 +171,7 @@
 	Stands int               // number of established calls that were set up on it
 	Asked  int64             // when its last set-up was received
 	Told   bool              // it was sent an answer, a refusal or the result of a test
-	Good   bool              // a call of it was established, or it acknowledged an end; abusive clients do neither
+	Good   bool              // trusted: had an established call or acknowledged a release; abusive clients do neither
 	Odd    int               // number of set-ups and releases that could not be interpreted
 	Unsure map[uint64]Ending // pending releases to the caller
 
@@ -193,7 +193,7 @@
 type Ending struct {
 	Cause      byte
 	At         int64
-	Sent       bool   // it was sent to a caller that is not known to be a regular one
+	Sent       bool   // it was sent to a caller, but to none that is trusted
 	ConnNumber uint32 // number of the connection on which it was sent to an office
 	Again      int64  // when it is repeated to the office although it was acknowledged; 0: it is not
 	// Unresponsive: it was sent because the office was assumed to be unable to end the call.
