--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -95,7 +95,7 @@
 }
 
 // checkCallers ends connections that have requested nothing since they were accepted, or whose message stays
-// incomplete. Clients that are silent, send half a message or cancel every call would otherwise hold a
+// incomplete. Clients that are silent, send an incomplete message or cancel every call would otherwise hold a
 // descriptor each. A caller with no open set-up loses nothing, unless the rest of its message has arrived and
 // is still unread.
 func (s *Session) checkCallers() {
@@ -138,7 +138,7 @@
 	for _, call := range inKeyOrder(caller.Open) {
 		s.callerCancelled(call)
 	}
-	// A release written shortly before the connection closed may not have been read; it is sent again on
+	// A release written shortly before the connection closed may not have been read; it is repeated on
 	// another connection.
 	for id, ending := range inKeyOrder(caller.Unsure) {
 		if kept, ok := s.undeliveredReleases[id]; ok {
--- a/internal/session/hung_parts_test.go
+++ b/internal/session/hung_parts_test.go
@@ -428,12 +428,12 @@
 	often := seconds(0.1)
 	reports := seconds(3.2)
 	return []officeScenario{
-		{name: "nothing goes on", reportInterval: reports, setUpInterval: often},
+		{name: "nothing continues", reportInterval: reports, setUpInterval: often},
 		{name: "reports", reportInterval: reports, reportsContinue: true, setUpInterval: often},
 		{name: "reports, a set-up each 2 s", reportInterval: reports, reportsContinue: true, setUpInterval: seconds(2)},
 		{name: "reports, a set-up each 3 s", reportInterval: reports, reportsContinue: true, setUpInterval: seconds(3)},
-		{name: "reports and confirmations", reportInterval: reports, reportsContinue: true, acksContinue: true, setUpInterval: often},
-		{name: "no reports, confirmations", acksContinue: true, setUpInterval: often},
+		{name: "reports and acknowledgments", reportInterval: reports, reportsContinue: true, acksContinue: true, setUpInterval: often},
+		{name: "no reports, acknowledgments", acksContinue: true, setUpInterval: often},
 		{name: "one report on each new connection, reported before", reportInterval: reports, reportsOnConnect: true, setUpInterval: often},
 		{name: "one report on each new connection, never reported", reportsOnConnect: true, setUpInterval: often},
 		{name: "set-ups are refused for 1.3 s, reports", reportInterval: reports, reportsContinue: true, refusesFor: seconds(1.3), setUpInterval: often},
@@ -455,7 +455,7 @@
 	}
 	for _, reports := range []int64{0, seconds(3.2)} {
 		for _, scenario := range []officeScenario{
-			{name: "greetings, confirmations, refusals for 1.3 s", reportsOnConnect: true, acksContinue: true, refusesFor: seconds(1.3)},
+			{name: "reports on new connections, acknowledgments, refusals for 1.3 s", reportsOnConnect: true, acksContinue: true, refusesFor: seconds(1.3)},
 			{name: "answers for 1.3 s", answersFor: seconds(1.3)},
 			{name: "answers for 3 s", answersFor: seconds(3)},
 			{name: "answers for ever", answersFor: forever},
@@ -543,7 +543,7 @@
 		}
 	}
 	for _, back := range []float64{1, 2, 4} {
-		scenario := officeScenario{name: "hangs and is back", recoversAfter: seconds(back), rate: 15, holdMean: 9, reportInterval: seconds(3.2), reportsContinue: true}
+		scenario := officeScenario{name: "hangs and recovers", recoversAfter: seconds(back), rate: 15, holdMean: 9, reportInterval: seconds(3.2), reportsContinue: true}
 		t.Run(fmt.Sprintf("hangs for %v s and is back", back), func(t *testing.T) {
 			sim := newOfficeSim(t, scenario, 1)
 			sim.run()
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// callsInProgress counts the calls that are established, out or being released at an office.
+// callsInProgress counts the calls that are established, outstanding or being released at an office.
 func (s *Session) callsInProgress(id decide.ServerID) int {
 	office := s.offices.Get(id)
 	if office == nil {
--- a/internal/session/journal_resubscribe_test.go
+++ b/internal/session/journal_resubscribe_test.go
@@ -17,9 +17,9 @@
 	}{
 		{"it breaks off", "+0 j close", 2000},
 		{"it breaks off, and connects are refused for a second", "+0 j refuse|+0 j close|+1000 j accept", 2000},
-		{"it breaks off, and connects do not come up for a second", "+0 j silent|+0 j close|+1000 j accept", 2000},
+		{"it breaks off, and connects are not answered for a second", "+0 j silent|+0 j close|+1000 j accept", 2000},
 		{"it stops", "", 4000},
-		{"it stops, and connects do not come up for three seconds", "+0 j silent|+3000 j accept", 4000},
+		{"it stops, and connects are not answered for three seconds", "+0 j silent|+3000 j accept", 4000},
 		{"it is cut off for six seconds", "+0 j silent|+6000 j accept", 7000},
 		{"it is down for six seconds and a half", "+0 j refuse|+0 j close|+6500 j accept", 7000},
 		{"it moves", "+0 hup|+0 j close", 4000},
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -133,8 +133,8 @@
 	return liveness.End
 }
 
-// setUpSentAt returns when the set-up of a call was sent to an office at which it is out, or was until it was
-// cancelled; 0: neither.
+// setUpSentAt returns when the set-up of a call was sent to an office at which it is outstanding, or was until it
+// was cancelled; 0: neither.
 func (s *Session) setUpSentAt(officeConn *state.OfficeConn, call uint64) int64 {
 	if attempt := s.outstandingAttempt(officeConn, call); attempt != nil {
 		return attempt.Since
@@ -313,7 +313,8 @@
 	}
 }
 
-// overdueSetUps returns the set-ups that have been out at an office long enough to have been answered.
+// overdueSetUps returns the set-ups that have been outstanding at an office long enough to have been
+// answered.
 func (s *Session) overdueSetUps(office *state.Office) (waiting liveness.Unanswered) {
 	for _, attempt := range office.Out {
 		waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
@@ -339,7 +340,8 @@
 	}
 }
 
-// unansweredSetUps counts the set-ups that have been out on a connection long enough to have been answered.
+// unansweredSetUps counts the set-ups that have been outstanding on a connection long enough to have been
+// answered.
 func (s *Session) unansweredSetUps(officeConn *state.OfficeConn) int {
 	n := 0
 	for _, attempt := range officeConn.Out {
--- a/internal/session/pooled_conns_sim_test.go
+++ b/internal/session/pooled_conns_sim_test.go
@@ -47,7 +47,7 @@
 type simCall struct {
 	caller           *simCaller
 	pick             pooling.Lane
-	sentOn           *fakeConn // where a set-up is out, as the process sees it
+	sentOn           *fakeConn // where a set-up is outstanding, as the process sees it
 	guardUntil       int64
 	offices          [2]officeSide
 	knowsEstablished bool // its caller knows that it is established
@@ -102,7 +102,7 @@
 func (w *connSim) handleSetUp(conn *fakeConn, id uint64, call *simCall) {
 	call.pick = w.connSelector.picks[id]
 	if call.sentOn != nil || w.now < call.guardUntil {
-		w.fault("set-up %x on %s while one is out, or within the guard", id, conn.name)
+		w.fault("set-up %x on %s while one is outstanding, or within the guard", id, conn.name)
 	}
 	call.sentOn = conn
 	_, number, _ := strings.Cut(conn.name, ".")
--- a/internal/session/replaced_office_test.go
+++ b/internal/session/replaced_office_test.go
@@ -83,15 +83,15 @@
 // not at all.
 func TestReplacedOfficeLeavesNoCallerWaiting(t *testing.T) {
 	cases := []officeReplacement{
-		{name: "reports seldom, hangs briefly", hangTime: 400, downTime: 150, reportInterval: 3200},
+		{name: "reports rarely, hangs briefly", hangTime: 400, downTime: 150, reportInterval: 3200},
 		{name: "reports often, hangs", hangTime: 1200, downTime: 150, reportInterval: 500},
-		{name: "reports on, hangs", hangTime: 1200, downTime: 150, reportInterval: 3200, reportsContinue: true},
-		{name: "reports on, hangs for long", hangTime: 2400, downTime: 150, reportInterval: 3200, reportsContinue: true},
-		{name: "nothing is refused", hangTime: 1200, reportInterval: 3200},
-		{name: "nothing is refused, killed at once", hangTime: 0, reportInterval: 3200},
-		{name: "discovery says nothing of it", hangTime: 1200, downTime: 150, reportInterval: 3200, journalResponds: true},
-		{name: "discovery says nothing of it, killed at once", hangTime: 0, downTime: 2200, reportInterval: 3200, journalResponds: true},
-		{name: "discovery says nothing of it, nothing is refused", hangTime: 1200, reportInterval: 3200, journalResponds: true},
+		{name: "keeps reporting, hangs", hangTime: 1200, downTime: 150, reportInterval: 3200, reportsContinue: true},
+		{name: "keeps reporting, hangs for long", hangTime: 2400, downTime: 150, reportInterval: 3200, reportsContinue: true},
+		{name: "no connect is refused", hangTime: 1200, reportInterval: 3200},
+		{name: "no connect is refused, killed at once", hangTime: 0, reportInterval: 3200},
+		{name: "discovery does not report it", hangTime: 1200, downTime: 150, reportInterval: 3200, journalResponds: true},
+		{name: "discovery does not report it, killed at once", hangTime: 0, downTime: 2200, reportInterval: 3200, journalResponds: true},
+		{name: "discovery does not report it, no connect is refused", hangTime: 1200, reportInterval: 3200, journalResponds: true},
 	}
 	for _, hangs := range []int{0, 1200, 2400, 5000} {
 		for _, gap := range []int{150, 1000, 2200} {
@@ -122,13 +122,13 @@
 	reporting := func(*player) []byte { return parse(t, loadedReport) }
 	spoken := repeatEvery(lastMessageAt, 200, "o1 > [06 00000000000000b1]")
 	for _, scenario := range []officeCase{
-		{name: "reset again and again", greeting: reporting, events: func() []string {
+		{name: "reset repeatedly", greeting: reporting, events: func() []string {
 			return append(slices.Clone(spoken), repeatEvery(700, 900, "o1 close")...)
 		}},
 		{name: "refuses for a moment, discovery is silent, an older call ends", greeting: reporting, events: func() []string {
 			return append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept", "4000 o1 > [0c 00000000000000a3 3a[10]]")
 		}},
-		{name: "refuses for a moment, discovery is heard", greeting: reporting, events: func() []string {
+		{name: "refuses for a moment, discovery responds", greeting: reporting, events: func() []string {
 			return append(append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept"), repeatEvery(300, 500, "j > {0000000000000001 00}")...)
 		}},
 		{name: "silent for some seconds, and calls end on the next connection", events: func() []string {
@@ -158,7 +158,7 @@
 	return fmt.Sprintf(`[2b 0000000000000000 2b["free:%d;size:9"]]`, free)
 }
 
-// Many short calls stayed established for ever at an office that never reports and whose process was replaced
+// Many short calls stayed established forever at an office that never reports and whose process was replaced
 // without a refused connect: none of them ends, though many ended each second before. If the process lives on,
 // they end one after the other.
 func TestOfficeThatEndsNoneOfManyCalls(t *testing.T) {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -186,7 +186,7 @@
 	calls               map[uint64]*state.Call
 	established         map[uint64]*state.Standing
 	undeliveredReleases map[uint64]state.Ending // releases for callers that were not sent to a trusted one
-	earlierReleases     map[uint64]state.Ending // callers' releases of earlier calls, for offices listed later
+	earlierReleases     map[uint64]state.Ending // callers' releases of a previous process's calls, for later offices
 	endedCalls          map[uint64]int64        // ids of ended calls, and when they ended
 	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -246,10 +246,10 @@
 
 	// The following fields are used only where calls are assigned to pooled connections.
 	Serial      uint64                 // number by which pooling refers to the office
-	Pooled      []*OfficeConn          // in the order in which they were requested
-	CallerConns map[uint64]*OfficeConn // owned by callers that are connected or just disconnected, by session
-	FreeConns   []*OfficeConn          // the shared ones that no call holds, the last one released last
-	Overflow    *OfficeConn            // placeholder: attempts wait here if no further connection is allowed
+	Pooled      []*OfficeConn          // all of them, in the order in which they were requested
+	CallerConns map[uint64]*OfficeConn // by session: those owned by callers that are connected or just disconnected
+	FreeConns   []*OfficeConn          // those shared that no call holds; the last one released is last
+	Overflow    *OfficeConn            // not a connection: attempts wait here if no further one is allowed
 }
 
 // Offices is the list of offices.
