--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -24,20 +24,20 @@
 	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, Quiet: s.now, Unsure: map[uint64]state.Ending{}}
 	s.connOwners[arrival.Conn] = caller
 	s.callers = append(s.callers, caller)
-	if s.lanes.laner != nil {
+	if s.pooled.connSelector != nil {
 		s.registerCaller(caller)
 	}
 }
 
-// markActive notes that a connection has asked for a call or ended one, which makes it eligible for pending
-// releases. Connections of the load balancer only carry health tests and must not receive releases: the load
-// balancer would count the test as failed.
+// markActive notes that a connection has asked for a call or ended one, which makes it eligible for
+// undelivered releases. Connections of the load balancer only carry health tests and must not receive releases:
+// the load balancer would count the test as failed.
 func (s *Session) markActive(caller *state.Caller) {
 	caller.Asked = s.now
-	if len(s.unsentReleases) == 0 {
+	if len(s.undeliveredReleases) == 0 {
 		return
 	}
-	for id, ending := range inKeyOrder(s.unsentReleases) {
+	for id, ending := range inKeyOrder(s.undeliveredReleases) {
 		if !ending.Sent {
 			s.releaseToCaller(id, ending.Cause, nil)
 		}
@@ -55,8 +55,8 @@
 	}
 	caller.Good = true
 	caller.Conn.Trust()
-	for id, ending := range inKeyOrder(s.unsentReleases) {
-		delete(s.unsentReleases, id)
+	for id, ending := range inKeyOrder(s.undeliveredReleases) {
+		delete(s.undeliveredReleases, id)
 		if _, alreadySent := caller.Unsure[id]; !alreadySent {
 			s.releaseToCaller(id, ending.Cause, caller)
 		}
@@ -83,7 +83,7 @@
 			continue
 		}
 		// A caller that has not read an answer for so long has most likely vanished.
-		if !caller.Conn.Waiting() || s.now-caller.Quiet > unconfirmedReleaseTTL && !caller.Conn.Unread() {
+		if !caller.Conn.Waiting() || s.now-caller.Quiet > callerReleaseTTL && !caller.Conn.Unread() {
 			idle = caller
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 // checkCallers ends connections that have requested nothing since they were accepted, or whose message stays
-// incomplete. Clients that are silent, send half a message or cancel every call would otherwise hold a
+// incomplete. Clients that are silent, send an incomplete message or cancel every call would otherwise hold a
 // descriptor each. A caller with no open set-up loses nothing, unless the rest of its message has arrived and
 // is still unread.
 func (s *Session) checkCallers() {
@@ -138,19 +138,19 @@
 	for _, call := range inKeyOrder(caller.Open) {
 		s.callerCancelled(call)
 	}
-	// A release written shortly before the connection closed may not have been read; it is sent again on
+	// A release written shortly before the connection closed may not have been read; it is repeated on
 	// another connection.
 	for id, ending := range inKeyOrder(caller.Unsure) {
-		if kept, ok := s.unsentReleases[id]; ok {
+		if kept, ok := s.undeliveredReleases[id]; ok {
 			kept.Sent = false
-			s.unsentReleases[id] = kept
-		} else if s.now-ending.At <= unconfirmedReleaseTTL {
+			s.undeliveredReleases[id] = kept
+		} else if s.now-ending.At <= callerReleaseTTL {
 			s.releaseToCaller(id, ending.Cause, nil)
 		}
 	}
 	caller.Conn = nil
-	if s.lanes.laner != nil {
-		s.lanes.laner.Closed(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session))
+	if s.pooled.connSelector != nil {
+		s.pooled.connSelector.Closed(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session))
 	}
 }
 
@@ -163,13 +163,13 @@
 	case wire.TypeHeard:
 		if _, ours := caller.Unsure[message.Call]; ours {
 			delete(caller.Unsure, message.Call)
-			delete(s.unsentReleases, message.Call)
+			delete(s.undeliveredReleases, message.Call)
 			s.trustCaller(caller)
 		}
 	case wire.TypeTest:
 		s.Counters[state.TestsIn]++
 		var passed byte = 1
-		if s.stoppedAt != 0 || s.drainingSince != 0 {
+		if s.shutdownSince != 0 || s.drainingSince != 0 {
 			passed = 0
 		}
 		if box := s.callerOutbox(caller); box != nil {
@@ -233,7 +233,7 @@
 		// it gets none and its connection ends. A first set-up that is open on the same connection fails with
 		// it.
 		s.Counters[state.BadIn]++
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeRepeatedSetUp(caller, message.Call)
 		}
 		s.disconnectCaller(caller, errIDInUse)
@@ -274,12 +274,12 @@
 		return
 	}
 	call.ID, call.From, call.Deadline = message.Call, caller, admit.Deadline(at, setUp.Wait)
-	if s.stoppedAt != 0 {
+	if s.shutdownSince != 0 {
 		call.Deadline = min(call.Deadline, s.lastAnswerTime())
 	}
 	s.calls[call.ID], caller.Open[call.ID] = call, call
 	s.callBytes += size
-	if s.lanes.laner != nil {
+	if s.pooled.connSelector != nil {
 		s.trackCall(call, class)
 	}
 	s.offeredSetUps = append(s.offeredSetUps, offeredSetUp{call: call, id: call.ID, arrivedAt: at, event: len(s.events)})
@@ -308,7 +308,7 @@
 func (s *Session) handleCallerRelease(caller *state.Caller, message wire.Message) {
 	if call := s.calls[message.Call]; call != nil && !call.Answered {
 		s.Counters[state.GiveUpsIn]++
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeCallerRelease(caller, message.Call)
 		}
 		s.callerCancelled(call)
@@ -321,14 +321,14 @@
 		cause = wire.CauseNormal
 	}
 	if established := s.established[message.Call]; established != nil {
-		if s.lanes.laner != nil {
+		if s.pooled.connSelector != nil {
 			s.observeCallerRelease(caller, message.Call)
 		}
 		s.trustCaller(caller)
 		s.endedCalls[message.Call] = s.now
 		s.callDurations.Outlived(established.Class, s.now-established.Since)
 		s.endEstablished(established)
-		s.releaseAtOffice(established.On, message.Call, cause)
+		s.releaseAtOffice(established.Conn, message.Call, cause)
 	} else if _, known := s.endedCalls[message.Call]; !known {
 		// A call of a previous process: any office may hold it, and the others ignore the release.
 		s.endedCalls[message.Call] = s.now
@@ -337,7 +337,7 @@
 		}
 		for _, office := range s.offices.All() {
 			if office.State != decide.Removed {
-				s.releaseAtOffice(&office.Lane, message.Call, cause)
+				s.releaseAtOffice(&office.OfficeConn, message.Call, cause)
 			}
 		}
 		s.countInvalid(caller, 1)
@@ -374,8 +374,8 @@
 	}
 	delete(s.calls, call.ID)
 	s.endedCalls[call.ID] = s.now
-	if s.lanes.laner != nil {
-		s.lanes.maybeOver = append(s.lanes.maybeOver, call.ID)
+	if s.pooled.connSelector != nil {
+		s.pooled.maybeOver = append(s.pooled.maybeOver, call.ID)
 	}
 }
 
@@ -418,7 +418,7 @@
 			}
 		}
 		if caller == nil || !caller.Good {
-			s.unsentReleases[call] = state.Ending{Cause: cause, At: s.now, Sent: caller != nil}
+			s.undeliveredReleases[call] = state.Ending{Cause: cause, At: s.now, Sent: caller != nil}
 		}
 		if caller == nil {
 			return
--- a/internal/session/leave.go
+++ b/internal/session/drain.go
@@ -7,10 +7,10 @@
 	"pewterwheel/internal/state"
 )
 
-// Callers are disconnected during a drain and after SIGTERM. New connections still arrive for a while; then
+// Callers are disconnected during a drain and a shutdown. New connections still arrive for a while; then
 // each connection is closed as soon as no set-up is open on it. Where one always is, new set-ups are refused
 // until none is. During a drain a connection stays while a call that was set up on it is established, because
-// its release has to be delivered; after SIGTERM another process delivers it. The times below count from the
+// its release has to be delivered; at a shutdown another process delivers it. The times below count from the
 // start of a drain:
 const (
 	// drainCloseAfter is when the first connections are closed. The load balancer checks every 0.1 s and sends
@@ -33,8 +33,8 @@
 // yet.
 func (s *Session) drainElapsed() int64 {
 	switch {
-	case s.stoppedAt != 0:
-		return s.now - s.stoppedAt - acceptAfterStop
+	case s.shutdownSince != 0:
+		return s.now - s.shutdownSince - acceptAfterShutdown
 	case s.drainingSince != 0:
 		return s.now - s.drainingSince - drainCloseAfter
 	}
@@ -54,7 +54,7 @@
 	}
 	for _, caller := range slices.Clone(s.callers) {
 		switch {
-		case len(caller.Open) == 0 && (caller.Stands == 0 || s.stoppedAt != 0) && (caller.Told || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Waiting():
+		case len(caller.Open) == 0 && (caller.Stands == 0 || s.shutdownSince != 0) && (caller.Told || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Waiting():
 			s.closeConn(caller.Conn, errDrained)
 		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter && caller.Asked > s.drainingSince+drainRefuseAfter:
 			s.closeDrained(caller)
