--- a/cmd/adapter/isolation_test.go
+++ b/cmd/adapter/isolation_test.go
@@ -13,14 +13,14 @@
 // customerSettings are some customer's: figures, classes and tenants far from the next one's.
 func customerSettings(n int64) decide.Settings {
 	rng := rand.New(rand.NewPCG(uint64(n), 5))
-	s := decide.Settings{Instances: 1 + rng.IntN(40), OverShare: 0.1, Quantum: 5000, MaxTries: rng.IntN(7), MayCancel: rng.IntN(2) == 0,
-		RetryAdvice: rng.IntN(2) == 0, MaxRetryAfter: rng.Int64N(3_000_000), Home: -1}
-	s.Rules = decide.Rules{AnswerSlack: 20_000, DrainGrace: 1_000_000, StartCapacity: 0.1 + 0.5*rng.Float64(), Cold: 1 + rng.Int64N(20_000_000),
-		FallMultiple: 2 + 3*rng.Float64(), Fall: 500_000 + rng.Int64N(2_000_000), Guard: rng.Int64N(300_000)}
+	s := decide.Settings{Instances: 1 + rng.IntN(40), OverShareWorth: 0.1, Quantum: 5000, MaxTries: rng.IntN(7), MayCancel: rng.IntN(2) == 0,
+		RetryAdvice: rng.IntN(2) == 0, MaxRetryAfter: rng.Int64N(3_000_000), HomePlace: -1}
+	s.Rules = decide.Rules{AnswerSlack: 20_000, DrainGrace: 1_000_000, StartCapacity: 0.1 + 0.5*rng.Float64(), ColdTime: 1 + rng.Int64N(20_000_000),
+		FallMultiple: 2 + 3*rng.Float64(), FallTime: 500_000 + rng.Int64N(2_000_000), GuardTime: rng.Int64N(300_000)}
 	for range 1 + rng.IntN(4) {
 		aim := 100_000 + rng.Int64N(900_000)
 		s.Classes = append(s.Classes, decide.Class{Aim: aim, Deadline: aim * (1 + rng.Int64N(4)), Worth: 1 + 9*rng.Float64(), LateWorth: rng.Float64(),
-			Effect: []decide.Effect{decide.Free, decide.Guarded, decide.SingleShot}[rng.IntN(3)], Window: 5_000_000})
+			Effect: []decide.Effect{decide.Repeatable, decide.Guarded, decide.SingleShot}[rng.IntN(3)], Window: 5_000_000})
 	}
 	for range rng.IntN(3) {
 		s.Tenants = append(s.Tenants, decide.Tenant{Quota: 5 + 50*rng.Float64()})
@@ -58,14 +58,14 @@
 	if !d.started {
 		d.started = true
 		all = append(all, wire.Event{Kind: wire.Init, Settings: d.set, Seed: uint64(d.node)},
-			wire.Event{Kind: wire.Update, Event: decide.Event{Kind: decide.List, Form: decide.Whole}})
+			wire.Event{Kind: wire.Update, Event: decide.Event{Kind: decide.ListUpdate, Form: decide.ListFull}})
 	}
 	all = append(all, d.due[now]...)
 	delete(d.due, now)
 	for range d.rng.IntN(3) {
 		d.calls++
 		class := d.rng.IntN(len(d.set.Classes))
-		e := decide.Event{Kind: decide.Order, Call: decide.CallID(d.calls), Class: class, Deadline: now + d.set.Classes[class].Deadline, Dest: -1, Key: fmt.Sprint("n/", d.node, "-", d.calls%50)}
+		e := decide.Event{Kind: decide.CallArrived, Call: decide.CallID(d.calls), Class: class, Deadline: now + d.set.Classes[class].Deadline, Destination: -1, Key: fmt.Sprint("n/", d.node, "-", d.calls%50)}
 		if n := len(d.set.Tenants); n > 0 {
 			e.Tenant = d.rng.IntN(n)
 		}
@@ -79,20 +79,20 @@
 	for _, a := range acts {
 		d.told = append(d.told, fmt.Sprintf("%d %+v", now, a))
 		switch a.Kind {
-		case decide.Timer:
-			d.at(now+max(a.Wait, 1), decide.Event{Kind: decide.Fired, Token: a.Token})
+		case decide.StartTimer:
+			d.at(now+max(a.Wait, 1), decide.Event{Kind: decide.TimerFired, Token: a.Token})
 		case decide.Send:
-			e := decide.Event{Kind: decide.Ended, Call: a.Call, Server: a.Server, Attempt: d.sends[a.Call], Load: decide.NoLoad(), Took: 1 + d.rng.Int64N(400_000)}
+			e := decide.Event{Kind: decide.AttemptEnded, Call: a.Call, Server: a.Server, Attempt: d.sends[a.Call], Load: decide.NoLoad(), Elapsed: 1 + d.rng.Int64N(400_000)}
 			d.sends[a.Call]++
 			switch d.rng.IntN(8) {
 			case 0:
 				e.Outcome = decide.Rejected
 			case 1:
-				e.Outcome = decide.Unreached
+				e.Outcome = decide.Unreachable
 			default:
-				e.Kind = decide.Begun
+				e.Kind = decide.SetUpCompleted
 			}
-			d.at(now+e.Took, e)
+			d.at(now+e.Elapsed, e)
 		}
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -85,7 +85,7 @@
 				return nil, fmt.Errorf("field settings: %w", err)
 			}
 			h.nodes[p.Node] = node
-			if text := h.step(node, now, decide.Event{Kind: decide.Start}); text != "" {
+			if text := h.step(node, now, decide.Event{Kind: decide.NodeStarted}); text != "" {
 				return []any{wire.Broken(text)}, nil
 			}
 		default:
@@ -94,7 +94,7 @@
 				return nil, errors.New("event before INIT")
 			}
 			e := ev.Event
-			if ev.Kind == wire.Update && e.Form != decide.Failure {
+			if ev.Kind == wire.Update && e.Form != decide.ListFailed {
 				if e.Servers = h.lists[ev.Sheet]; e.Servers == nil {
 					return nil, fmt.Errorf("field sheet: list %d was never given", ev.Sheet)
 				}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -83,7 +83,7 @@
 
 func TestPanicIsTold(t *testing.T) {
 	var h host
-	if text := h.step(nil, 1, decide.Event{Kind: decide.Start}); !strings.Contains(text, "panic") {
+	if text := h.step(nil, 1, decide.Event{Kind: decide.NodeStarted}); !strings.Contains(text, "panic") {
 		t.Errorf("a panic gave %q", text)
 	}
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -16,7 +16,7 @@
 
 // Effects of a class.
 const (
-	Free       Effect = iota // may be repeated and refused without restriction
+	Repeatable Effect = iota // may be repeated and refused without restriction
 	Guarded                  // repeats are dropped within a group of servers, for a time
 	SingleShot               // must not be sent again once it may have run
 )
@@ -53,28 +53,28 @@
 	AnswerSlack   int64   // how long after its deadline a final answer still counts
 	DrainGrace    int64   // no sends later than this after the notice of a drain
 	StartCapacity float64 // least part of its capacity that a server starts with
-	Cold          int64   // a server is warm after this time
+	ColdTime      int64   // a server is warm after this time
 	FallMultiple  float64 // more work than this multiple of its present capacity ...
-	Fall          int64   // ... for this long pushes a cold server over
+	FallTime      int64   // ... for this long pushes a cold server over
 	AskWithin     int64   // longest time without a request for a list that must be requested
-	Guard         int64   // guard time: after a time-out, reset or cancel no resend before this has passed
+	GuardTime     int64   // guard time: after a time-out, reset or cancel no resend before this has passed
 }
 
 // Settings configures a node.
 type Settings struct {
-	Instances     int // number of nodes that share the servers, this one included
-	Classes       []Class
-	Tenants       []Tenant
-	OverShare     float64 // part of the worth that is earned above a tenant's quota
-	Rules         Rules
-	Resend        int64 // time after which the network repeats a waiting set-up; 0: never
-	Quantum       int64 // the caller's shortest time between two steps
-	MaxTries      int   // attempts allowed to a call; 0: no bound
-	MayCancel     bool  // Cancel is allowed
-	RetryAdvice   bool  // callers receive the Wait of Refuse
-	MaxRetryAfter int64 // longest wait that callers observe
-	Subscribe     bool  // the list of servers must be requested
-	Home          int   // own place, to which nothing is sent; -1: none
+	Instances      int // number of nodes that share the servers, this one included
+	Classes        []Class
+	Tenants        []Tenant
+	OverShareWorth float64 // part of the worth that is earned above a tenant's quota
+	Rules          Rules
+	ResendAfter    int64 // time after which the network repeats a waiting set-up; 0: never
+	Quantum        int64 // the caller's shortest time between two steps
+	MaxTries       int   // attempts allowed to a call; 0: no bound
+	MayCancel      bool  // Cancel is allowed
+	RetryAdvice    bool  // callers receive the Wait of Refuse
+	MaxRetryAfter  int64 // longest wait that callers observe
+	Subscribe      bool  // the list of servers must be requested
+	HomePlace      int   // own place, to which nothing is sent; -1: none
 }
 
 // EventKind is the kind of an Event.
@@ -82,31 +82,31 @@
 
 // Kinds of events. The list after each names the fields that it uses.
 const (
-	Start   EventKind = iota + 1 // first event of a node
-	List                         // update of the list of servers: Form, Servers
-	Order                        // a call arrives: Call, Class, Tenant, Key, Deadline, Dest, Again, Retry, Transit
-	Begun                        // a set-up has completed, the call is established: Call, Server, Attempt, Took
-	Ended                        // an attempt has ended: Call, Server, Attempt, Took, Outcome, Final, Full, Load
-	Gone                         // the caller has left: Call
-	Fired                        // a timer has expired: Token
-	Checked                      // report on a server outside a call: Server, Took, Outcome, Load
-	Over                         // an established call has ended: Call; only for deciders that ask for it, not for a Node
-	Trial                        // request a trial set-up to a silent server: Server
+	NodeStarted    EventKind = iota + 1 // first event of a node
+	ListUpdate                          // update of the list of servers: Form, Servers
+	CallArrived                         // a call arrives: Call, Class, Tenant, Key, Deadline, Dest, Again, Retry, Transit
+	SetUpCompleted                      // a set-up has completed, the call is established: Call, Server, Attempt, Took
+	AttemptEnded                        // an attempt has ended: Call, Server, Attempt, Took, Outcome, Final, Full, Load
+	CallerLeft                          // the caller has left: Call
+	TimerFired                          // a timer has expired: Token
+	ServerReport                        // report on a server outside a call: Server, Took, Outcome, Load
+	CallEnded                           // an established call has ended: Call; only for deciders that ask for it, not for a Node
+	TrialRequested                      // request a trial set-up to a silent server: Server
 )
 
 // Outcome is how an attempt ended.
 type Outcome int
 
-// Outcomes. Rejected, Unreached and Unsent prove that the attempt never ran.
+// Outcomes. Rejected, Unreachable and NotSent prove that the attempt never ran.
 const (
-	OK        Outcome = iota + 1 // the call ran to its end
-	Failed                       // number busy, or a signalling failure
-	Rejected                     // rejected by the server, or the server is full
-	TimedOut                     // no answer in time
-	Unreached                    // no connection
-	Cut                          // set-up or established call cut off
-	Cancelled                    // cancelled by the node
-	Unsent                       // not sent
+	OK          Outcome = iota + 1 // the call ran to its end
+	Failed                         // number busy, or a signalling failure
+	Rejected                       // rejected by the server, or the server is full
+	TimedOut                       // no answer in time
+	Unreachable                    // no connection
+	Cut                            // set-up or established call cut off
+	Cancelled                      // cancelled by the node
+	NotSent                        // not sent
 )
 
 // Form is how the entries of a List event are to be applied.
@@ -114,10 +114,10 @@
 
 // Forms of a list.
 const (
-	Delta   Form = iota + 1 // only the changes
-	Whole                   // the whole list
-	Copy                    // the whole list as this node last had it; may be outdated
-	Failure                 // the list could not be read; no entries
+	ListDelta  Form = iota + 1 // only the changes
+	ListFull                   // the whole list
+	ListCached                 // the whole list as this node last had it; may be outdated
+	ListFailed                 // the list could not be read; no entries
 )
 
 // State is a server's state on the list.
@@ -142,12 +142,12 @@
 
 // Load is a server's load report; fields not reported are negative.
 type Load struct {
-	Wait    float64 // wait at its processor, in microseconds
-	CanTake float64 // new set-ups a second that it can take from all nodes
-	Use     float64 // utilization of its processor, as a fraction
-	Queue   float64 // messages queued there
-	Back    float64 // fraction of new set-ups that it asks each sender to hold back
-	Free    float64 // its free lines
+	Wait           float64 // wait at its processor, in microseconds
+	CanTake        float64 // new set-ups a second that it can take from all nodes
+	Utilization    float64 // utilization of its processor, as a fraction
+	QueuedMessages float64 // messages queued there
+	HoldBack       float64 // fraction of new set-ups that it asks each sender to hold back
+	FreeLines      float64 // its free lines
 }
 
 // NoLoad returns the report of a server that reports nothing.
@@ -155,27 +155,27 @@
 
 // Event is one event; the fields in use depend on Kind.
 type Event struct {
-	Kind     EventKind
-	Call     CallID
-	Class    int
-	Tenant   int
-	Key      string
-	Deadline int64 // when the caller of this try gives up
-	Dest     int   // place of first choice
-	Retry    bool  // marked as a repeat by the caller
-	Again    bool  // was cut off and is sent once more
-	Transit  bool  // may only be sent to Dest; otherwise it is refused
-	Server   ServerID
-	Attempt  int
-	Took     int64
-	Outcome  Outcome
-	Final    bool // the caller has its final answer
-	Full     bool // the processor was full
-	Busy     bool // Ended: the called number was busy, and Key holds it
-	Load     Load
-	Token    uint64
-	Form     Form
-	Servers  []Listed
+	Kind          EventKind
+	Call          CallID
+	Class         int
+	Tenant        int
+	Key           string
+	Deadline      int64 // when the caller of this try gives up
+	Destination   int   // place of first choice
+	MarkedRepeat  bool  // marked as a repeat by the caller
+	AgainAfterCut bool  // was cut off and is sent once more
+	Transit       bool  // may only be sent to Dest; otherwise it is refused
+	Server        ServerID
+	Attempt       int
+	Elapsed       int64
+	Outcome       Outcome
+	AnswerGiven   bool // the caller has its final answer
+	ProcessorFull bool // the processor was full
+	NumberBusy    bool // Ended: the called number was busy, and Key holds it
+	Load          Load
+	Token         uint64
+	Form          Form
+	Servers       []Listed
 }
 
 // ActionKind is the kind of an Action.
@@ -183,13 +183,13 @@
 
 // Kinds of actions. The list after each names the fields that it uses.
 const (
-	Send   ActionKind = iota + 1 // start a set-up: Call, Server, Until
-	Refuse                       // final answer, refused: Call, Wait
-	Fail                         // final answer, failed after attempts: Call, Wait
-	Cancel                       // stop waiting for an attempt: Call, Attempt
-	Timer                        // send Fired after Wait: Token
-	Watch                        // request changes of the list from now on
-	Log                          // write a log line: Text
+	Send          ActionKind = iota + 1 // start a set-up: Call, Server, Until
+	Refuse                              // final answer, refused: Call, Wait
+	Fail                                // final answer, failed after attempts: Call, Wait
+	Cancel                              // stop waiting for an attempt: Call, Attempt
+	StartTimer                          // send Fired after Wait: Token
+	SubscribeList                       // request changes of the list from now on
+	Log                                 // write a log line: Text
 )
 
 // Action is one requested action; the fields in use depend on Kind.
@@ -201,5 +201,5 @@
 	Wait    int64
 	Token   uint64
 	Text    string
-	Until   int64 // clock time by which the set-up must have been sent, nothing may be sent after it; 0: no bound
+	SendBy  int64 // clock time by which the set-up must have been sent, nothing may be sent after it; 0: no bound
 }
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -9,13 +9,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	acts := n.Step(0, Event{Kind: Start}, nil)
-	acts = n.Step(0, Event{Kind: List, Form: Copy, Servers: []Listed{upServer("a", 0)}}, acts)
+	acts := n.Step(0, Event{Kind: NodeStarted}, nil)
+	acts = n.Step(0, Event{Kind: ListUpdate, Form: ListCached, Servers: []Listed{upServer("a", 0)}}, acts)
 	if held > 0 {
 		n.serverByID["a"].backoff.until = 1 << 60
 	}
 	for i := range held {
-		acts = n.Step(0, Event{Kind: Order, Call: CallID(1<<40 + i), Deadline: 1 << 60}, acts[:0])
+		acts = n.Step(0, Event{Kind: CallArrived, Call: CallID(1<<40 + i), Deadline: 1 << 60}, acts[:0])
 	}
 	if len(n.held) != held {
 		b.Fatalf("%d calls held, want %d", len(n.held), held)
@@ -26,7 +26,7 @@
 func benchEvent(b *testing.B, held int) {
 	n := benchNode(b, held)
 	var acts []Action
-	e := Event{Kind: Checked, Server: "a", Outcome: OK, Load: NoLoad()}
+	e := Event{Kind: ServerReport, Server: "a", Outcome: OK, Load: NoLoad()}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -24,8 +24,8 @@
 }
 
 func coldRules(start float64, cold, fall int64) Rules {
-	return Rules{AnswerSlack: 20 * ms, DrainGrace: sec, StartCapacity: start, Cold: cold, FallMultiple: 3, Fall: fall,
-		Guard: 200 * ms}
+	return Rules{AnswerSlack: 20 * ms, DrainGrace: sec, StartCapacity: start, ColdTime: cold, FallMultiple: 3, FallTime: fall,
+		GuardTime: 200 * ms}
 }
 
 // coldSimulation runs a coldScenario. Each office processes set-ups one by one; a cold one does so at a rate that grows
@@ -70,10 +70,10 @@
 	t.Helper()
 	c := &coldSimulation{coldScenario: scenario, t: t, set: testSettings(), now: 100 * sec,
 		rng: rand.New(rand.NewPCG(seed, 9)), attempts: map[CallID]*coldAttempt{}}
-	c.set.Instances, c.set.Resend, c.set.MaxTries = scenario.nodes, 500*ms, 6
+	c.set.Instances, c.set.ResendAfter, c.set.MaxTries = scenario.nodes, 500*ms, 6
 	c.set.Classes = []Class{{Aim: 1500 * ms, Deadline: 9 * sec, Worth: 1, LateWorth: 0.25},
 		{Aim: 800 * ms, Deadline: 6 * sec, Worth: 6, LateWorth: 0.1}}
-	if c.set.Rules = scenario.rules; scenario.rules.Fall == 0 {
+	if c.set.Rules = scenario.rules; scenario.rules.FallTime == 0 {
 		c.set.Rules = coldRules(0.28, 13*sec, 1500*ms)
 	}
 	for range scenario.offices {
@@ -105,7 +105,7 @@
 		c.t.Fatal(err)
 	}
 	n.runner = &runner{t: c.t, node: node, now: c.now}
-	n.step(Event{Kind: Start})
+	n.step(Event{Kind: NodeStarted})
 	c.sendList(n)
 }
 
@@ -118,21 +118,21 @@
 		}
 		list = append(list, entry)
 	}
-	return n.step(Event{Kind: List, Form: Copy, Servers: list})
+	return n.step(Event{Kind: ListUpdate, Form: ListCached, Servers: list})
 }
 
 // capacityPart is the part of its capacity that an office has at an age, according to the settings.
 func (c *coldSimulation) capacityPart(age int64) float64 {
 	r := c.set.Rules
-	return r.StartCapacity + (1-r.StartCapacity)*min(1, float64(max(0, age))/float64(r.Cold))
+	return r.StartCapacity + (1-r.StartCapacity)*min(1, float64(max(0, age))/float64(r.ColdTime))
 }
 
 // receive makes an office accept a set-up, or reject it where its queue is long.
 func (c *coldSimulation) receive(office *coldOffice, attempt *coldAttempt) {
 	part, rules := 1.0, c.set.Rules
-	if age := c.now - office.started; office.started != 0 && age < rules.Cold {
+	if age := c.now - office.started; office.started != 0 && age < rules.ColdTime {
 		part = c.capacityPart(age)
-		for office.recent = append(office.recent, attempt); office.recent[0].sent <= c.now-rules.Fall; {
+		for office.recent = append(office.recent, attempt); office.recent[0].sent <= c.now-rules.FallTime; {
 			office.recent = office.recent[1:]
 		}
 		informed := 0.0
@@ -142,7 +142,7 @@
 			}
 		}
 		if received := float64(len(office.recent)); informed > received*2/3 {
-			permitted := rules.FallMultiple * part * c.officeRate * float64(rules.Fall) / 1e6
+			permitted := rules.FallMultiple * part * c.officeRate * float64(rules.FallTime) / 1e6
 			office.worstRatio = max(office.worstRatio, received/(permitted+2*math.Sqrt(permitted)+2))
 		}
 	}
@@ -250,7 +250,7 @@
 			for next := c.rng.ExpFloat64() / n.rate; next < 0.01; next += c.rng.ExpFloat64() / n.rate {
 				c.calls++
 				class := c.rng.IntN(len(c.set.Classes))
-				c.handleActions(n, n.step(Event{Kind: Order, Call: c.calls, Class: class, Dest: c.rng.IntN(len(c.offices)),
+				c.handleActions(n, n.step(Event{Kind: CallArrived, Call: c.calls, Class: class, Destination: c.rng.IntN(len(c.offices)),
 					Key: fmt.Sprint(c.calls), Deadline: c.now + c.set.Classes[class].Deadline}))
 			}
 		}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -210,8 +210,8 @@
 	}
 	settings.Instances = max(settings.Instances, 1)
 	td := float64(targetDelay)
-	if settings.Resend > 0 {
-		td = min(td, resendFraction*float64(settings.Resend))
+	if settings.ResendAfter > 0 {
+		td = min(td, resendFraction*float64(settings.ResendAfter))
 	}
 	return &Node{settings: settings, td: td, tau: int64(countInterval * min(1, td/referenceDelay)),
 		rng: rand.New(rand.NewPCG(seed, 0)), serverByID: map[ServerID]*server{},
@@ -226,23 +226,23 @@
 		n.noteStall()
 	}
 	switch e.Kind {
-	case Start:
+	case NodeStarted:
 		n.start()
-	case List:
+	case ListUpdate:
 		n.updateList(e)
-	case Order:
+	case CallArrived:
 		n.callArrived(e)
-	case Begun:
+	case SetUpCompleted:
 		n.setUpCompleted(e)
-	case Ended:
+	case AttemptEnded:
 		n.attemptEnded(e)
-	case Gone:
+	case CallerLeft:
 		n.callerLeft(e)
-	case Fired:
+	case TimerFired:
 		n.timerFired(e)
-	case Checked:
+	case ServerReport:
 		n.serverReported(e)
-	case Trial:
+	case TrialRequested:
 		n.allowTrialSetUp(n.serverByID[e.Server])
 	}
 	n.sendHeld()
@@ -272,18 +272,18 @@
 
 func (n *Node) scheduleTick() {
 	n.nextTickDue = n.now + tickInterval
-	n.emit(Action{Kind: Timer, Wait: tickInterval, Token: tickToken})
+	n.emit(Action{Kind: StartTimer, Wait: tickInterval, Token: tickToken})
 }
 
 func (n *Node) subscribe() {
 	if n.settings.Subscribe {
 		n.subscribedAt = n.now
-		n.emit(Action{Kind: Watch})
+		n.emit(Action{Kind: SubscribeList})
 	}
 }
 
 func (n *Node) updateList(e Event) {
-	if e.Form == Failure {
+	if e.Form == ListFailed {
 		return // keep the old list; the tick asks again
 	}
 	listed := map[ServerID]bool{}
@@ -292,7 +292,7 @@
 		n.updateServer(l)
 	}
 	for _, s := range n.servers {
-		if e.Form != Delta && !listed[s.id] {
+		if e.Form != ListDelta && !listed[s.id] {
 			s.up, s.unlisted = false, true
 		}
 	}
@@ -350,7 +350,7 @@
 	}
 	n.lastToken++
 	class := &n.settings.Classes[e.Class]
-	c := &call{id: e.Call, token: n.lastToken, class: class, destination: e.Dest, transit: e.Transit,
+	c := &call{id: e.Call, token: n.lastToken, class: class, destination: e.Destination, transit: e.Transit,
 		heldSince: n.now, redial: redialKey{e.Class, e.Key}, deadline: e.Deadline}
 	c.destinationOnlyUntil = n.now + int64(destinationWaitFraction*float64(class.Aim))
 	c.firstTried = n.firstTryTime(c, e)
@@ -364,7 +364,7 @@
 		n.finish(c)
 		return
 	}
-	n.emit(Action{Kind: Timer, Wait: max(1, c.deadline-n.now-n.settings.Quantum), Token: c.token})
+	n.emit(Action{Kind: StartTimer, Wait: max(1, c.deadline-n.now-n.settings.Quantum), Token: c.token})
 	n.held = append(n.held, c)
 }
 
@@ -375,9 +375,9 @@
 func (n *Node) firstTryTime(c *call, e Event) int64 {
 	first, known := n.redials[c.redial]
 	switch {
-	case known && e.Key != "" && !e.Again && n.now-first < c.class.Deadline:
+	case known && e.Key != "" && !e.AgainAfterCut && n.now-first < c.class.Deadline:
 		return first
-	case e.Retry && !e.Again:
+	case e.MarkedRepeat && !e.AgainAfterCut:
 		return n.now - c.class.Aim
 	}
 	return n.now
@@ -392,15 +392,15 @@
 	s.completed++
 	n.completions++
 	if s.silent && n.resumedAt != n.now {
-		s.lossy, s.delay = float64(e.Took) <= n.td, 0 // a cancelled set-up tells nothing of its delay
+		s.lossy, s.delay = float64(e.Elapsed) <= n.td, 0 // a cancelled set-up tells nothing of its delay
 	}
 	n.noteAnswer(s)
 	n.cancelOvertaken(s, c)
 	s.backoff = backoff{}
 	s.widenLineWindow(float64(n.maxOpen(s)))
-	excess := float64(e.Took) - n.td
+	excess := float64(e.Elapsed) - n.td
 	if n.resumedAt != n.now {
-		n.updateDelay(s, float64(e.Took))
+		n.updateDelay(s, float64(e.Elapsed))
 	} else {
 		excess = 0 // part of the wait was this node's own delay
 	}
@@ -421,22 +421,22 @@
 		return // an established call, or one that ended long ago
 	}
 	s := c.server
-	if e.Full || e.Outcome == TimedOut && n.resumedAt != n.now && !s.losesSetUps() || e.Load.Wait > n.td {
+	if e.ProcessorFull || e.Outcome == TimedOut && n.resumedAt != n.now && !s.losesSetUps() || e.Load.Wait > n.td {
 		n.noteOverload(s)
 	}
-	if e.Outcome != TimedOut && e.Outcome != Cancelled && e.Outcome != Unsent {
+	if e.Outcome != TimedOut && e.Outcome != Cancelled && e.Outcome != NotSent {
 		n.noteAnswer(s)
 	}
 	s.updateLoad(e.Load)
 	n.removeOpen(c)
 	switch {
-	case e.Outcome == Rejected && !e.Full:
+	case e.Outcome == Rejected && !e.ProcessorFull:
 		n.shrinkLineWindow(s, c)
-	case e.Outcome == Rejected, e.Outcome == Unreached, e.Outcome == Unsent:
+	case e.Outcome == Rejected, e.Outcome == Unreachable, e.Outcome == NotSent:
 		n.backOffAfterFailure(s)
 	}
 	n.noteOutcome(c, s, e.Outcome)
-	if e.Final || c.finished {
+	if e.AnswerGiven || c.finished {
 		n.forget(c)
 		return
 	}
@@ -447,10 +447,10 @@
 // time before the next one.
 func (n *Node) noteOutcome(c *call, s *server, outcome Outcome) {
 	switch outcome {
-	case Rejected, Unreached, Unsent:
+	case Rejected, Unreachable, NotSent:
 		return
 	case TimedOut, Cut, Cancelled:
-		c.noSendBefore = n.now + n.settings.Rules.Guard
+		c.noSendBefore = n.now + n.settings.Rules.GuardTime
 	}
 	if c.mayHaveRunAt == nil { // Free: no bound; SingleShot: no send from now on
 		c.mayHaveRunAt, c.resendUntil =
@@ -724,7 +724,7 @@
 // ---- choice of the server ----
 
 func (n *Node) allowed(c *call, s *server) bool {
-	if s.place == n.settings.Home || c.transit && s.place != c.destination {
+	if s.place == n.settings.HomePlace || c.transit && s.place != c.destination {
 		return false
 	}
 	if c.class.Pools != nil && !slices.Contains(c.class.Pools, s.place) {
@@ -817,7 +817,7 @@
 	quota.remaining = min(quota.remaining+rate*float64(n.now-quota.updated)/1e6, max(1, rate))
 	quota.updated = n.now
 	if quota.remaining < 1 {
-		return n.settings.OverShare
+		return n.settings.OverShareWorth
 	}
 	quota.remaining--
 	return 1
@@ -890,15 +890,15 @@
 	s.open = append(s.open, c)
 	s.coldBudget--
 	n.spaceSends(s, 0)
-	n.emit(Action{Kind: Send, Call: c.id, Server: s.id, Until: c.resendUntil})
+	n.emit(Action{Kind: Send, Call: c.id, Server: s.id, SendBy: c.resendUntil})
 }
 
 func (s *server) updateLoad(load Load) {
 	if load.CanTake >= 0 {
 		s.canTake = load.CanTake
 	}
-	if load.Free >= 0 {
-		s.freeLines = load.Free
+	if load.FreeLines >= 0 {
+		s.freeLines = load.FreeLines
 	}
 }
 
@@ -1022,11 +1022,11 @@
 // capacity is taken from the rate that servers are certain to take from this node.
 func (n *Node) hasColdBudget(s *server) bool {
 	age := n.now - s.started
-	if s.started == 0 || age >= n.settings.Rules.Cold {
+	if s.started == 0 || age >= n.settings.Rules.ColdTime {
 		return true
 	}
 	fraction := n.settings.Rules.StartCapacity
-	fraction += (1 - fraction) * max(0, float64(age)) / float64(n.settings.Rules.Cold)
+	fraction += (1 - fraction) * max(0, float64(age)) / float64(n.settings.Rules.ColdTime)
 	refill := float64(n.now-s.coldBudgetAt) * coldBudgetFraction * n.settings.Rules.FallMultiple * fraction *
 		n.provenUnitRate * s.capacityShare
 	s.coldBudget, s.coldBudgetAt = max(s.coldBudget, min(s.coldBudget+refill, 1)), n.now
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -21,10 +21,10 @@
 			{Aim: 2 * sec, Deadline: 10 * sec, Worth: 1, LateWorth: 0.2},
 			{Aim: 2 * sec, Deadline: 10 * sec, Worth: 3, LateWorth: 0.2},
 		},
-		Rules: Rules{AnswerSlack: 20 * ms, DrainGrace: 500 * ms, StartCapacity: 0.3, Cold: 10 * sec,
-			FallMultiple: 2, Fall: sec, Guard: 400 * ms},
-		Resend: 600 * ms, Quantum: 5 * ms, MaxTries: 4, MayCancel: true, RetryAdvice: true,
-		MaxRetryAfter: 2 * sec, Home: -1,
+		Rules: Rules{AnswerSlack: 20 * ms, DrainGrace: 500 * ms, StartCapacity: 0.3, ColdTime: 10 * sec,
+			FallMultiple: 2, FallTime: sec, GuardTime: 400 * ms},
+		ResendAfter: 600 * ms, Quantum: 5 * ms, MaxTries: 4, MayCancel: true, RetryAdvice: true,
+		MaxRetryAfter: 2 * sec, HomePlace: -1,
 	}
 }
 
@@ -50,8 +50,8 @@
 		t.Fatal(err)
 	}
 	r := &runner{t: t, node: n, now: 100 * sec}
-	r.step(Event{Kind: Start})
-	r.step(Event{Kind: List, Form: Copy, Servers: servers})
+	r.step(Event{Kind: NodeStarted})
+	r.step(Event{Kind: ListUpdate, Form: ListCached, Servers: servers})
 	return r
 }
 
@@ -59,7 +59,7 @@
 	var actions []Action
 	for _, a := range r.node.Step(r.now, e, nil) {
 		switch a.Kind {
-		case Timer:
+		case StartTimer:
 			r.timers = append(r.timers, pendingTimer{r.now + a.Wait, a.Token})
 		case Log:
 			r.logs = append(r.logs, a.Text)
@@ -88,22 +88,22 @@
 		p := r.timers[next]
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.now = max(r.now, p.dueAt)
-		actions = append(actions, r.step(Event{Kind: Fired, Token: p.token})...)
+		actions = append(actions, r.step(Event{Kind: TimerFired, Token: p.token})...)
 	}
 }
 
 func (r *runner) arrive(id CallID, class, dest int) []Action {
-	return r.step(Event{Kind: Order, Call: id, Class: class, Dest: dest, Key: fmt.Sprint("n", id),
+	return r.step(Event{Kind: CallArrived, Call: id, Class: class, Destination: dest, Key: fmt.Sprint("n", id),
 		Deadline: r.now + 4*sec})
 }
 
 func (r *runner) complete(a Action, took int64) []Action {
-	return r.step(Event{Kind: Begun, Call: a.Call, Server: a.Server, Attempt: a.Attempt, Took: took})
+	return r.step(Event{Kind: SetUpCompleted, Call: a.Call, Server: a.Server, Attempt: a.Attempt, Elapsed: took})
 }
 
 func (r *runner) end(a Action, o Outcome, full bool) []Action {
-	return r.step(Event{Kind: Ended, Call: a.Call, Server: a.Server, Attempt: a.Attempt, Outcome: o,
-		Full: full, Load: NoLoad()})
+	return r.step(Event{Kind: AttemptEnded, Call: a.Call, Server: a.Server, Attempt: a.Attempt, Outcome: o,
+		ProcessorFull: full, Load: NoLoad()})
 }
 
 func actionsOf(kind ActionKind, acts []Action) []Action {
@@ -171,7 +171,7 @@
 		"own wait": func(r *runner, a Action) { r.complete(a, 700*ms) },
 		"open age": func(r *runner, a Action) { r.advance(600 * ms) },
 		"reported wait": func(r *runner, a Action) {
-			r.step(Event{Kind: Checked, Server: "a", Outcome: OK, Load: Load{Wait: 700_000}})
+			r.step(Event{Kind: ServerReport, Server: "a", Outcome: OK, Load: Load{Wait: 700_000}})
 		},
 	}
 	for name, act := range reasons {
@@ -269,9 +269,9 @@
 
 func TestDrainIsObeyedAtOnce(t *testing.T) {
 	for _, update := range []Event{
-		{Kind: List, Form: Delta, Servers: []Listed{{ID: "a", Place: 0, State: Draining}}},
-		{Kind: List, Form: Delta, Servers: []Listed{{ID: "a", Place: 0, State: Removed}}},
-		{Kind: List, Form: Whole, Servers: []Listed{upServer("b", 1)}},
+		{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: "a", Place: 0, State: Draining}}},
+		{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: "a", Place: 0, State: Removed}}},
+		{Kind: ListUpdate, Form: ListFull, Servers: []Listed{upServer("b", 1)}},
 	} {
 		r := newRunner(t, testSettings(), upServer("a", 0), upServer("b", 1))
 		r.step(update)
@@ -283,12 +283,12 @@
 
 func TestEmptyAndLostList(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
-	r.step(Event{Kind: List, Form: Failure})
+	r.step(Event{Kind: ListUpdate, Form: ListFailed})
 	first := r.requireOne(Send, r.arrive(1, 0, 0))
 	r.complete(first, 20*ms)
-	r.step(Event{Kind: List, Form: Whole})
+	r.step(Event{Kind: ListUpdate, Form: ListFull})
 	r.requireNone(Send, r.arrive(2, 0, 0))
-	if a := actionsOf(Send, r.step(Event{Kind: List, Form: Delta, Servers: []Listed{upServer("a", 0)}})); len(a) != 1 ||
+	if a := actionsOf(Send, r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{upServer("a", 0)}})); len(a) != 1 ||
 		a[0].Call != 2 {
 		t.Fatalf("want the held call sent when the list arrives, got %v", a)
 	}
@@ -338,11 +338,11 @@
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	busy := r.requireOne(Send, r.arrive(1, 0, 0))
 	r.arrive(3, 0, 0)
-	r.step(Event{Kind: Gone, Call: 3})
+	r.step(Event{Kind: CallerLeft, Call: 3})
 	r.advance(2500 * ms)
-	r.step(Event{Kind: Order, Call: 5, Dest: 0, Key: "n5", Deadline: r.now + 4*sec})
+	r.step(Event{Kind: CallArrived, Call: 5, Destination: 0, Key: "n5", Deadline: r.now + 4*sec})
 	r.advance(10 * ms)
-	r.step(Event{Kind: Order, Call: 4, Dest: 0, Key: "n3", Deadline: r.now + 4*sec})
+	r.step(Event{Kind: CallArrived, Call: 4, Destination: 0, Key: "n3", Deadline: r.now + 4*sec})
 	acts := r.complete(busy, 100*ms)
 	for len(actionsOf(Send, acts)) == 0 {
 		acts = r.advance(100 * ms)
@@ -357,7 +357,7 @@
 	set := testSettings()
 	r := newRunner(t, set, upServer("a", 0))
 	r.settle(0) // ten set-ups a second
-	r.step(Event{Kind: List, Form: Delta, Servers: []Listed{{ID: "c", Place: 1, State: Up, Share: 1, Started: r.now}}})
+	r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: "c", Place: 1, State: Up, Share: 1, Started: r.now}}})
 	cold := r.node.serverByID["c"]
 	cold.controlled, cold.exactLimit = false, 100 // only the cold budget limits the sends
 	sent := 0
@@ -440,8 +440,8 @@
 				call.attempts >= set.MaxTries {
 				c.t.Fatalf("at %d: send of call %d breaks a rule: %+v", now, a.Call, call)
 			}
-			if call.windowEnd != a.Until || call.windowEnd != 0 && now >= call.windowEnd {
-				c.t.Fatalf("at %d: call %d is to be sent by %d, but its window ends at %d", now, a.Call, a.Until, call.windowEnd)
+			if call.windowEnd != a.SendBy || call.windowEnd != 0 && now >= call.windowEnd {
+				c.t.Fatalf("at %d: call %d is to be sent by %d, but its window ends at %d", now, a.Call, a.SendBy, call.windowEnd)
 			}
 			if server == nil || server.down != 0 {
 				c.t.Fatalf("at %d: send to %s, which is not up", now, a.Server)
@@ -469,7 +469,7 @@
 		checker.servers[id] = &struct{ down int64 }{}
 	}
 	step := func(e Event) { checker.checkActions(r.now, r.step(e), set) }
-	outcomes := []Outcome{OK, Failed, Rejected, TimedOut, Unreached, Cut, Cancelled, Unsent}
+	outcomes := []Outcome{OK, Failed, Rejected, TimedOut, Unreachable, Cut, Cancelled, NotSent}
 	for i := range 1500 {
 		for end := r.now + rng.Int64N(40*ms); r.now < end; {
 			checker.checkActions(r.now, r.advance(1*ms), set)
@@ -480,7 +480,7 @@
 			class := rng.IntN(2)
 			checker.calls[id] = &checkedCall{deadline: r.now + 50*ms + rng.Int64N(4*sec), guarded: class == 1}
 			checker.callIDs = append(checker.callIDs, id)
-			step(Event{Kind: Order, Call: id, Class: class, Dest: rng.IntN(4), Key: fmt.Sprint(rng.IntN(50)),
+			step(Event{Kind: CallArrived, Call: id, Class: class, Destination: rng.IntN(4), Key: fmt.Sprint(rng.IntN(50)),
 				Deadline: checker.calls[id].deadline})
 		case 2, 3:
 			if len(checker.callIDs) == 0 {
@@ -494,23 +494,23 @@
 			c.attemptOut = false
 			if rng.IntN(2) == 0 {
 				c.finished = true
-				step(Event{Kind: Begun, Call: id, Server: c.server, Attempt: c.attempts - 1, Took: rng.Int64N(sec)})
+				step(Event{Kind: SetUpCompleted, Call: id, Server: c.server, Attempt: c.attempts - 1, Elapsed: rng.Int64N(sec)})
 				continue
 			}
 			outcome := outcomes[1+rng.IntN(7)]
 			if outcome == TimedOut || outcome == Cut || outcome == Cancelled {
-				c.guardUntil = r.now + set.Rules.Guard
+				c.guardUntil = r.now + set.Rules.GuardTime
 			}
-			if c.guarded && c.windowEnd == 0 && outcome != Rejected && outcome != Unreached && outcome != Unsent {
+			if c.guarded && c.windowEnd == 0 && outcome != Rejected && outcome != Unreachable && outcome != NotSent {
 				c.windowEnd = c.sentAt + set.Classes[1].Window
 			}
-			step(Event{Kind: Ended, Call: id, Server: c.server, Attempt: c.attempts - 1, Outcome: outcome, Final: c.finished,
-				Full: rng.IntN(3) == 0, Load: NoLoad()})
+			step(Event{Kind: AttemptEnded, Call: id, Server: c.server, Attempt: c.attempts - 1, Outcome: outcome, AnswerGiven: c.finished,
+				ProcessorFull: rng.IntN(3) == 0, Load: NoLoad()})
 		case 4:
 			index := rng.IntN(3)
 			state := State(rng.IntN(3))
 			checker.servers[ids[index]].down = int64(state)
-			step(Event{Kind: List, Form: Delta, Servers: []Listed{{ID: ids[index], Place: index, State: state, Share: 1,
+			step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: ids[index], Place: index, State: state, Share: 1,
 				Started: r.now * int64(rng.IntN(2))}}})
 		}
 	}
@@ -729,8 +729,8 @@
 			set.Classes[0].Effect, set.Classes[0].Window = Guarded, c.window
 			r := newRunner(t, set, upServer("a", 0), upServer("b", 1))
 			a := r.requireOne(Send, r.arrive(1, 0, 0))
-			if a.Until != 0 {
-				t.Errorf("a first attempt has the send bound %d, want none", a.Until)
+			if a.SendBy != 0 {
+				t.Errorf("a first attempt has the send bound %d, want none", a.SendBy)
 			}
 			start := r.now
 			r.node.serverByID["a"].nextSend, r.node.serverByID["b"].nextSend = start+60*sec, start+c.roomAfter
@@ -741,7 +741,7 @@
 				r.requireOne(Fail, acts)
 			}
 			acts = append(acts, r.advance(3*sec)...)
-			if got := actionsOf(Send, acts); c.sent != (len(got) == 1) || c.sent && got[0].Until != start+c.window {
+			if got := actionsOf(Send, acts); c.sent != (len(got) == 1) || c.sent && got[0].SendBy != start+c.window {
 				t.Errorf("sends after the first attempt: %v", got)
 			}
 		})
@@ -760,7 +760,7 @@
 	r.node.serverByID["a"].nextSend = start + 502*ms
 	r.requireNone(Fail, r.advance(start+500*ms-r.now))
 	r.now = start + 503*ms
-	acts := r.step(Event{Kind: Checked, Server: "a", Load: NoLoad()})
+	acts := r.step(Event{Kind: ServerReport, Server: "a", Load: NoLoad()})
 	r.requireNone(Send, acts)
 	r.requireOne(Fail, acts)
 }
@@ -769,8 +769,8 @@
 	set := testSettings()
 	set.Subscribe, set.Rules.AskWithin = true, 4*sec
 	r := newRunner(t, set)
-	r.requireOne(Watch, r.actions)
-	if again := actionsOf(Watch, r.advance(10*sec)); len(again) < 4 {
+	r.requireOne(SubscribeList, r.actions)
+	if again := actionsOf(SubscribeList, r.advance(10*sec)); len(again) < 4 {
 		t.Errorf("%d requests in 10 s, want one within each 4 s", len(again))
 	}
 }
@@ -778,10 +778,10 @@
 // A tenant above its quota yields to one within it.
 func TestTenantAboveItsQuota(t *testing.T) {
 	set := testSettings()
-	set.Tenants, set.OverShare = []Tenant{{Quota: 3}, {Quota: 300}}, 0.1
+	set.Tenants, set.OverShareWorth = []Tenant{{Quota: 3}, {Quota: 300}}, 0.1
 	r := newRunner(t, set, upServer("a", 0))
 	send := func(id CallID, tenant int) []Action {
-		return r.step(Event{Kind: Order, Call: id, Tenant: tenant, Deadline: r.now + 4*sec})
+		return r.step(Event{Kind: CallArrived, Call: id, Tenant: tenant, Deadline: r.now + 4*sec})
 	}
 	first := r.requireOne(Send, send(1, 0)) // this node's part of the quota: one a second
 	send(3, 1)
@@ -798,7 +798,7 @@
 	for id, take := range map[ServerID]float64{"a": 1, "b": 39} {
 		load := NoLoad()
 		load.CanTake = take
-		r.step(Event{Kind: Checked, Server: id, Outcome: OK, Load: load})
+		r.step(Event{Kind: ServerReport, Server: id, Outcome: OK, Load: load})
 	}
 	choices := map[ServerID]int{}
 	for range 400 {
@@ -856,7 +856,7 @@
 	r.settle(0)
 	again := upServer("a", 0)
 	again.Started = r.now
-	r.step(Event{Kind: List, Form: Delta, Servers: []Listed{again}})
+	r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{again}})
 	if s := r.node.serverByID["a"]; !s.controlled || s.limit != 1 || s.delay != 0 {
 		t.Errorf("after a restart: control %v, limit %d, delay %v", s.controlled, s.limit, s.delay)
 	}
@@ -871,7 +871,7 @@
 	s := r.node.serverByID["a"]
 	s.controlled, s.limit, s.exactLimit = true, 1, 1
 	a := r.requireOne(Send, r.arrive(1, 0, 0))
-	r.step(Event{Kind: Order, Call: 2, Key: "late", Deadline: r.now + 9*sec})
+	r.step(Event{Kind: CallArrived, Call: 2, Key: "late", Deadline: r.now + 9*sec})
 	r.node.calls[2].aimBy = r.now // its caller has waited for long
 	acts := append(r.complete(a, 20*ms), r.advance(r.node.lateWait/2)...)
 	r.requireNone(Send, acts)
@@ -947,8 +947,8 @@
 			t.Fatal(err)
 		}
 		r := &runner{t: t, node: n, now: 100 * sec}
-		r.step(Event{Kind: Start})
-		r.step(Event{Kind: List, Form: Copy, Servers: []Listed{upServer("a", 0)}})
+		r.step(Event{Kind: NodeStarted})
+		r.step(Event{Kind: ListUpdate, Form: ListCached, Servers: []Listed{upServer("a", 0)}})
 		runners = append(runners, r)
 	}
 	type job struct {
@@ -1075,10 +1075,10 @@
 		t.Errorf("weights by size: %g and %g", r.node.weight(a), r.node.weight(b))
 	}
 	free := NoLoad()
-	free.Free = 400
-	r.step(Event{Kind: Checked, Server: "a", Outcome: OK, Load: free})
-	free.Free = 0
-	r.step(Event{Kind: Checked, Server: "b", Outcome: OK, Load: free})
+	free.FreeLines = 400
+	r.step(Event{Kind: ServerReport, Server: "a", Outcome: OK, Load: free})
+	free.FreeLines = 0
+	r.step(Event{Kind: ServerReport, Server: "b", Outcome: OK, Load: free})
 	if r.node.weight(a) < 100*r.node.weight(b) {
 		t.Errorf("weights by free lines: %g and %g", r.node.weight(a), r.node.weight(b))
 	}
@@ -1173,7 +1173,7 @@
 	for resend, want := range map[int64]int64{0: countInterval, 600 * ms: countInterval, 500 * ms: countInterval,
 		125 * ms: countInterval / 4} {
 		set := testSettings()
-		set.Resend = resend
+		set.ResendAfter = resend
 		r := newRunner(t, set, upServer("a", 0))
 		if r.node.tau != want || r.node.scaleToInterval(maxBackoff) != maxBackoff*want/countInterval {
 			t.Errorf("resend after %d µs: τ %d, want %d", resend, r.node.tau, want)
@@ -1185,7 +1185,7 @@
 func TestServerCountsFromItsListing(t *testing.T) {
 	r := newRunner(t, testSettings(), upServer("a", 0))
 	r.settle(0)
-	r.step(Event{Kind: List, Form: Delta, Servers: []Listed{upServer("b", 1)}})
+	r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{upServer("b", 1)}})
 	a, b := r.node.serverByID["a"], r.node.serverByID["b"]
 	r.advance(sec)
 	b.completed = 5 // in the second since it was listed
@@ -1202,14 +1202,14 @@
 	a := r.requireOne(Send, r.arrive(1, 0, 0))
 	for i := range 500 {
 		id := ServerID(fmt.Sprint("s", i))
-		r.step(Event{Kind: List, Form: Delta, Servers: []Listed{upServer(id, 1), {ID: "a", State: Removed}}})
-		r.step(Event{Kind: List, Form: Delta, Servers: []Listed{{ID: id, Place: 1, State: Removed}}})
+		r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{upServer(id, 1), {ID: "a", State: Removed}}})
+		r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: id, Place: 1, State: Removed}}})
 	}
 	if len(r.node.servers) != 1 || len(r.node.serverByID) != 1 {
 		t.Errorf("%d servers known, want the one with a set-up open", len(r.node.servers))
 	}
 	r.end(a, Cut, false)
-	r.step(Event{Kind: List, Form: Whole, Servers: []Listed{upServer("z", 0)}})
+	r.step(Event{Kind: ListUpdate, Form: ListFull, Servers: []Listed{upServer("z", 0)}})
 	if len(r.node.servers) != 1 || r.node.serverByID["z"] == nil {
 		t.Errorf("%d servers known, want the new one", len(r.node.servers))
 	}
--- a/decide/trial_test.go
+++ b/decide/trial_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("%d set-ups during the backoff, before a trial set-up is requested", n)
 	}
 	n := 0
-	for _, a := range actionsOf(Send, r.step(Event{Kind: Trial, Server: "a"})) { // a call that was held
+	for _, a := range actionsOf(Send, r.step(Event{Kind: TrialRequested, Server: "a"})) { // a call that was held
 		if a.Server == "a" {
 			n++
 		}
@@ -40,8 +40,8 @@
 	if !r.node.Avoids("a") {
 		t.Error("Avoids is false for the silent server")
 	}
-	r.step(Event{Kind: Trial, Server: "gone"})
-	if acts := r.step(Event{Kind: Trial, Server: "b"}); len(acts) != 0 {
+	r.step(Event{Kind: TrialRequested, Server: "gone"})
+	if acts := r.step(Event{Kind: TrialRequested, Server: "b"}); len(acts) != 0 {
 		t.Errorf("actions %v for a trial set-up to a healthy server, want none", acts)
 	}
 }
--- a/internal/admit/round_limiter.go
+++ b/internal/admit/round_limiter.go
@@ -22,32 +22,32 @@
 	costRiseGain, costFallGain, maxCostRatio = 0.2, 0.05, 3.0
 )
 
-// Offer is a set-up that arrived in a round. Times are microseconds.
-type Offer struct {
-	At               int64 // when it was read
+// Candidate is a set-up that arrived in a round. Times are microseconds.
+type Candidate struct {
+	ReadAt           int64 // when it was read
 	Deadline         int64 // its answer must be written by then
 	Aim              int64 // it has its full worth for this long from At
 	Worth, LateWorth float64
 }
 
-// Door decides which set-ups of a round are passed to the decision module, so that a round stays short however many
+// RoundLimiter decides which set-ups of a round are passed to the decision module, so that a round stays short however many
 // arrive. It is not safe for concurrent use.
-type Door struct {
+type RoundLimiter struct {
 	cost   float64 // of a set-up, in microseconds; 0: not known yet
 	ranked []int
 }
 
 // Cost is the estimated cost of a set-up to the loop, including all work that follows from it, in microseconds.
-func (d *Door) Cost() float64 {
+func (d *RoundLimiter) Cost() float64 {
 	if d.cost == 0 {
 		return initialCost
 	}
 	return d.cost
 }
 
-// Took records the length of a round in which the given numbers of set-ups were accepted and refused, including the
+// RecordRound records the length of a round in which the given numbers of set-ups were accepted and refused, including the
 // answers and releases of other calls.
-func (d *Door) Took(accepted, refused int, took int64) {
+func (d *RoundLimiter) RecordRound(accepted, refused int, took int64) {
 	if accepted < minMeasuredSetUps || took <= 0 {
 		return
 	}
@@ -60,28 +60,28 @@
 	d.cost = cost + gain*(measured-cost)
 }
 
-// Most is the maximum of set-ups accepted in a round of the given number: what the time allows after the others are
+// MaxSetUps is the maximum of set-ups accepted in a round of the given number: what the time allows after the others are
 // refused.
-func (d *Door) Most(offered int) int {
+func (d *RoundLimiter) MaxSetUps(offered int) int {
 	return max(minRoundSetUps, int((maxRoundTime/d.Cost()-refusalCostFraction*float64(offered))/(1-refusalCostFraction)))
 }
 
-// Judge returns the indexes of the offers that are accepted, in the order in which they go to the module; the others
+// Select returns the indexes of the offers that are accepted, in the order in which they go to the module; the others
 // are to be refused at once. The result is valid until the next call. It is called only if there are more offers than
 // Most; otherwise all are accepted in the order of arrival.
-func (d *Door) Judge(now int64, offers []Offer) []int {
+func (d *RoundLimiter) Select(now int64, offers []Candidate) []int {
 	d.ranked = d.ranked[:0]
 	for i, o := range offers {
 		if now < o.Deadline {
 			d.ranked = append(d.ranked, i)
 		}
 	}
-	limit := d.Most(len(offers))
+	limit := d.MaxSetUps(len(offers))
 	if len(d.ranked) <= limit {
 		return d.ranked
 	}
-	worth := func(o Offer) float64 {
-		if now-o.At > o.Aim {
+	worth := func(o Candidate) float64 {
+		if now-o.ReadAt > o.Aim {
 			return o.Worth * o.LateWorth
 		}
 		return o.Worth
@@ -93,7 +93,7 @@
 		case worthA != worthB:
 			return 1
 		}
-		if d := offers[b].At - offers[a].At; d != 0 {
+		if d := offers[b].ReadAt - offers[a].ReadAt; d != 0 {
 			return int(min(1, max(-1, d)))
 		}
 		return b - a
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -120,7 +120,7 @@
 		return
 	}
 	a.runningActs.Go(func() {
-		a.endedActs <- endedAct{act, a.cfg.Do(act)} // there is room for every act that has a slot
+		a.endedActs <- endedAct{act, a.cfg.RunAct(act)} // there is room for every act that has a slot
 	})
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -94,20 +94,20 @@
 	}
 }
 
-// State sets the state of the process and publishes it.
-func (a *Agent) State(s fleet.State) {
+// SetState sets the state of the process and publishes it.
+func (a *Agent) SetState(s fleet.State) {
 	select {
 	case a.states <- s:
 	case <-a.stopped:
 	}
 }
 
-// Name sets the addresses of the members on the network, by member name.
-func (a *Agent) Name(addresses map[string]netip.AddrPort) { a.cfg.Net.Name(addresses) }
+// SetAddresses sets the addresses of the members on the network, by member name.
+func (a *Agent) SetAddresses(addresses map[string]netip.AddrPort) { a.cfg.Net.Name(addresses) }
 
-// Goes publishes the digest of the settings and the number of the roster that the process uses from now on. It returns
+// SetSettingsAndRoster publishes the digest of the settings and the number of the roster that the process uses from now on. It returns
 // false if the queue of Post is full.
-func (a *Agent) Goes(settings, roster uint64) bool {
+func (a *Agent) SetSettingsAndRoster(settings, roster uint64) bool {
 	return a.Post(func(int64, *fleet.Out) {
 		a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) { e.Settings, e.Roster = settings, roster })
 	})
@@ -267,11 +267,11 @@
 
 // startModules creates the modules for the current incarnation, in place of earlier ones, and starts them.
 func (a *Agent) startModules() {
-	if a.cfg.Make == nil {
+	if a.cfg.NewModules == nil {
 		return
 	}
 	a.selfMessages = nil
-	a.modules = a.cfg.Make(a.registry.Own().Incarnation)
+	a.modules = a.cfg.NewModules(a.registry.Own().Incarnation)
 	for _, module := range a.modules {
 		module.Start(a.now, &a.out)
 		a.carryOut()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -198,11 +198,11 @@
 		n, start := newFakeNet(), time.Now()
 		cfg.Self, cfg.Net = "a", n
 		cfg.Clock = func() int64 { return 5_000_000 + time.Since(start).Microseconds() }
-		if cfg.Wall == nil {
-			cfg.Wall = func() int64 { return 1000 }
+		if cfg.WallClock == nil {
+			cfg.WallClock = func() int64 { return 1000 }
 		}
-		if cfg.Make == nil {
-			cfg.Make = func(uint64) []fleet.Module { return []fleet.Module{module} }
+		if cfg.NewModules == nil {
+			cfg.NewModules = func(uint64) []fleet.Module { return []fleet.Module{module} }
 		}
 		a := New(cfg)
 		go a.Run()
@@ -239,7 +239,7 @@
 	cfg := Config{Zone: "porto", Program: "v1", Settings: 5, Roster: 6,
 		Log:    slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})),
 		Window: func() fleet.Window { return fleet.Window{Class: []fleet.ClassFigures{{Name: "c", Offered: 4}}} },
-		Do: func(a fleet.Act) error {
+		RunAct: func(a fleet.Act) error {
 			if a.What == "bad" {
 				return &ActError{a.What, "it is bad"}
 			}
@@ -250,8 +250,8 @@
 			countEvents(a, module, "view of 1") < 1 {
 			t.Errorf("%+v", v)
 		}
-		a.State(fleet.Serving)
-		a.State(fleet.Starting) // states never go back
+		a.SetState(fleet.Serving)
+		a.SetState(fleet.Starting) // states never go back
 		n.events <- fleetnet.Event{Kind: fleetnet.Message, Msg: fleet.Message{Kind: fleet.Stage, From: "b", To: "a",
 			Body: []byte("hello")}}
 		// a message for an unknown module
@@ -282,7 +282,7 @@
 			module.windows[k-1].Class[0].Offered != 4 || module.windows[k-1].Memory == 0 {
 			t.Errorf("windows %+v", module.windows)
 		}
-		a.State(fleet.Draining) // the next view shows the own windows
+		a.SetState(fleet.Draining) // the next view shows the own windows
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if w := a.Views().Read().Member("a").Windows; len(w) < 2 || w[len(w)-1].Class[0].Offered != 4 {
@@ -319,7 +319,7 @@
 			out.Tell(fleet.Lease, make([]byte, fleet.MaxBody+1))
 		}
 	}
-	runAgent(t, Config{QueueSize: 4, Do: func(fleet.Act) error { <-hold; return nil }}, module,
+	runAgent(t, Config{QueueSize: 4, RunAct: func(fleet.Act) error { <-hold; return nil }}, module,
 		func(a *Agent, n *fakeNet) {
 			hold = make(chan struct{}) // created within the synctest bubble
 			for _, what := range []string{"loop", "acts", "large"} {
@@ -367,7 +367,7 @@
 	raw := earlier.Write(func(*fleet.Entry) {})
 	var incarnations []uint64
 	module := &fakeModule{kind: fleet.Lease}
-	runAgent(t, Config{Make: func(incarnation uint64) []fleet.Module {
+	runAgent(t, Config{NewModules: func(incarnation uint64) []fleet.Module {
 		incarnations = append(incarnations, incarnation)
 		return []fleet.Module{module}
 	}}, module, func(a *Agent, n *fakeNet) {
@@ -394,10 +394,10 @@
 		}
 		module := &fakeModule{kind: fleet.Lease}
 		modules[self] = module
-		agents[self] = New(Config{Self: self, Net: open, Length: 100_000,
-			Make: func(uint64) []fleet.Module { return []fleet.Module{module} }})
+		agents[self] = New(Config{Self: self, Net: open, WindowLength: 100_000,
+			NewModules: func(uint64) []fleet.Module { return []fleet.Module{module} }})
 		go agents[self].Run()
-		agents[self].State(fleet.Serving)
+		agents[self].SetState(fleet.Serving)
 		t.Cleanup(agents[self].Stop)
 	}
 	for self, a := range agents {
@@ -478,7 +478,7 @@
 		}
 		expectSpread("two heartbeats", 2*fleet.DefaultHeartbeat*time.Microsecond, 2, true)
 		for i := range 20 {
-			a.Goes(uint64(i+1), 1)
+			a.SetSettingsAndRoster(uint64(i+1), 1)
 		}
 		expectSpread("simultaneous changes: the first, then all others together", time.Second, 2, true)
 		n.events <- fleetnet.Event{Kind: fleetnet.Message, Msg: fleet.Message{Kind: fleet.Lease, From: "b", To: "a",
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -21,23 +21,23 @@
 	Roster              uint64 // number of the installed roster
 	Net                 fleetnet.Net
 	Views               *fleet.ViewHolder // nil: the agent creates its own
-	// Make creates the modules, at most one per kind, for the given incarnation. It is called when the process has had
+	// NewModules creates the modules, at most one per kind, for the given incarnation. It is called when the process has had
 	// time to hear of an earlier incarnation of its own, whose clock may have been ahead, and again, for modules
 	// without state, if it hears of one later.
-	Make  func(incarnation uint64) []fleet.Module
-	First map[fleet.Kind][]byte // initial parts of the own entry, until the modules set theirs
-	Wake  <-chan struct{}       // requests a Tick of all modules before it is due; nil: none
-	// Do carries out an act. It runs on a goroutine of the agent and may block. Its result goes to Module.Done. If Do
+	NewModules   func(incarnation uint64) []fleet.Module
+	InitialParts map[fleet.Kind][]byte // initial parts of the own entry, until the modules set theirs
+	Wake         <-chan struct{}       // requests a Tick of all modules before it is due; nil: none
+	// RunAct carries out an act. It runs on a goroutine of the agent and may block. Its result goes to Module.Done. If RunAct
 	// is nil, every act fails with an *ActError.
-	Do  func(fleet.Act) error
-	Log *slog.Logger
+	RunAct func(fleet.Act) error
+	Log    *slog.Logger
 	// Clock returns the machine's monotonic time in microseconds; nil: Monotonic.
 	Clock func() int64
-	// Wall returns a wall clock time in microseconds, for the incarnation number. It may be wrong; nil: the machine's.
-	Wall func() int64
+	// WallClock returns a wall clock time in microseconds, for the incarnation number. It may be wrong; nil: the machine's.
+	WallClock func() int64
 	// Window returns the figures of the calls since its last call; nil: there are none.
-	Window func() fleet.Window
-	Length int64 // of a window in microseconds; 0: one second
+	Window       func() fleet.Window
+	WindowLength int64 // of a window in microseconds; 0: one second
 
 	QueueSize     int   // maximum number of posted observations that wait; 0: 1024
 	Stale, Absent int64 // see fleet.Registry
@@ -45,12 +45,12 @@
 
 // ActError reports an act that was not carried out.
 type ActError struct {
-	What string
-	Why  string
+	What   string
+	Reason string
 }
 
 func (e *ActError) Error() string {
-	return fmt.Sprintf("agent: act %s was not carried out: %s", e.What, e.Why)
+	return fmt.Sprintf("agent: act %s was not carried out: %s", e.What, e.Reason)
 }
 
 // Advice returns what an operator can do.
@@ -91,11 +91,11 @@
 	if failpoint.Enabled {
 		cfg.Clock = scaledClock(cfg.Clock)
 	}
-	if cfg.Wall == nil {
-		cfg.Wall = func() int64 { return time.Now().UnixMicro() }
+	if cfg.WallClock == nil {
+		cfg.WallClock = func() int64 { return time.Now().UnixMicro() }
 	}
-	if cfg.Length == 0 {
-		cfg.Length = defaultWindowLength
+	if cfg.WindowLength == 0 {
+		cfg.WindowLength = defaultWindowLength
 	}
 	if cfg.QueueSize == 0 {
 		cfg.QueueSize = defaultQueueSize
@@ -106,17 +106,17 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	if cfg.Do == nil {
-		cfg.Do = func(act fleet.Act) error { return &ActError{act.What, "this process cannot carry out acts"} }
+	if cfg.RunAct == nil {
+		cfg.RunAct = func(act fleet.Act) error { return &ActError{act.What, "this process cannot carry out acts"} }
 	}
 	a := &Agent{cfg: cfg, views: cfg.Views, log: cfg.Log, posted: make(chan func(int64, *fleet.Out), cfg.QueueSize),
 		endedActs: make(chan endedAct, maxActs), states: make(chan fleet.State, 8), stop: make(chan struct{}),
 		stopped: make(chan struct{}), actSlots: make(chan struct{}, maxActs), metrics: newMetrics()}
-	incarnation := uint64(max(1, cfg.Wall()))
+	incarnation := uint64(max(1, cfg.WallClock()))
 	a.registry = fleet.NewRegistry(fleet.Entry{Name: cfg.Self, Incarnation: incarnation, Zone: cfg.Zone,
 		Program:  cfg.Program,
 		Settings: cfg.Settings, Roster: cfg.Roster, Protocol: fleet.ProtocolHeads, State: fleet.Starting,
-		Parts: cfg.First})
+		Parts: cfg.InitialParts})
 	a.registry.Heads = true
 	a.entryRepair = dissemination.NewRepair(dissemination.RepairConfig{Self: cfg.Self, Seed: incarnation}, a.registry)
 	a.registry.Stale, a.registry.Absent = cfg.Stale, cfg.Absent
--- a/internal/agent/failpoint_modules.go
+++ b/internal/agent/failpoint_modules.go
@@ -19,14 +19,14 @@
 // its grant in Until, and the remaining time in N. It exists only in test builds. With the failpoint "claim-unasked" it
 // is faulty: it acts on an earlier grant without checking that it still holds the resource.
 type Claimer struct {
-	Lessor    lease.Lessor
+	Lessor    lease.Client
 	resource  string
 	nextAct   int64
 	lastGrant lease.Grant
 }
 
 // NewClaimer returns a claimer, or none if the failpoint is off.
-func NewClaimer(l lease.Lessor) []fleet.Module {
+func NewClaimer(l lease.Client) []fleet.Module {
 	if l == nil || failpoint.Value("claim") == "" {
 		return nil
 	}
--- a/internal/agent/window.go
+++ b/internal/agent/window.go
@@ -51,9 +51,9 @@
 // windowLength returns the length of a window; it is longer in a large fleet while windows spread to all members.
 func (a *Agent) windowLength() int64 {
 	if a.registry.Heads {
-		return a.cfg.Length
+		return a.cfg.WindowLength
 	}
-	return a.cfg.Length * a.registry.IntervalFactor()
+	return a.cfg.WindowLength * a.registry.IntervalFactor()
 }
 
 func (a *Agent) nextWindowNumber() uint64 {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -141,7 +141,7 @@
 		t.Fatal(err)
 	}
 	for i := range uint64(6) {
-		r.Sent(i+1, "office", 1, 1_000_000, 7_000_000)
+		r.AttemptSent(i+1, "office", 1, 1_000_000, 7_000_000)
 		if !s.Append(r.Batch()) || s.Sync() != nil {
 			t.Fatal("refused")
 		}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -55,7 +55,7 @@
 	dump := look("dump DIR", "Print what an open would recover", func(cmd *cobra.Command, r *store.Report) error {
 		out := json.NewEncoder(cmd.OutOrStdout())
 		for _, key := range slices.Sorted(maps.Keys(r.State)) {
-			v, err := recovery.Describe(key, r.State[key])
+			v, err := recovery.DecodeRecord(key, r.State[key])
 			if err != nil {
 				v = map[string]any{"bytes": len(r.State[key]), "error": err.Error()}
 			}
@@ -73,7 +73,7 @@
 			if _, err := inspect(args[0]); err != nil {
 				return err
 			}
-			if err := store.Compact(store.Dir(args[0]), store.Options{Later: recovery.Later}); err != nil {
+			if err := store.Compact(store.Dir(args[0]), store.Options{Later: recovery.MergeAfterDamage}); err != nil {
 				return &coded{Found, err}
 			}
 			return nil
@@ -85,7 +85,7 @@
 			if _, err := inspect(args[0]); err != nil {
 				return err
 			}
-			aside, r, err := store.Repair(store.Dir(args[0]), recovery.Later, dry)
+			aside, r, err := store.Repair(store.Dir(args[0]), recovery.MergeAfterDamage, dry)
 			if err != nil {
 				return &coded{Found, err}
 			}
@@ -109,7 +109,7 @@
 	if info, err := os.Stat(dir); err != nil || !info.IsDir() {
 		return nil, &coded{Unreadable, fmt.Errorf("%s is no folder that can be read; name the store's", dir)}
 	}
-	r, err := store.Inspect(store.Dir(dir), recovery.Later)
+	r, err := store.Inspect(store.Dir(dir), recovery.MergeAfterDamage)
 	if err != nil {
 		return nil, &coded{Unreadable, err}
 	}
--- a/internal/fleetsim/keepers/world.go
+++ b/internal/fleetsim/keepers/world.go
@@ -74,8 +74,8 @@
 type Proc struct {
 	W       *World
 	Name    string
-	Front   *keeper.Front
-	Part    *keeper.Part
+	Front   *keeper.AdmissionFilter
+	Part    *keeper.Module
 	Table   *keeper.Table
 	Queue   *keeper.Queue
 	Lessor  *Lessor
@@ -107,10 +107,10 @@
 
 func (direct) Step(_ int64, e decide.Event, out []decide.Action) []decide.Action {
 	switch e.Kind {
-	case decide.Order:
+	case decide.CallArrived:
 		return append(out, decide.Action{Kind: decide.Send, Call: e.Call, Server: "o"})
-	case decide.Ended:
-		if !e.Final {
+	case decide.AttemptEnded:
+		if !e.AnswerGiven {
 			return append(out, decide.Action{Kind: decide.Fail, Call: e.Call})
 		}
 	}
@@ -175,12 +175,12 @@
 		return
 	}
 	cfg := w.Cfg.Keeper
-	cfg.Poll = max(cfg.Poll, 250_000) // parts are woken
-	cfg.Self, cfg.Life = p.Name, p.Life
+	cfg.PollInterval = max(cfg.PollInterval, 250_000) // parts are woken
+	cfg.Self, cfg.Incarnation = p.Name, p.Life
 	p.Lessor = &Lessor{Court: w.Court, Name: p.Name}
 	cfg.Lessor = p.Lessor
 	p.Table, p.Queue = keeper.NewTable(), keeper.NewQueue(4096)
-	p.Front = keeper.NewFront(cfg, Settings(), direct{}, p.Table, p.Queue)
+	p.Front = keeper.NewAdmissionFilter(cfg, Settings(), direct{}, p.Table, p.Queue)
 	part, err := keeper.New(cfg, p.Table, p.Queue)
 	if err != nil {
 		panic(err) // the world's own configuration
@@ -249,7 +249,7 @@
 func (w *World) Holds(number int) (n int64) {
 	for _, p := range w.Procs {
 		if p.Table != nil && !p.Dead {
-			open, _, permits := p.Table.Holds(w.Now, w.names[number])
+			open, _, permits := p.Table.HeldLines(w.Now, w.names[number])
 			n += open + permits
 		}
 	}
@@ -349,7 +349,7 @@
 		delete(p.calls, id)
 		return
 	}
-	p.step(decide.Event{Kind: decide.Order, Call: id, Key: w.names[number], Deadline: w.Now + 2_000_000})
+	p.step(decide.Event{Kind: decide.CallArrived, Call: id, Key: w.names[number], Deadline: w.Now + 2_000_000})
 }
 
 // step has the loop take one event.
@@ -372,8 +372,8 @@
 				w.Counts.Failed++
 			}
 			delete(p.calls, a.Call)
-		case decide.Timer:
-			w.after((a.Wait+4_999)/5_000*5_000, func() { p.awake(func() { p.step(decide.Event{Kind: decide.Fired, Token: a.Token}) }) })
+		case decide.StartTimer:
+			w.after((a.Wait+4_999)/5_000*5_000, func() { p.awake(func() { p.step(decide.Event{Kind: decide.TimerFired, Token: a.Token}) }) })
 		}
 	}
 	if p.Queue != nil {
@@ -407,12 +407,12 @@
 	}
 	if busy {
 		w.Counts.Busy++
-		p.step(decide.Event{Kind: decide.Ended, Call: id, Server: "o", Outcome: decide.Failed, Busy: true, Key: w.names[c.number]})
+		p.step(decide.Event{Kind: decide.AttemptEnded, Call: id, Server: "o", Outcome: decide.Failed, NumberBusy: true, Key: w.names[c.number]})
 		delete(p.calls, id)
 		return
 	}
 	w.Counts.Served++
-	p.step(decide.Event{Kind: decide.Begun, Call: id, Server: "o"})
+	p.step(decide.Event{Kind: decide.SetUpCompleted, Call: id, Server: "o"})
 	w.after(int64(w.rng.ExpFloat64()*float64(w.Cfg.Stands)), func() {
 		if p.Dead || p.Life != life {
 			return
@@ -421,7 +421,7 @@
 		w.after(w.Cfg.Exchange/2, func() {
 			p.awake(func() {
 				if p.Life == life {
-					p.step(decide.Event{Kind: decide.Over, Call: id})
+					p.step(decide.Event{Kind: decide.CallEnded, Call: id})
 					delete(p.calls, id)
 				}
 			})
--- a/internal/fleetsim/populations/populations.go
+++ b/internal/fleetsim/populations/populations.go
@@ -99,7 +99,7 @@
 	Loss                float64 // part of messages that are lost
 	Delay               int64   // of a message, at the most
 	Part                func(i int, cfg *pooling.Config)
-	Made                func(i int, p *pooling.Part, l *pooling.Loop)
+	Made                func(i int, p *pooling.Module, l *pooling.Loop)
 }
 
 // Harm counts calls that went wrong because of the lane.
@@ -137,7 +137,7 @@
 type Process struct {
 	Name    string
 	Loop    *pooling.Loop
-	Part    *pooling.Part
+	Part    *pooling.Module
 	Life    uint64
 	Parts   map[fleet.Kind][]byte
 	shown   map[fleet.Kind][]byte // what others see of Parts
@@ -305,7 +305,7 @@
 		if p.Stopped {
 			continue
 		}
-		p.Loop.Round(w.Now)
+		p.Loop.EndRound(w.Now)
 		var out fleet.Out
 		if view {
 			p.Part.View(w.Now, w.view(p), &out)
@@ -358,9 +358,9 @@
 func (w *World) chance(p float64) bool { return p > 0 && w.r.Float64() < p }
 
 // lane gives the connection for a lane.
-func (w *World) lane(s *session, l pooling.Lane, lasts int64) int {
+func (w *World) lane(s *session, l pooling.ConnectionKind, lasts int64) int {
 	p := w.Procs[s.at]
-	if l == pooling.Own {
+	if l == pooling.OwnConnection {
 		if s.own == 0 {
 			w.conns++
 			s.own = w.conns
@@ -371,7 +371,7 @@
 	if w.cfg.Lasts == 0 { // a few of the pool are as good as all
 		return base + w.r.IntN(8)
 	}
-	if l == pooling.Any {
+	if l == pooling.AnyConnection {
 		for len(p.pool) < 2 {
 			p.pool = append(p.pool, conn{})
 		}
@@ -398,7 +398,7 @@
 	for _, ss := range w.byWho {
 		for _, s := range ss {
 			p := w.Procs[s.at]
-			if s.own != 0 && !p.Loop.Keep(w.Now, s.client, s.id) {
+			if s.own != 0 && !p.Loop.KeepOwn(w.Now, s.client, s.id) {
 				s.own = 0
 			}
 			if s.own != 0 {
@@ -433,14 +433,14 @@
 	p := w.Procs[s.at]
 	w.Calls++
 	w.ids++
-	c := &pooling.Call{ID: w.ids, Client: s.client, Session: s.id, Office: 1, Free: !w.chance(h.Guarded)}
+	c := &pooling.Call{ID: w.ids, Client: s.client, Session: s.id, Office: 1, Repeatable: !w.chance(h.Guarded)}
 	text := "ask " + strconv.FormatUint(w.ids%7, 10)
 	tokens := h.Way == Token || h.Way == FreeToken || h.Way == Mixed
 	needs := 0
 	switch {
 	case after != 0:
 		needs = after
-	case h.Way == Behind && !c.Free && shows:
+	case h.Way == Behind && !c.Repeatable && shows:
 		needs = s.state
 	case shows && (h.Way == Token || h.Way == Mixed || h.Way == Prepared):
 		needs = s.state
@@ -451,11 +451,11 @@
 	if s.last != nil && !w.chance(h.Overlap) && after == 0 {
 		w.over(s)
 	}
-	p.Loop.Observe(w.Now, pooling.Observation{What: pooling.CameSetUp, Call: c, Text: []byte(text)})
+	p.Loop.Observe(w.Now, pooling.Observation{Event: pooling.SetUpReceived, Call: c, Text: []byte(text)})
 	if h.Way == Reuse && shows {
 		other := w.byWho[s.who][w.r.IntN(len(w.byWho[s.who]))]
 		if other != s && other.at == s.at {
-			p.Loop.Observe(w.Now, pooling.Observation{What: pooling.CameAgain, Call: c, On: other.id})
+			p.Loop.Observe(w.Now, pooling.Observation{Event: pooling.IDReused, Call: c, Session: other.id})
 		}
 	}
 	missing := w.chance(h.Missing)
@@ -464,14 +464,14 @@
 		lasts = int64(w.r.ExpFloat64() * w.cfg.Lasts)
 	}
 	for range 3 {
-		lane := p.Loop.Lane(w.Now, c, pooling.SetUp)
+		lane := p.Loop.Select(w.Now, c, pooling.SetUp)
 		on := w.lane(s, lane, lasts)
 		raised := p.Loop.Verdict(w.hashes[s.who]).Mode > pooling.BySession
 		wants := needs != 0 && on != needs
 		if wants && after != 0 && w.chance(0.5) {
 			wants = false // it came in time after all
 		}
-		if h.Way == Reuse && shows && lane == pooling.Any {
+		if h.Way == Reuse && shows && lane == pooling.AnyConnection {
 			wants = true
 		}
 		cause := byte(0)
@@ -479,7 +479,7 @@
 		case wants:
 			cause = h.Cause
 			switch {
-			case lane == pooling.Own:
+			case lane == pooling.OwnConnection:
 				w.Harm.Late++
 				if s.who == 0 && p.Witness != 0 {
 					w.Harm.LateTold++
@@ -489,10 +489,10 @@
 			default:
 				w.Harm.Tried++
 			}
-			if s.who == 0 && lane != pooling.Own && w.First != 0 && p.Witness == 0 {
+			if s.who == 0 && lane != pooling.OwnConnection && w.First != 0 && p.Witness == 0 {
 				w.Harm.Before++
 			}
-			if s.who == 0 && lane != pooling.Own && p.Witness != 0 && uint64(p.Loop.Verdict(w.hashes[0]).Epoch) <= p.epoch && (p.Denied&pooling.DenyCall == pooling.DenyCall || lane == pooling.Any) {
+			if s.who == 0 && lane != pooling.OwnConnection && p.Witness != 0 && uint64(p.Loop.Verdict(w.hashes[0]).Epoch) <= p.epoch && (p.Denied&pooling.DenyCall == pooling.DenyCall || lane == pooling.AnyConnection) {
 				w.Harm.Told++
 			}
 		case missing:
@@ -501,17 +501,17 @@
 			cause = wire.CauseFault
 		}
 		if cause != 0 {
-			p.Loop.Observe(w.Now, pooling.Observation{What: pooling.Failed, Call: c, Cause: cause})
-			if wants && lane == pooling.Own {
+			p.Loop.Observe(w.Now, pooling.Observation{Event: pooling.SetUpRefused, Call: c, Cause: cause})
+			if wants && lane == pooling.OwnConnection {
 				s.state, s.token = 0, "" // it begins anew
 			}
-			if !c.Free || lane == pooling.Own {
+			if !c.Repeatable || lane == pooling.OwnConnection {
 				break
 			}
 			continue
 		}
 		answer := "done"
-		if s.state == 0 || h.Way != Ordered && (h.Way == Behind && c.Free || h.Way != Behind && !shows) && w.chance(0.01) { // a new token, or prepared anew
+		if s.state == 0 || h.Way != Ordered && (h.Way == Behind && c.Repeatable || h.Way != Behind && !shows) && w.chance(0.01) { // a new token, or prepared anew
 			s.state = on
 			if tokens {
 				s.token = fmt.Sprintf("tok-%08x", w.r.Uint32())
@@ -520,19 +520,19 @@
 		if tokens {
 			answer += " " + s.token
 		}
-		if lane == pooling.Own {
+		if lane == pooling.OwnConnection {
 			w.Free++
 		}
-		p.Loop.Observe(w.Now, pooling.Observation{What: pooling.Answered, Call: c, Text: []byte(answer)})
+		p.Loop.Observe(w.Now, pooling.Observation{Event: pooling.SetUpAnswered, Call: c, Text: []byte(answer)})
 		return c, on
 	}
-	p.Loop.Observe(w.Now, pooling.Observation{What: pooling.Over, Call: c})
+	p.Loop.Observe(w.Now, pooling.Observation{Event: pooling.CallOver, Call: c})
 	return nil, 0
 }
 
 func (w *World) over(s *session) {
 	if s.last != nil {
-		w.Procs[s.at].Loop.Observe(w.Now, pooling.Observation{What: pooling.Over, Call: s.last})
+		w.Procs[s.at].Loop.Observe(w.Now, pooling.Observation{Event: pooling.CallOver, Call: s.last})
 		s.last = nil
 	}
 }
@@ -550,18 +550,18 @@
 				on = other.id
 			}
 		}
-		loop.Observe(w.Now, pooling.Observation{What: pooling.CameEnd, Call: c, On: on})
-		lane := loop.Lane(w.Now, c, pooling.End)
-		if lane == pooling.Any && h.Way == EndBound {
+		loop.Observe(w.Now, pooling.Observation{Event: pooling.EndReceived, Call: c, Session: on})
+		lane := loop.Select(w.Now, c, pooling.End)
+		if lane == pooling.AnyConnection && h.Way == EndBound {
 			if w.Procs[s.at].Mode == pooling.ByMessage {
 				w.Harm.Raised++
 			} else {
 				w.Harm.Tried++
 			}
-			loop.Observe(w.Now, pooling.Observation{What: pooling.EndUnheard, Call: c})
-			loop.Lane(w.Now, c, pooling.End)
+			loop.Observe(w.Now, pooling.Observation{Event: pooling.EndUnacknowledged, Call: c})
+			loop.Select(w.Now, c, pooling.End)
 		}
-		loop.Observe(w.Now, pooling.Observation{What: pooling.EndHeard, Call: c})
+		loop.Observe(w.Now, pooling.Observation{Event: pooling.EndAcknowledged, Call: c})
 	}
 	w.over(s)
 	s.last = c
--- a/internal/fleetsim/populations/populations_test.go
+++ b/internal/fleetsim/populations/populations_test.go
@@ -125,7 +125,7 @@
 	rarest := float64(setting("POOLING_RAREST", 256))
 	cfg := usual()
 	fixed := setting("POOLING_FIXED", 0)
-	cfg.Part = func(_ int, c *pooling.Config) { c.Fixed = float64(fixed) }
+	cfg.Part = func(_ int, c *pooling.Config) { c.FixedThreshold = float64(fixed) }
 	for w := range ways {
 		if only := os.Getenv("POOLING_WAY"); only != "" && only != w.String() {
 			continue
@@ -163,7 +163,7 @@
 		habits = append(habits, h)
 	}
 	cfg := Config{Processes: processes, Sessions: sessions, Every: 1000, Delay: 30_000, Loss: 0.01, Lasts: 400_000, Seed: r.Uint64()}
-	cfg.Part = func(_ int, c *pooling.Config) { c.Fixed = float64(setting("POOLING_FIXED", 0)) }
+	cfg.Part = func(_ int, c *pooling.Config) { c.FixedThreshold = float64(setting("POOLING_FIXED", 0)) }
 	w := New(cfg, habits...)
 	fmt.Printf("%d clients, %d unsafe, %d safe ones with guarded calls; by session %d\n", clients, unsafe, guarded, clients*processes*sessions)
 	for step := range setting("POOLING_STEPS", 30) {
--- a/internal/fleetsim/stages/play.go
+++ b/internal/fleetsim/stages/play.go
@@ -81,7 +81,7 @@
 	w     *World
 	b     *book
 	rules stage.Rules
-	parts []*stage.Part
+	parts []*stage.Module
 	mail  []fleet.Message
 	acts  []doing
 	res   Result
@@ -97,7 +97,7 @@
 
 func playWith(seed uint64, n int, e Effect, rules stage.Rules, calls *mailed) Result {
 	w := NewWorld(seed, n, e)
-	p := &play{w: w, b: &book{}, rules: rules, parts: make([]*stage.Part, n), seen: make([]bool, n), calls: calls}
+	p := &play{w: w, b: &book{}, rules: rules, parts: make([]*stage.Module, n), seen: make([]bool, n), calls: calls}
 	for i := range n {
 		p.begin(i, stage.Target{}, stage.Target{})
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,10 +19,10 @@
 
 // Step is the next action of a guard.
 type Step struct {
-	// Start says to start a process at StartAt. It runs the concluded version, never that of a change that is not
+	// ScheduleStart says to start a process at StartAt. It runs the concluded version, never that of a change that is not
 	// concluded.
-	Start   bool
-	StartAt int64
+	ScheduleStart bool
+	StartAt       int64
 	// Exit says that the guard exits with Code: nothing is left to supervise.
 	Exit bool
 	Code int
@@ -36,8 +36,8 @@
 	startScheduled bool // a start is scheduled
 	lastFailed     bool // the last process that ended did not end cleanly
 
-	// Deaths counts the processes that ended although nobody had asked them to.
-	Deaths uint64
+	// UnexpectedExits counts the processes that ended although nobody had asked them to.
+	UnexpectedExits uint64
 }
 
 // New returns the guard of a process that has been serving since now.
@@ -66,13 +66,13 @@
 		}
 		return Step{Exit: true, Code: code}
 	}
-	g.Deaths++
+	g.UnexpectedExits++
 	if g.restartDelay *= 2; now-g.startedAt >= MinStableUptime || g.restartDelay == 0 {
 		g.restartDelay = InitialRestartDelay
 	}
 	g.restartDelay = min(g.restartDelay, MaxRestartDelay)
 	g.startScheduled = true
-	return Step{Start: true, StartAt: now + g.restartDelay}
+	return Step{ScheduleStart: true, StartAt: now + g.restartDelay}
 }
 
 // Started reports that a process was started, or that the start failed.
@@ -85,5 +85,5 @@
 		return Step{}
 	}
 	g.restartDelay = min(max(2*g.restartDelay, InitialRestartDelay), MaxRestartDelay)
-	return Step{Start: true, StartAt: now + g.restartDelay}
+	return Step{ScheduleStart: true, StartAt: now + g.restartDelay}
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -16,7 +16,7 @@
 		now, alive, startAt := int64(0), 1, int64(-1)
 		g := New(now)
 		check := func(s Step) bool {
-			if s.Start {
+			if s.ScheduleStart {
 				require.Zero(t, alive, "a process is started beside a running one")
 				require.False(t, g.stopping)
 				require.GreaterOrEqual(t, s.StartAt, now+InitialRestartDelay)
@@ -68,7 +68,7 @@
 	var pauses []int64
 	for range 12 {
 		s := g.Ended(now, false, false)
-		require.True(t, s.Start)
+		require.True(t, s.ScheduleStart)
 		pauses = append(pauses, s.StartAt-now)
 		now = s.StartAt
 		require.Equal(t, Step{}, g.Started(now, true))
@@ -78,6 +78,6 @@
 	require.Equal(t, int64(MaxRestartDelay), pauses[11])
 	s := g.Ended(now+MinStableUptime, false, false)
 	require.Equal(t, now+MinStableUptime+InitialRestartDelay, s.StartAt)
-	require.Equal(t, uint64(13), g.Deaths)
+	require.Equal(t, uint64(13), g.UnexpectedExits)
 	require.Equal(t, Step{Exit: true, Code: 1}, func() Step { g.Stop(true); return g.Ended(now, false, false) }())
 }
--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -33,10 +33,10 @@
 	established bool
 }
 
-// Front decides on the call loop, in front of the router, whether a call to a number in contention may be attempted.
+// AdmissionFilter decides on the call loop, in front of the router, whether a call to a number in contention may be attempted.
 // It delays, admits or refuses set-ups; it sends none itself. Calls to other numbers cost one sketch update. It
 // belongs to the goroutine of the loop.
-type Front struct {
+type AdmissionFilter struct {
 	cfg            Config
 	settings       decide.Settings
 	inner          Decider
@@ -66,22 +66,22 @@
 	BusyUncontended uint64 // set-ups to numbers not in contention that ended busy
 }
 
-// NewFront returns a Front that passes events to inner, which is made with the same settings. It shares the table and
+// NewAdmissionFilter returns a Front that passes events to inner, which is made with the same settings. It shares the table and
 // the queue with the Part of the process. The session must report the ends of calls to it (session.EndHearer): a
 // decider in front of it passes on HearsEnds and events.
-func NewFront(cfg Config, settings decide.Settings, inner Decider, table *Table, queue *Queue) *Front {
-	return &Front{cfg: cfg.withDefaults(), settings: settings, inner: inner, table: table, queue: queue,
+func NewAdmissionFilter(cfg Config, settings decide.Settings, inner Decider, table *Table, queue *Queue) *AdmissionFilter {
+	return &AdmissionFilter{cfg: cfg.withDefaults(), settings: settings, inner: inner, table: table, queue: queue,
 		sketch: &sketch{}, calls: map[decide.CallID]*trackedCall{}}
 }
 
 // Avoids tells whether the decide module currently avoids a listed server.
-func (f *Front) Avoids(id decide.ServerID) bool { return f.inner.Avoids(id) }
+func (f *AdmissionFilter) Avoids(id decide.ServerID) bool { return f.inner.Avoids(id) }
 
 // HearsEnds returns true: the ends of established calls free lines.
-func (f *Front) HearsEnds() bool { return true }
+func (f *AdmissionFilter) HearsEnds() bool { return true }
 
 // Reload passes on a part of a new configuration.
-func (f *Front) Reload(now int64, part any, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) Reload(now int64, part any, out []decide.Action) []decide.Action {
 	if inner, ok := f.inner.(interface {
 		Reload(int64, any, []decide.Action) []decide.Action
 	}); ok {
@@ -91,7 +91,7 @@
 }
 
 // Figures reports the counters of the Front and of the decider behind it.
-func (f *Front) Figures(put func(name string, n uint64, gauge bool)) {
+func (f *AdmissionFilter) Figures(put func(name string, n uint64, gauge bool)) {
 	counts := &f.Counts
 	put("keeper_hot", counts.Contended, false)
 	put("keeper_permitted", counts.Permitted, false)
@@ -112,12 +112,12 @@
 }
 
 // Step handles one event and appends the resulting actions.
-func (f *Front) Step(now int64, event decide.Event, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) Step(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	if len(f.waitingEntries) > 0 && now > f.checkedAt {
 		out = f.processWaiting(now, out)
 	}
 	switch event.Kind {
-	case decide.Order:
+	case decide.CallArrived:
 		if event.Key == "" || len(event.Key) > maxKeyLength {
 			break
 		}
@@ -126,19 +126,19 @@
 		if entry := f.table.find(hash, event.Key); entry != nil && f.calls[event.Call] == nil {
 			return f.handleSetUp(now, entry, event, out)
 		}
-	case decide.Fired:
+	case decide.TimerFired:
 		if event.Token&timerToken != 0 {
 			f.timerArmed = false
 			return f.armTimer(out)
 		}
-	case decide.Over:
+	case decide.CallEnded:
 		if call := f.calls[event.Call]; call != nil {
 			f.release(event.Call, call)
 		}
 		return out
-	case decide.Ended:
+	case decide.AttemptEnded:
 		return f.handleEnd(now, event, out)
-	case decide.Begun:
+	case decide.SetUpCompleted:
 		if call := f.calls[event.Call]; call != nil && !call.established {
 			call.attemptOpen, call.established = false, true
 			call.entry.calls.Add(1)
@@ -147,7 +147,7 @@
 			}
 			f.reportChange(call.entry)
 		}
-	case decide.Gone:
+	case decide.CallerLeft:
 		if call := f.calls[event.Call]; call != nil {
 			if call.waiting { // the inner decider does not know the call
 				call.waiting = false
@@ -167,7 +167,7 @@
 }
 
 // forward passes an event on, and tracks what becomes of the calls that are followed.
-func (f *Front) forward(now int64, event decide.Event, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) forward(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	n := len(out)
 	out = f.inner.Step(now, event, out)
 	if len(f.calls) == 0 {
@@ -189,7 +189,7 @@
 }
 
 // handleSetUp takes a set-up to a number in contention.
-func (f *Front) handleSetUp(now int64, entry *tableEntry, event decide.Event, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) handleSetUp(now int64, entry *tableEntry, event decide.Event, out []decide.Action) []decide.Action {
 	f.Counts.Contended++
 	entry.requested.Add(1)
 	if len(f.calls) >= maxTrackedCalls {
@@ -232,7 +232,7 @@
 }
 
 // track follows a call until it is over.
-func (f *Front) track(id decide.CallID, entry *tableEntry, now int64) *trackedCall {
+func (f *AdmissionFilter) track(id decide.CallID, entry *tableEntry, now int64) *trackedCall {
 	call := &trackedCall{}
 	if n := len(f.freeCalls); n > 0 {
 		call, f.freeCalls = f.freeCalls[n-1], f.freeCalls[:n-1]
@@ -243,7 +243,7 @@
 }
 
 // admit lets a call through; its line counts as open already.
-func (f *Front) admit(now int64, event decide.Event, call *trackedCall, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) admit(now int64, event decide.Event, call *trackedCall, out []decide.Action) []decide.Action {
 	if !call.fallback {
 		f.Counts.Permitted++
 	}
@@ -252,14 +252,14 @@
 }
 
 // refuse refuses a call for some time.
-func (f *Front) refuse(entry *tableEntry, id decide.CallID, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) refuse(entry *tableEntry, id decide.CallID, out []decide.Action) []decide.Action {
 	f.Counts.Refused++
 	entry.refused.Add(1)
 	return append(out, decide.Action{Kind: decide.Refuse, Call: id, Wait: f.retryAfter(entry)})
 }
 
 // retryAfter returns the time for which callers are told to stay away.
-func (f *Front) retryAfter(entry *tableEntry) int64 {
+func (f *AdmissionFilter) retryAfter(entry *tableEntry) int64 {
 	if !f.settings.RetryAdvice {
 		return 0
 	}
@@ -269,12 +269,12 @@
 // admitFallback admits a call without a permit while the owner is unreachable, within this process's fraction of the
 // turnover share it was last told. It prevents the calls of all processes from reaching the offices at once when an
 // owner dies.
-func (f *Front) admitFallback(now int64, event decide.Event, entry *tableEntry, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) admitFallback(now int64, event decide.Event, entry *tableEntry, out []decide.Action) []decide.Action {
 	if entry.refilledAt == 0 {
 		entry.tokens, entry.refilledAt = 1, now
 	}
 	entry.tokens = min(1, entry.tokens+
-		f.cfg.Share*float64(entry.turnoverShare.Load())*1e-9*float64(now-entry.refilledAt))
+		f.cfg.FallbackShare*float64(entry.turnoverShare.Load())*1e-9*float64(now-entry.refilledAt))
 	entry.refilledAt = now
 	if entry.tokens < 1 && !f.cfg.disabled.noFallbackLimit {
 		f.Counts.FallbackRefused++
@@ -290,7 +290,7 @@
 }
 
 // processWaiting checks the set-ups that wait: permits go to the first in the queue.
-func (f *Front) processWaiting(now int64, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) processWaiting(now int64, out []decide.Action) []decide.Action {
 	f.checkedAt = now
 	remaining := f.waitingEntries[:0]
 	for _, entry := range f.waitingEntries {
@@ -326,46 +326,46 @@
 	return out
 }
 
-func (f *Front) stopWaiting(call *trackedCall) {
+func (f *AdmissionFilter) stopWaiting(call *trackedCall) {
 	call.waiting = false
 	call.entry.waitingCount.Add(-1)
 }
 
 // armTimer requests the next check while set-ups wait.
-func (f *Front) armTimer(out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) armTimer(out []decide.Action) []decide.Action {
 	if f.timerArmed || len(f.waitingEntries) == 0 {
 		return out
 	}
 	f.timerArmed = true
-	return append(out, decide.Action{Kind: decide.Timer, Wait: waitingInterval, Token: timerToken})
+	return append(out, decide.Action{Kind: decide.StartTimer, Wait: waitingInterval, Token: timerToken})
 }
 
 // handleEnd takes the end of an attempt. A number in contention that is busy is not attempted again: this is the
 // call's final answer, as the router gives it when the budget for repeats is used up.
-func (f *Front) handleEnd(now int64, event decide.Event, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) handleEnd(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	call := f.calls[event.Call]
 	if call == nil || call.waiting || call.established {
-		if event.Busy && call == nil && event.Key != "" && len(event.Key) <= maxKeyLength {
+		if event.NumberBusy && call == nil && event.Key != "" && len(event.Key) <= maxKeyLength {
 			f.Counts.BusyUncontended++
 			f.countBusy(now, event.Key)
 		}
 		return f.forward(now, event, out)
 	}
 	call.attemptOpen = false
-	if event.Busy {
+	if event.NumberBusy {
 		if !call.fallback {
 			f.Counts.Busy++
 			call.entry.busy.Add(1)
 		}
-		if !event.Final && !call.finished {
-			event.Final = true
+		if !event.AnswerGiven && !call.finished {
+			event.AnswerGiven = true
 			out = f.forward(now, event, out)
 			out = append(out, decide.Action{Kind: decide.Fail, Call: event.Call, Wait: f.retryAfter(call.entry)})
 			f.release(event.Call, call)
 			return out
 		}
 	}
-	final := event.Final
+	final := event.AnswerGiven
 	out = f.forward(now, event, out)
 	if final {
 		f.finish(event.Call, call)
@@ -376,7 +376,7 @@
 }
 
 // countBusy counts a busy end of a number that is not in the table.
-func (f *Front) countBusy(now int64, key string) {
+func (f *AdmissionFilter) countBusy(now int64, key string) {
 	hash := hashOf(key)
 	if busy, setUps := f.sketch.countBusy(hash, now); busy >= minBusyEnds && f.table.find(hash, key) == nil {
 		f.queue.push(report{kind: reportContended, key: key, recentSetUps: max(setUps, busy)})
@@ -385,7 +385,7 @@
 
 // finish marks that a call has its final answer, or that its caller has gone. If no attempt is open, its line is
 // free.
-func (f *Front) finish(id decide.CallID, call *trackedCall) {
+func (f *AdmissionFilter) finish(id decide.CallID, call *trackedCall) {
 	call.finished = true
 	if !call.attemptOpen && !call.established {
 		f.release(id, call)
@@ -393,7 +393,7 @@
 }
 
 // release frees a call's line.
-func (f *Front) release(id decide.CallID, call *trackedCall) {
+func (f *AdmissionFilter) release(id decide.CallID, call *trackedCall) {
 	if f.calls[id] != call {
 		return
 	}
@@ -413,7 +413,7 @@
 
 // reportChange tells the Part that the values of a number have changed, once until the Part has read them; false: the
 // queue is full.
-func (f *Front) reportChange(entry *tableEntry) bool {
+func (f *AdmissionFilter) reportChange(entry *tableEntry) bool {
 	if entry.reportQueued.Swap(true) {
 		return true
 	}
--- a/internal/keeper/admission_test.go
+++ b/internal/keeper/admission_test.go
@@ -31,21 +31,21 @@
 
 func (d *fakeDecider) Step(_ int64, event decide.Event, out []decide.Action) []decide.Action {
 	switch event.Kind {
-	case decide.Order:
+	case decide.CallArrived:
 		d.seen[event.Call] = true
 		if d.refuses {
 			return append(out, decide.Action{Kind: decide.Refuse, Call: event.Call})
 		}
 		return append(out, decide.Action{Kind: decide.Send, Call: event.Call})
-	case decide.Over, decide.Fired:
+	case decide.CallEnded, decide.TimerFired:
 		d.t.Fatalf("the inner decider receives event %v, token %x", event.Kind, event.Token)
-	case decide.Ended:
-		if !event.Final && d.repeats {
+	case decide.AttemptEnded:
+		if !event.AnswerGiven && d.repeats {
 			return append(out, decide.Action{Kind: decide.Send, Call: event.Call})
-		} else if !event.Final {
+		} else if !event.AnswerGiven {
 			out = append(out, decide.Action{Kind: decide.Fail, Call: event.Call})
 		}
-	case decide.Begun: // may come for a call whose caller has gone and which was answered in the same round
+	case decide.SetUpCompleted: // may come for a call whose caller has gone and which was answered in the same round
 		if !d.seen[event.Call] {
 			d.t.Fatalf("the inner decider receives an event for unknown call %d", event.Call)
 		}
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		table, queue := NewTable(), NewQueue(64)
 		inner := &fakeDecider{t: rt, seen: map[decide.CallID]bool{}}
-		filter := NewFront(Config{Self: "a"}, settings(), inner, table, queue)
+		filter := NewAdmissionFilter(Config{Self: "a"}, settings(), inner, table, queue)
 		entry := newTableEntry(contendedKey)
 		entry.fence.Store(3)
 		entry.ownerUnreachable.Store(false)
@@ -92,7 +92,7 @@
 						rt.Fatalf("call %d gets a final answer in state %q", action.Call, status)
 					}
 					delete(state, action.Call)
-				case decide.Timer:
+				case decide.StartTimer:
 					armed = true
 				}
 			}
@@ -112,8 +112,8 @@
 		}
 		end := func(id decide.CallID, busy bool) {
 			gone := state[id] == "gone"
-			e := decide.Event{Kind: decide.Ended, Call: id, Outcome: decide.Failed, Busy: busy, Key: contendedKey,
-				Final: gone}
+			e := decide.Event{Kind: decide.AttemptEnded, Call: id, Outcome: decide.Failed, NumberBusy: busy, Key: contendedKey,
+				AnswerGiven: gone}
 			if gone {
 				delete(state, id)
 			}
@@ -123,14 +123,14 @@
 			now += int64(rapid.IntRange(0, 9_000).Draw(rt, "later"))
 			if armed && rapid.Bool().Draw(rt, "fires") {
 				armed = false
-				do(decide.Event{Kind: decide.Fired, Token: timerToken})
+				do(decide.Event{Kind: decide.TimerFired, Token: timerToken})
 			}
 			switch rapid.IntRange(0, 9).Draw(rt, "what") {
 			case 0, 1, 2:
 				id++
 				state[id] = "waiting"
 				inner.refuses, inner.repeats = rapid.Bool().Draw(rt, "refuses"), rapid.Bool().Draw(rt, "again")
-				do(decide.Event{Kind: decide.Order, Call: id, Key: contendedKey, Deadline: now + 2_000_000})
+				do(decide.Event{Kind: decide.CallArrived, Call: id, Key: contendedKey, Deadline: now + 2_000_000})
 			case 3:
 				n := rapid.IntRange(1, 3).Draw(rt, "permits")
 				permits += n
@@ -147,7 +147,7 @@
 			case 5:
 				if id, ok := pick("out"); ok {
 					state[id] = "stands"
-					do(decide.Event{Kind: decide.Begun, Call: id})
+					do(decide.Event{Kind: decide.SetUpCompleted, Call: id})
 				}
 			case 6:
 				if id, ok := pick("out", "gone"); ok {
@@ -156,15 +156,15 @@
 			case 7:
 				if id, ok := pick("stands"); ok {
 					delete(state, id)
-					do(decide.Event{Kind: decide.Over, Call: id})
+					do(decide.Event{Kind: decide.CallEnded, Call: id})
 				}
 			case 8:
 				if id, ok := pick("waiting", "out"); ok {
 					if state[id] = map[string]string{"waiting": "going", "out": "gone"}[state[id]]; state[id] == "gone" {
-						do(decide.Event{Kind: decide.Gone, Call: id})
+						do(decide.Event{Kind: decide.CallerLeft, Call: id})
 						break
 					}
-					if do(decide.Event{Kind: decide.Gone, Call: id}); state[id] == "going" {
+					if do(decide.Event{Kind: decide.CallerLeft, Call: id}); state[id] == "going" {
 						delete(state, id)
 					}
 				}
@@ -178,14 +178,14 @@
 			}
 		}
 		now += 100_000
-		do(decide.Event{Kind: decide.Fired, Token: timerToken})
+		do(decide.Event{Kind: decide.TimerFired, Token: timerToken})
 		for id, status := range state {
 			switch status {
 			case "waiting":
 				rt.Fatalf("call %d still waits after its deadline", id)
 			case "stands":
 				delete(state, id)
-				do(decide.Event{Kind: decide.Over, Call: id})
+				do(decide.Event{Kind: decide.CallEnded, Call: id})
 			default:
 				inner.repeats = false
 				end(id, true)
@@ -248,7 +248,7 @@
 	module.handleAnswer(1, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 1}, &out)
 	module.flush(1, &out)
 	entry := module.clients[contendedKey].entry
-	filter := NewFront(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
+	filter := NewAdmissionFilter(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
 	stop, done := make(chan bool), make(chan int64)
 	var clock atomic.Int64
 	go func() { // the Part, and an owner that grants one permit for each report
@@ -281,10 +281,10 @@
 		if i%16 == 0 {
 			runtime.Gosched()
 		}
-		for _, action := range filter.Step(now, decide.Event{Kind: decide.Order, Call: id, Key: contendedKey}, nil) {
+		for _, action := range filter.Step(now, decide.Event{Kind: decide.CallArrived, Call: id, Key: contendedKey}, nil) {
 			if action.Kind == decide.Send {
-				filter.Step(now, decide.Event{Kind: decide.Begun, Call: action.Call}, nil)
-				filter.Step(now, decide.Event{Kind: decide.Over, Call: action.Call}, nil)
+				filter.Step(now, decide.Event{Kind: decide.SetUpCompleted, Call: action.Call}, nil)
+				filter.Step(now, decide.Event{Kind: decide.CallEnded, Call: action.Call}, nil)
 			}
 		}
 	}
@@ -316,7 +316,7 @@
 }
 func (l *fakeLessor) Holder(string) (string, uint64) { return "", 0 }
 
-func newTestModule(t testing.TB, cfg Config) *Part {
+func newTestModule(t testing.TB, cfg Config) *Module {
 	cfg.Self, cfg.Lessor = "a", &fakeLessor{}
 	module, err := New(cfg, NewTable(), NewQueue(64))
 	if err != nil {
@@ -503,7 +503,7 @@
 	i := 0
 	if n := testing.AllocsPerRun(10_000, func() {
 		i++
-		out = filter.Step(int64(i), decide.Event{Kind: decide.Order, Call: decide.CallID(i),
+		out = filter.Step(int64(i), decide.Event{Kind: decide.CallArrived, Call: decide.CallID(i),
 			Key: keys[i%len(keys)]}, out[:0])
 	}); n != 0 {
 		t.Errorf("%g allocations a call", n)
@@ -515,7 +515,7 @@
 func (noopDecider) Step(_ int64, _ decide.Event, out []decide.Action) []decide.Action { return out }
 func (noopDecider) Avoids(decide.ServerID) bool                                       { return false }
 
-func uncontendedFilter(testing.TB) (*Front, []string) {
+func uncontendedFilter(testing.TB) (*AdmissionFilter, []string) {
 	table := NewTable()
 	entries := map[uint64]*tableEntry{}
 	for i := range 100 {
@@ -523,7 +523,7 @@
 		entries[entry.hash] = entry
 	}
 	table.replace(entries)
-	filter := NewFront(Config{Self: "a"}, settings(), noopDecider{}, table, NewQueue(64))
+	filter := NewAdmissionFilter(Config{Self: "a"}, settings(), noopDecider{}, table, NewQueue(64))
 	var keys []string
 	for i := range 4096 {
 		keys = append(keys, fmt.Sprintf("0800%06d", i))
@@ -553,7 +553,7 @@
 		filter, keys := uncontendedFilter(b)
 		var inner Decider = noopDecider{}
 		out := make([]decide.Action, 0, 4)
-		event := decide.Event{Kind: decide.Order, Call: 1}
+		event := decide.Event{Kind: decide.CallArrived, Call: 1}
 		b.Run(test.name+"/front", func(b *testing.B) {
 			b.ReportAllocs()
 			defer reportCPUTime(b)()
--- a/internal/keeper/client.go
+++ b/internal/keeper/client.go
@@ -65,7 +65,7 @@
 
 // client returns the client for a number. If there is none, it is created, and its entry added to the table; nil: the
 // table is full.
-func (p *Part) client(now int64, key string) *ownerClient {
+func (p *Module) client(now int64, key string) *ownerClient {
 	if client := p.clients[key]; client != nil {
 		return client
 	}
@@ -90,7 +90,7 @@
 
 // dropClient forgets a number. Its open calls are followed to their end: they count if the number returns before
 // that.
-func (p *Part) dropClient(client *ownerClient) {
+func (p *Module) dropClient(client *ownerClient) {
 	client.entry.removeBatches(func(*batch) bool { return true })
 	p.tableStale = true
 	delete(p.clients, client.entry.key)
@@ -101,7 +101,7 @@
 
 // raiseFence adopts the fence of a new owner if it is higher than the known one: permits with a lower fence are taken
 // back, and the new owner is told what is held here.
-func (p *Part) raiseFence(now int64, client *ownerClient, owner string, fence uint64, out *fleet.Out) {
+func (p *Module) raiseFence(now int64, client *ownerClient, owner string, fence uint64, out *fleet.Out) {
 	if fence <= client.entry.fence.Load() {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // sendReport tells the owner what is held here, and requests permits for the waiting set-ups. Permits for an earlier
 // report are no longer accepted, so the owner knows exactly which ones are out.
-func (p *Part) sendReport(now int64, client *ownerClient, out *fleet.Out) {
+func (p *Module) sendReport(now int64, client *ownerClient, out *fleet.Out) {
 	entry := client.entry
 	entry.reportQueued.Store(false)
 	client.updateRate(now)
@@ -137,14 +137,14 @@
 			Fence: entry.fence.Load(), N: held})
 	}
 	p.emit(client.owner, operation{Op: opReport, Key: entry.key, Fence: entry.fence.Load(),
-		ReportNumber: client.reportNumber, Incarnation: p.cfg.Life, Held: held, Unused: unused,
+		ReportNumber: client.reportNumber, Incarnation: p.cfg.Incarnation, Held: held, Unused: unused,
 		Calls: max(0, entry.calls.Load()), Wanted: wanted, Rate: int64(client.rate), Busy: entry.busy.Load(),
 		Began: entry.began.Load(), Ended: entry.ended.Load(), Refused: entry.refused.Load()})
 	p.scheduleClient(now, client)
 }
 
 // handleAnswer takes an owner's answer.
-func (p *Part) handleAnswer(now int64, from string, op operation, out *fleet.Out) {
+func (p *Module) handleAnswer(now int64, from string, op operation, out *fleet.Out) {
 	owner := from
 	if op.Owner != "" {
 		owner = op.Owner
@@ -165,7 +165,7 @@
 		return
 	}
 	p.raiseFence(now, client, owner, op.Fence, out)
-	if op.ReportNumber == 0 || op.ReportNumber != client.reportNumber || op.Incarnation != p.cfg.Life {
+	if op.ReportNumber == 0 || op.ReportNumber != client.reportNumber || op.Incarnation != p.cfg.Incarnation {
 		if op.ReportNumber != 0 {
 			p.counts.outdated++
 		}
@@ -198,14 +198,14 @@
 }
 
 // handleChange handles the loop's notice that something differs from the last report.
-func (p *Part) handleChange(now int64, client *ownerClient, out *fleet.Out) {
+func (p *Module) handleChange(now int64, client *ownerClient, out *fleet.Out) {
 	client.entry.reportQueued.Store(false)
 	client.changed = true
 	p.tickClient(now, client, out)
 }
 
 // tickClient does what is due for a number.
-func (p *Part) tickClient(now int64, client *ownerClient, out *fleet.Out) {
+func (p *Module) tickClient(now int64, client *ownerClient, out *fleet.Out) {
 	if client.awaitingAnswer && now >= client.reportedAt+p.cfg.AnswerTimeout {
 		// The owner is unreachable, or the message was lost: waiting set-ups use the fallback share, and the owner
 		// is asked again.
@@ -235,14 +235,14 @@
 // reportInterval returns the interval of reports without changes: if a call is likely within the lifetime of a
 // permit, short enough for a permit to be granted in advance; else short enough for the owner not to take this process
 // for silent.
-func (p *Part) reportInterval(now int64, client *ownerClient) int64 {
+func (p *Module) reportInterval(now int64, client *ownerClient) int64 {
 	if client.recentlyRequested(now) && client.rate*1e-9*float64(p.cfg.PermitLifetime) >= minAdvanceDemand {
 		return p.cfg.PermitLifetime / 2
 	}
 	return p.cfg.SilenceTimeout / 3
 }
 
-func (p *Part) minReportInterval(unreachable bool) int64 {
+func (p *Module) minReportInterval(unreachable bool) int64 {
 	if unreachable {
 		return unreachableReportGap
 	}
@@ -250,7 +250,7 @@
 }
 
 // scheduleClient sets when a number is checked next.
-func (p *Part) scheduleClient(now int64, client *ownerClient) {
+func (p *Module) scheduleClient(now int64, client *ownerClient) {
 	next := int64(math.MaxInt64)
 	// Without lines held or recent set-ups nothing is due until the loop reports something.
 	if held, _ := client.heldLines(); held > 0 || client.recentlyRequested(now) {
@@ -266,7 +266,7 @@
 	} else if client.changed {
 		next = min(next, client.reportedAt+p.minReportInterval(client.entry.ownerUnreachable.Load()))
 	} else if client.entry.waitingCount.Load() > 0 {
-		next = min(next, now+p.cfg.Poll)
+		next = min(next, now+p.cfg.PollInterval)
 	}
 	if next != math.MaxInt64 {
 		p.wakeClient(client, max(next, now+1000))
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -19,23 +19,23 @@
 // Config configures the Part and the Front of a process. Zero fields take the default named beside them. Times are in
 // microseconds.
 type Config struct {
-	Self   string                 // name of this process in the view
-	Life   uint64                 // incarnation of this process: higher than that of every earlier run under this name
-	Lessor lease.Lessor           // used by the Part only
-	Barred func(name string) bool // reports processes that are next in a staged change; nil: none
-	Lines  func(key string) int   // lines of a number that the site configures; 0 or nil: they are learned
-
-	Most         int     // numbers owned here at once; default and maximum 16: they must fit into the process's entry
-	TableSize    int     // numbers in the table; 4096
-	Share        float64 // fraction of its turnover share that a process uses while the owner is unreachable; 0.5
-	AdvanceShare float64 // fraction of the permits granted before they are requested; 0.75
-	MoveMargin   float64 // relative excess of another process's demand that moves a number to it; 0.5
-	Drift        float64 // bound on how much faster one clock runs than another; 0.01
+	Self        string                 // name of this process in the view
+	Incarnation uint64                 // incarnation of this process: higher than that of every earlier run under this name
+	Lessor      lease.Client           // used by the Part only
+	Excluded    func(name string) bool // reports processes that are next in a staged change; nil: none
+	Lines       func(key string) int   // lines of a number that the site configures; 0 or nil: they are learned
+
+	MaxOwned      int     // numbers owned here at once; default and maximum 16: they must fit into the process's entry
+	TableSize     int     // numbers in the table; 4096
+	FallbackShare float64 // fraction of its turnover share that a process uses while the owner is unreachable; 0.5
+	AdvanceShare  float64 // fraction of the permits granted before they are requested; 0.75
+	MoveMargin    float64 // relative excess of another process's demand that moves a number to it; 0.5
+	ClockDrift    float64 // bound on how much faster one clock runs than another; 0.01
 
 	PermitLifetime int64 // lifetime of a permit, from when it was requested; 2 s
 	MaxWait        int64 // longest wait of a set-up for a permit, at most half the aim of its class; 40 ms
 	AnswerTimeout  int64 // an owner that has not answered within this time is unreachable; 35 ms
-	Poll           int64 // longest time between reads of the queue while a number is in contention; 5 ms
+	PollInterval   int64 // longest time between reads of the queue while a number is in contention; 5 ms
 	ClaimDelay     int64 // contention lasts this long before a number is claimed; 500 ms
 	MoveDelay      int64 // another process has the higher demand for this long before a number moves; 5 s
 	CalmTime       int64 // contention is over when no call was refused for this long; 10 s
@@ -52,23 +52,23 @@
 
 // withDefaults returns the configuration with its zero fields set to their defaults.
 func (c Config) withDefaults() Config {
-	setDefault(&c.Most, 16)
-	c.Most = min(c.Most, maxOwned)
+	setDefault(&c.MaxOwned, 16)
+	c.MaxOwned = min(c.MaxOwned, maxOwned)
 	setDefault(&c.TableSize, 4096)
-	setDefault(&c.Share, 0.5)
+	setDefault(&c.FallbackShare, 0.5)
 	setDefault(&c.AdvanceShare, 0.75)
 	setDefault(&c.MoveMargin, 0.5)
-	setDefault(&c.Drift, 0.01)
+	setDefault(&c.ClockDrift, 0.01)
 	setDefault(&c.PermitLifetime, 2_000_000)
 	setDefault(&c.MaxWait, 40_000)
 	setDefault(&c.AnswerTimeout, 35_000)
-	setDefault(&c.Poll, 5_000)
+	setDefault(&c.PollInterval, 5_000)
 	setDefault(&c.ClaimDelay, 500_000)
 	setDefault(&c.MoveDelay, 5_000_000)
 	setDefault(&c.CalmTime, 10_000_000)
 	setDefault(&c.SilenceTimeout, 30_000_000)
-	if c.Barred == nil {
-		c.Barred = func(string) bool { return false }
+	if c.Excluded == nil {
+		c.Excluded = func(string) bool { return false }
 	}
 	if c.Lines == nil {
 		c.Lines = func(string) int { return 0 }
@@ -88,15 +88,15 @@
 	switch {
 	case filled.Self == "":
 		return &ConfigError{"no name configured for this process"}
-	case filled.Most < 1:
-		return &ConfigError{fmt.Sprintf("limit of %d owned numbers is below 1", c.Most)}
-	case filled.Share < 0 || filled.Share > 1:
-		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", filled.Share)}
+	case filled.MaxOwned < 1:
+		return &ConfigError{fmt.Sprintf("limit of %d owned numbers is below 1", c.MaxOwned)}
+	case filled.FallbackShare < 0 || filled.FallbackShare > 1:
+		return &ConfigError{fmt.Sprintf("share of %g is not within 0 to 1", filled.FallbackShare)}
 	case filled.AdvanceShare < 0 || filled.AdvanceShare > 0.9:
 		return &ConfigError{fmt.Sprintf("fraction %g of permits granted in advance is not within 0 to 0.9",
 			filled.AdvanceShare)}
-	case filled.Drift < 0 || filled.Drift > 0.1:
-		return &ConfigError{fmt.Sprintf("clock drift of %g is not within 0 to 0.1", filled.Drift)}
+	case filled.ClockDrift < 0 || filled.ClockDrift > 0.1:
+		return &ConfigError{fmt.Sprintf("clock drift of %g is not within 0 to 0.1", filled.ClockDrift)}
 	case filled.PermitLifetime < 10*filled.MaxWait || filled.SilenceTimeout < 2*filled.PermitLifetime:
 		return &ConfigError{fmt.Sprintf(
 			"permit lifetime of %d us is below 10 waits of %d us or above half the silence timeout of %d us",
@@ -106,7 +106,7 @@
 }
 
 // Errors lists the error types of this package.
-var Errors = []advice.Advised{&ConfigError{}, &MessageError{}, &RecordError{}, &LostError{}, &FullError{}}
+var Errors = []advice.Advised{&ConfigError{}, &MessageError{}, &RecordError{}, &OwnershipLostError{}, &OwnerLimitError{}}
 
 // ConfigError reports an invalid configuration.
 type ConfigError struct{ What string }
@@ -140,22 +140,22 @@
 	return "No action needed: the lines are learned again in some seconds; if it recurs, compare the program versions."
 }
 
-// LostError reports that the lease of a number ended while this process owned it.
-type LostError struct{ Number string }
+// OwnershipLostError reports that the lease of a number ended while this process owned it.
+type OwnershipLostError struct{ Number string }
 
-func (e *LostError) Error() string { return "keeper: lease of " + e.Number + " lost" }
+func (e *OwnershipLostError) Error() string { return "keeper: lease of " + e.Number + " lost" }
 
 // Advice tells an operator what to do.
-func (e *LostError) Advice() string {
+func (e *OwnershipLostError) Advice() string {
 	return "Check if this process was stopped or cut off from a roster majority; calls go by share until another owns it."
 }
 
-// FullError reports a number in contention that no process can own, as all own their maximum.
-type FullError struct{ Number string }
+// OwnerLimitError reports a number in contention that no process can own, as all own their maximum.
+type OwnerLimitError struct{ Number string }
 
-func (e *FullError) Error() string { return "keeper: no process has room to own " + e.Number }
+func (e *OwnerLimitError) Error() string { return "keeper: no process has room to own " + e.Number }
 
 // Advice tells an operator what to do.
-func (e *FullError) Advice() string {
+func (e *OwnerLimitError) Advice() string {
 	return "Raise the limit of numbers that one process owns, or find out why so many numbers run out of lines at once."
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -22,10 +22,10 @@
 	handOverTimeout = 300_000 // longest wait of a hand-over for the record to be stored
 )
 
-// Part is the state machine of one process: it detects which numbers are in contention, takes and gives up ownership
+// Module is the state machine of one process: it detects which numbers are in contention, takes and gives up ownership
 // of numbers, grants permits for those it owns, and requests permits for those that others own. It is not safe for
 // concurrent use.
-type Part struct {
+type Module struct {
 	cfg   Config
 	table *Table
 	queue *Queue
@@ -90,11 +90,11 @@
 
 // New returns the Part of a process, or a *ConfigError. It shares the table and the queue with the process's Front.
 // Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
-func New(cfg Config, table *Table, queue *Queue) (*Part, error) {
+func New(cfg Config, table *Table, queue *Queue) (*Module, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	return &Part{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{},
+	return &Module{cfg: cfg.withDefaults(), table: table, queue: queue, entries: map[string]*memberEntry{},
 		numbers: map[string]*numberState{}, localDemands: map[string]*localDemand{},
 		clients: map[string]*ownerClient{}, retired: map[string]*tableEntry{},
 		ledgers: map[string]*numberLedger{}, claims: map[string]claim{},
@@ -102,18 +102,18 @@
 }
 
 // Kind returns fleet.Keeper.
-func (p *Part) Kind() fleet.Kind { return fleet.Keeper }
+func (p *Module) Kind() fleet.Kind { return fleet.Keeper }
 
 // Start takes the start time.
-func (p *Part) Start(now int64, out *fleet.Out) {
+func (p *Module) Start(now int64, out *fleet.Out) {
 	p.now, p.evaluatedAt, p.ledgersCheckedAt = now, now, now
 }
 
 // Done does nothing: the Part has no acts.
-func (p *Part) Done(now int64, act fleet.Act, err error, out *fleet.Out) {}
+func (p *Module) Done(now int64, act fleet.Act, err error, out *fleet.Out) {}
 
 // Message takes a message of another process. What cannot be decoded is counted and ignored.
-func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
+func (p *Module) Message(now int64, message fleet.Message, out *fleet.Out) {
 	p.now = now
 	p.counts.received++
 	ops, err := decodeOperations(message)
@@ -127,7 +127,7 @@
 }
 
 // View takes a new view of the processes.
-func (p *Part) View(now int64, view *fleet.View, out *fleet.Out) {
+func (p *Module) View(now int64, view *fleet.View, out *fleet.Out) {
 	previous := p.view
 	p.now, p.view = now, view
 	for i := range view.Members {
@@ -154,7 +154,7 @@
 }
 
 // adoptOwners creates or updates the clients of the numbers for which entries have announced owners.
-func (p *Part) adoptOwners(now int64, out *fleet.Out) {
+func (p *Module) adoptOwners(now int64, out *fleet.Out) {
 	slices.Sort(p.announcedOwners)
 	for _, key := range slices.Compact(p.announcedOwners) {
 		if owner := p.ownerOf(key); owner != nil {
@@ -170,7 +170,7 @@
 }
 
 // Tick takes what the loop has reported, and does what is due.
-func (p *Part) Tick(now int64, out *fleet.Out) {
+func (p *Module) Tick(now int64, out *fleet.Out) {
 	p.now = now
 	p.readQueue(now, out)
 	for len(p.dueClients) > 0 && p.dueClients[0].at <= now {
@@ -195,7 +195,7 @@
 }
 
 // sweep forgets numbers whose owner is not announced or heard any more.
-func (p *Part) sweep(now int64) {
+func (p *Module) sweep(now int64) {
 	if now-p.sweptAt < sweepInterval {
 		return
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (p *Part) readQueue(now int64, out *fleet.Out) {
+func (p *Module) readQueue(now int64, out *fleet.Out) {
 	for range cap(p.queue.reports) {
 		select {
 		case report := <-p.queue.reports:
@@ -230,7 +230,7 @@
 
 // recordContention records that calls to a number end busy here. It replaces the least requested number if there is no
 // room.
-func (p *Part) recordContention(now int64, report report) {
+func (p *Module) recordContention(now int64, report report) {
 	demand := p.localDemands[report.key]
 	if demand == nil {
 		if len(p.localDemands) >= maxLocalDemands {
@@ -251,10 +251,10 @@
 }
 
 // Next returns when Tick is due.
-func (p *Part) Next() int64 {
+func (p *Module) Next() int64 {
 	next := p.now + idleInterval
 	if len(p.clients) > 0 {
-		next = p.now + p.cfg.Poll
+		next = p.now + p.cfg.PollInterval
 	}
 	if len(p.dueClients) > 0 {
 		next = min(next, p.dueClients[0].at)
@@ -265,7 +265,7 @@
 	return max(p.now, next)
 }
 
-func (p *Part) wakeClient(client *ownerClient, at int64) {
+func (p *Module) wakeClient(client *ownerClient, at int64) {
 	if at < client.checkAt {
 		client.checkAt = at
 		heap.Push(&p.dueClients, dueTime{at, client.entry.key})
@@ -273,7 +273,7 @@
 }
 
 // publish puts the numbers that this process owns or sees in contention into its entry.
-func (p *Part) publish(now int64, out *fleet.Out) {
+func (p *Module) publish(now int64, out *fleet.Out) {
 	if now-p.publishedAt < publishInterval && p.publishedAt != 0 {
 		return
 	}
@@ -286,7 +286,7 @@
 }
 
 // Drain begins a planned shutdown: numbers owned here are handed over, and no more are claimed.
-func (p *Part) Drain(now int64, out *fleet.Out) {
+func (p *Module) Drain(now int64, out *fleet.Out) {
 	p.now, p.draining = now, true
 	for _, key := range sortedKeys(p.claims) {
 		delete(p.claims, key)
@@ -297,10 +297,10 @@
 }
 
 // Drained tells whether all numbers owned here have been handed over.
-func (p *Part) Drained() bool { return p.draining && len(p.ledgers) == 0 }
+func (p *Module) Drained() bool { return p.draining && len(p.ledgers) == 0 }
 
 // emit queues an operation for a process, this one included.
-func (p *Part) emit(to string, op operation) {
+func (p *Module) emit(to string, op operation) {
 	if to == p.cfg.Self {
 		p.localOperations = append(p.localOperations, op)
 	} else {
@@ -309,7 +309,7 @@
 }
 
 // flush handles the operations addressed to this process, and sends the others.
-func (p *Part) flush(now int64, out *fleet.Out) {
+func (p *Module) flush(now int64, out *fleet.Out) {
 	for len(p.localOperations) > 0 {
 		op := p.localOperations[0]
 		p.localOperations = p.localOperations[1:]
@@ -336,7 +336,7 @@
 }
 
 // handleOperation handles one operation of a message.
-func (p *Part) handleOperation(now int64, from string, op operation, out *fleet.Out) {
+func (p *Module) handleOperation(now int64, from string, op operation, out *fleet.Out) {
 	switch op.Op {
 	case opReport:
 		p.handleReport(now, from, op, out)
@@ -355,7 +355,7 @@
 }
 
 // handleReport takes a report for a number that this process owns, or answers who owns it.
-func (p *Part) handleReport(now int64, from string, op operation, out *fleet.Out) {
+func (p *Module) handleReport(now int64, from string, op operation, out *fleet.Out) {
 	ledger := p.ledgers[op.Key]
 	if ledger == nil {
 		if client := p.clients[op.Key]; client != nil && client.entry.fence.Load() > op.Fence &&
@@ -388,7 +388,7 @@
 }
 
 // replyPending sends the answers that waited for the record.
-func (p *Part) replyPending(now int64, ledger *numberLedger, grant lease.Grant, out *fleet.Out) {
+func (p *Module) replyPending(now int64, ledger *numberLedger, grant lease.Grant, out *fleet.Out) {
 	for _, peer := range ledger.peers {
 		if peer.answerPending {
 			ledger.answerReport(now, peer, grant)
@@ -398,7 +398,7 @@
 }
 
 // reply tells a process what it was granted for its newest report.
-func (p *Part) reply(now int64, ledger *numberLedger, peer *peerState, out *fleet.Out) {
+func (p *Module) reply(now int64, ledger *numberLedger, peer *peerState, out *fleet.Out) {
 	retryAfter, callerRetryAfter, share := ledger.retryTimes(now, peer)
 	if peer.granted >= peer.report.Wanted {
 		retryAfter = 0
@@ -414,13 +414,13 @@
 }
 
 // passNotes passes on the notes of a ledger.
-func (p *Part) passNotes(ledger *numberLedger, out *fleet.Out) {
+func (p *Module) passNotes(ledger *numberLedger, out *fleet.Out) {
 	out.Notes = append(out.Notes, ledger.notes...)
 	ledger.notes = ledger.notes[:0]
 }
 
 // grantAhead grants what may be granted in advance, and passes on the notes.
-func (p *Part) grantAhead(now int64, ledger *numberLedger, out *fleet.Out) {
+func (p *Module) grantAhead(now int64, ledger *numberLedger, out *fleet.Out) {
 	defer p.passNotes(ledger, out)
 	grant, held := p.cfg.Lessor.Held(now, ledger.leaseName)
 	if !held || grant.Fence != ledger.fence {
@@ -433,7 +433,7 @@
 
 // tickLedgers checks claimed and owned numbers: leases that were granted or have ended, records to be written, numbers
 // to be handed over or given up.
-func (p *Part) tickLedgers(now int64, out *fleet.Out) {
+func (p *Module) tickLedgers(now int64, out *fleet.Out) {
 	for _, key := range sortedKeys(p.claims) {
 		if grant, ok := p.cfg.Lessor.Held(now, leaseName(key)); ok {
 			delete(p.claims, key)
@@ -454,7 +454,7 @@
 
 // startOwnership creates the ledger from the previous owner's record, and asks the processes that may hold lines to
 // report what they hold.
-func (p *Part) startOwnership(now int64, key string, grant lease.Grant, out *fleet.Out) {
+func (p *Module) startOwnership(now int64, key string, grant lease.Grant, out *fleet.Out) {
 	ledger, err := newLedger(&p.cfg, key, leaseName(key), now, grant)
 	if err != nil {
 		p.counts.badRecords++
@@ -489,14 +489,14 @@
 	p.publish(now, out)
 }
 
-func (p *Part) tickLedger(now int64, ledger *numberLedger, out *fleet.Out) {
+func (p *Module) tickLedger(now int64, ledger *numberLedger, out *fleet.Out) {
 	grant, ok := p.cfg.Lessor.Held(now, ledger.leaseName)
 	if !ok || grant.Fence != ledger.fence {
 		delete(p.ledgers, ledger.key)
 		p.counts.lost++
 		p.cfg.Lessor.Release(now, ledger.leaseName, out)
 		out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "lost", Thing: ledger.key,
-			Fence: ledger.fence, Text: (&LostError{ledger.key}).Error()})
+			Fence: ledger.fence, Text: (&OwnershipLostError{ledger.key}).Error()})
 		p.publishedAt = 0
 		return
 	}
@@ -535,7 +535,7 @@
 }
 
 // storeRecord writes the record with the lease.
-func (p *Part) storeRecord(now int64, ledger *numberLedger, out *fleet.Out) {
+func (p *Module) storeRecord(now int64, ledger *numberLedger, out *fleet.Out) {
 	rec := ledger.prepareRecord(now)
 	write, err := p.cfg.Lessor.Write(now, ledger.leaseName, rec.encode(), out)
 	if err != nil {
@@ -547,7 +547,7 @@
 
 // handOver releases the lease of a number and asks the next owner to claim it; without one, it tells the processes in
 // the ledger that the contention is over.
-func (p *Part) handOver(now int64, ledger *numberLedger, out *fleet.Out) {
+func (p *Module) handOver(now int64, ledger *numberLedger, out *fleet.Out) {
 	delete(p.ledgers, ledger.key)
 	p.cfg.Lessor.Release(now, ledger.leaseName, out)
 	what := "moved"
@@ -568,7 +568,7 @@
 }
 
 // Figures reports the counters and gauges of the Part.
-func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
+func (p *Module) Figures(put func(name string, n uint64, gauge bool)) {
 	counts := &p.counts
 	put("keeper_numbers", uint64(len(p.clients)), true)
 	put("keeper_kept_now", uint64(len(p.ledgers)), true)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -173,7 +173,7 @@
 // withLines puts a number's known lines into a configuration that may lack a safeguard.
 func withLines(cfg keeper.Config, lines int) keeper.Config {
 	cfg.Lines = func(string) int { return lines }
-	cfg.Poll = 50_000 // the world wakes the Parts
+	cfg.PollInterval = 50_000 // the world wakes the Parts
 	return cfg
 }
 
@@ -204,7 +204,7 @@
 	checkLines(world, 10, func(s string) { found = s })
 	world.Run(60 * second)
 	for _, process := range world.Procs {
-		if open, _, _ := process.Table.Holds(world.Now, "08000000000"); process != world.Keeper(0) && open >= 2 {
+		if open, _, _ := process.Table.HeldLines(world.Now, "08000000000"); process != world.Keeper(0) && open >= 2 {
 			process.Reaches = func(string) bool { return false }
 			process.Suspect = true
 			break
--- a/internal/keeper/ledger.go
+++ b/internal/keeper/ledger.go
@@ -130,7 +130,7 @@
 		ledger.recordedLines, ledger.anyPreviousHolder, ledger.previousHolders =
 			max(stored.Lines, stored.Outstanding), stored.AnyHolder, stored.holders()
 		// The previous owner may have granted a permit just before this lease began, and clocks may drift apart.
-		ledger.previousPermitsUntil = now + int64(float64(cfg.PermitLifetime)*(1+2*cfg.Drift))
+		ledger.previousPermitsUntil = now + int64(float64(cfg.PermitLifetime)*(1+2*cfg.ClockDrift))
 		ledger.previousHoldersUntil = now + cfg.SilenceTimeout
 	}
 	if n := cfg.Lines(key); n > 0 {
@@ -269,7 +269,7 @@
 func (l *numberLedger) permitLifetime(now int64, peer *peerState, grant lease.Grant) int64 {
 	lifetime := l.cfg.PermitLifetime
 	if !l.cfg.disabled.noLeaseLimit {
-		lifetime = min(lifetime, int64(float64(grant.Until-now)/(1+2*l.cfg.Drift))+now-peer.reportedAt)
+		lifetime = min(lifetime, int64(float64(grant.Until-now)/(1+2*l.cfg.ClockDrift))+now-peer.reportedAt)
 	}
 	if lifetime-(now-peer.reportedAt) < minPermitLifetime {
 		l.lifetimeRefusals++
--- a/internal/keeper/owner_selection.go
+++ b/internal/keeper/owner_selection.go
@@ -64,7 +64,7 @@
 }
 
 // readEntry takes a member's part of its entry if it has changed.
-func (p *Part) readEntry(name string, body []byte) {
+func (p *Module) readEntry(name string, body []byte) {
 	entry := p.entries[name]
 	if entry != nil && len(entry.body) == len(body) && (len(body) == 0 || &entry.body[0] == &body[0]) {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func (p *Part) numberState(key string) *numberState {
+func (p *Module) numberState(key string) *numberState {
 	state := p.numbers[key]
 	if state == nil {
 		state = &numberState{key: key}
@@ -112,7 +112,7 @@
 	return state
 }
 
-func (p *Part) updateNumberState(key string, update func(*numberState)) {
+func (p *Module) updateNumberState(key string, update func(*numberState)) {
 	if state := p.numbers[key]; state != nil {
 		if update(state); len(state.reporters)+len(state.owners) == 0 {
 			delete(p.numbers, key)
@@ -121,7 +121,7 @@
 }
 
 // ownerOf returns the announced owner of a number with the highest fence; nil: none.
-func (p *Part) ownerOf(key string) *announcement {
+func (p *Module) ownerOf(key string) *announcement {
 	state := p.numbers[key]
 	if state == nil {
 		return nil
@@ -137,7 +137,7 @@
 
 // ownedElsewhere tells whether another process that is not suspected owns a number. A number owned by a suspected
 // process may be claimed: the lease decides.
-func (p *Part) ownedElsewhere(key string) bool {
+func (p *Module) ownedElsewhere(key string) bool {
 	owner := p.ownerOf(key)
 	if owner == nil || owner.name == p.cfg.Self {
 		return false
@@ -146,7 +146,7 @@
 	return member != nil && !member.Suspect
 }
 
-func (p *Part) members() []fleet.Member {
+func (p *Module) members() []fleet.Member {
 	if p.view == nil {
 		return nil
 	}
@@ -155,9 +155,9 @@
 
 // eligible tells whether a process may become the owner of a number: it is serving, not suspected, not next in a staged
 // change, and has room.
-func (p *Part) eligible(name string) bool {
+func (p *Module) eligible(name string) bool {
 	if name == p.cfg.Self {
-		if p.draining || len(p.ledgers)+len(p.claims) >= p.cfg.Most || p.cfg.Barred(name) {
+		if p.draining || len(p.ledgers)+len(p.claims) >= p.cfg.MaxOwned || p.cfg.Excluded(name) {
 			return false
 		}
 		member := p.view.Member(name)
@@ -165,11 +165,11 @@
 	}
 	member := p.view.Member(name)
 	if member == nil || member.State != fleet.Serving || member.Suspect && !p.cfg.disabled.allowSuspects ||
-		p.cfg.Barred(name) {
+		p.cfg.Excluded(name) {
 		return false
 	}
 	entry := p.entries[name]
-	return entry == nil || len(entry.part.Owned) < p.cfg.Most
+	return entry == nil || len(entry.part.Owned) < p.cfg.MaxOwned
 }
 
 // preferred orders the candidates for a number by demand, and equal ones by hash, so that all processes choose the
@@ -182,7 +182,7 @@
 }
 
 // chooseOwner returns the process that is to own a number without an owner; empty: no process is eligible.
-func (p *Part) chooseOwner(state *numberState) string {
+func (p *Module) chooseOwner(state *numberState) string {
 	best, highest := "", int64(0)
 	for _, reporter := range state.reporters {
 		if p.eligible(reporter.name) &&
@@ -195,7 +195,7 @@
 
 // isContended tells whether enough processes see a number in contention. One process alone may just have a problem of
 // its own with the number, such as an office of its own that answers busy.
-func (p *Part) isContended(state *numberState) bool {
+func (p *Module) isContended(state *numberState) bool {
 	required := minReporters
 	if len(state.reporters) < required && !p.cfg.disabled.singleReporter {
 		return false
@@ -214,7 +214,7 @@
 
 // evaluate claims the numbers in contention that have no owner and for which this process has been chosen for long
 // enough. It notes if no process is eligible for one.
-func (p *Part) evaluate(now int64, out *fleet.Out) {
+func (p *Module) evaluate(now int64, out *fleet.Out) {
 	var keys []string
 	for key, state := range p.numbers {
 		if len(state.reporters) > 0 {
@@ -246,7 +246,7 @@
 			if state.chosenSince = 0; now-p.fullNotedAt >= claimTimeout || p.fullNotedAt == 0 {
 				p.fullNotedAt = now
 				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Keeper, What: "full", Thing: key,
-					Text: (&FullError{key}).Error()})
+					Text: (&OwnerLimitError{key}).Error()})
 			}
 		default:
 			state.chosenSince = 0
@@ -254,7 +254,7 @@
 	}
 }
 
-func (p *Part) claimNumber(now int64, key string, out *fleet.Out) {
+func (p *Module) claimNumber(now int64, key string, out *fleet.Out) {
 	pending := claim{claimedAt: max(1, now)}
 	if owner := p.ownerOf(key); owner != nil {
 		pending.knownFence = uint64(owner.value)
@@ -267,7 +267,7 @@
 // successor returns the process that should own a number instead of this one: one whose demand has been enough
 // higher for long enough to be worth the cost of a move, or any eligible process if this one must hand over. Empty:
 // none. The margin and the delay prevent a number from moving back and forth between processes with the same demand.
-func (p *Part) successor(now int64, ledger *numberLedger) string {
+func (p *Module) successor(now int64, ledger *numberLedger) string {
 	best, highest, ownRate := "", int64(0), int64(0)
 	rate := func(peer *peerState) int64 {
 		if p.cfg.disabled.noHysteresis {
@@ -319,15 +319,15 @@
 }
 
 // mustHandOver tells whether this process may no longer own any number.
-func (p *Part) mustHandOver() bool {
+func (p *Module) mustHandOver() bool {
 	member := p.view.Member(p.cfg.Self)
 	return p.draining || member != nil && (member.State == fleet.Draining || member.State == fleet.Leaving) ||
-		p.cfg.Barred(p.cfg.Self)
+		p.cfg.Excluded(p.cfg.Self)
 }
 
 // entryPart returns this package's part of the process's entry: the numbers it owns, and those without an owner that
 // it sees in contention.
-func (p *Part) entryPart(now int64) entryPart {
+func (p *Module) entryPart(now int64) entryPart {
 	var part entryPart
 	for _, key := range sortedKeys(p.ledgers) {
 		ledger := p.ledgers[key]
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -47,9 +47,9 @@
 	t.snapshot.Store(snapshot)
 }
 
-// Holds returns the lines of a number that this process holds: calls and set-ups admitted with a permit, those
+// HeldLines returns the lines of a number that this process holds: calls and set-ups admitted with a permit, those
 // admitted without one, and unused permits that are still valid. It serves operators and tests.
-func (t *Table) Holds(now int64, key string) (open, fallback, permits int64) {
+func (t *Table) HeldLines(now int64, key string) (open, fallback, permits int64) {
 	entry := t.find(hashOf(key), key)
 	if entry == nil {
 		return 0, 0, 0
--- a/internal/lease/api.go
+++ b/internal/lease/api.go
@@ -14,9 +14,9 @@
 	Write uint64 // number of the write that stored it; 0: none
 }
 
-// Lessor is the interface through which other modules of the process use leases. It is called only from the modules'
+// Client is the interface through which other modules of the process use leases. It is called only from the modules'
 // goroutine.
-type Lessor interface {
+type Client interface {
 	// Claim requests a lease on a resource and keeps renewing it until Release.
 	Claim(now int64, resource string, out *fleet.Out)
 	// Release gives up the lease, so that another process can claim the resource at once.
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -103,15 +103,15 @@
 	p := New(Config{Self: "p1", Roster: 1, Names: rosterOf(5), Lease: 1_000_000})
 	p.Start(0, &fleet.Out{})
 	require(t, p.SetRoster(1, 1, rosterOf(5)) == nil, "the same roster was rejected")
-	requireErrorAs[*RosterEmptyError](t, p.SetRoster(1, 1, rosterOf(6)))
-	requireErrorAs[*RosterEmptyError](t, p.SetRoster(1, 2, nil))
-	requireErrorAs[*RosterEmptyError](t, p.SetRoster(1, 2, []string{"x", "x"}))
-	requireErrorAs[*RosterSkipError](t, p.SetRoster(1, 3, rosterOf(6)))
+	requireErrorAs[*InvalidRosterError](t, p.SetRoster(1, 1, rosterOf(6)))
+	requireErrorAs[*InvalidRosterError](t, p.SetRoster(1, 2, nil))
+	requireErrorAs[*InvalidRosterError](t, p.SetRoster(1, 2, []string{"x", "x"}))
+	requireErrorAs[*RosterSequenceError](t, p.SetRoster(1, 3, rosterOf(6)))
 	require(t, p.SetRoster(1, 2, rosterOf(6)) == nil, "the next roster was rejected")
-	young := requireErrorAs[*RosterYoungError](t, p.SetRoster(1_000_000, 3, rosterOf(7)))
+	young := requireErrorAs[*RosterChangeError](t, p.SetRoster(1_000_000, 3, rosterOf(7)))
 	require(t, young.Left == 10_001, "%d us left", young.Left)
 	require(t, p.SetRoster(1_010_001, 3, rosterOf(7)) == nil, "the next roster was rejected after a lease had passed")
-	requireErrorAs[*RosterSkipError](t, p.SetRoster(3_000_000, 2, rosterOf(6)))
+	requireErrorAs[*RosterSequenceError](t, p.SetRoster(3_000_000, 2, rosterOf(6)))
 	known, _ := p.Roster()
 	require(t, known == 3, "roster %d", known)
 }
@@ -173,7 +173,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		b, err := decode(raw)
 		if err != nil {
-			if !errors.As(err, new(*BodyError)) {
+			if !errors.As(err, new(*MessageError)) {
 				t.Errorf("%T", err)
 			}
 		} else if n := len(encode(&b)); n > fleet.MaxBody {
@@ -194,7 +194,7 @@
 	b, err := decode(encode(map[int]any{1: 1, 2: "a", 3: 1, 5: 7, 99: "of a newer version"}))
 	require(t, err == nil && b.Fence == 7, "%v: %+v", err, b)
 	_, err = decode(encode(&body{Type: typClaim, Thing: "a", Roster: 1, Fence: 1 << 63}))
-	requireErrorAs[*BodyError](t, err)
+	requireErrorAs[*MessageError](t, err)
 	// The longest message and the longest entry part fit.
 	name := string(make([]byte, MaxName))
 	big := body{9, name, maxNumber, 1<<64 - 1, maxNumber, 1<<64 - 1, maxNumber, maxNumber, make([]byte, MaxRecord),
--- a/internal/lease/chaos_test.go
+++ b/internal/lease/chaos_test.go
@@ -189,7 +189,7 @@
 	names := c.rosters[proc.roster]
 	c.do(proc, func(now int64, out *fleet.Out) {
 		err := proc.part.SetRoster(now, proc.roster+1, names)
-		var incomplete *RosterYoungError
+		var incomplete *RosterChangeError
 		if err == nil {
 			proc.roster, proc.names = proc.roster+1, names
 		} else if !errors.As(err, &incomplete) {
--- a/internal/lease/claimant.go
+++ b/internal/lease/claimant.go
@@ -76,21 +76,21 @@
 	holderFence  uint64
 }
 
-func (p *Part) findClaim(resource string) *claim {
+func (p *Module) findClaim(resource string) *claim {
 	if i, ok := p.claimIndex(resource); ok {
 		return p.claims[i]
 	}
 	return nil
 }
 
-func (p *Part) claimIndex(resource string) (int, bool) {
+func (p *Module) claimIndex(resource string) (int, bool) {
 	return slices.BinarySearchFunc(p.claims, resource,
 		func(c *claim, s string) int { return strings.Compare(c.resource, s) })
 }
 
 // Claim requests a lease on a resource and keeps renewing it until Release. An empty name, or one longer than MaxName,
 // is ignored.
-func (p *Part) Claim(now int64, resource string, out *fleet.Out) {
+func (p *Module) Claim(now int64, resource string, out *fleet.Out) {
 	p.advanceClock(now)
 	i, ok := p.claimIndex(resource)
 	if ok || len(resource) == 0 || len(resource) > MaxName {
@@ -105,7 +105,7 @@
 
 // Release gives up the lease, so that another process can claim the resource at once. A write that is not stored yet
 // may or may not take effect.
-func (p *Part) Release(now int64, resource string, out *fleet.Out) {
+func (p *Module) Release(now int64, resource string, out *fleet.Out) {
 	p.advanceClock(now)
 	i, ok := p.claimIndex(resource)
 	if !ok {
@@ -123,7 +123,7 @@
 }
 
 // sendRelease tells the electors that a fence is given up.
-func (p *Part) sendRelease(c *claim, out *fleet.Out) {
+func (p *Module) sendRelease(c *claim, out *fleet.Out) {
 	if c.phase == backingOff {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // Held returns the current grant of this process; if it returns false, the process may not act.
-func (p *Part) Held(now int64, resource string) (Grant, bool) {
+func (p *Module) Held(now int64, resource string) (Grant, bool) {
 	c := p.findClaim(resource)
 	if c == nil || c.phase != holding || max(now, p.now) >= c.expiresAt {
 		return Grant{}, false
@@ -147,7 +147,7 @@
 // Write replaces the record of a resource while its lease is held. The errors are *NotHeldError and *RecordSizeError.
 // The number is valid under the grant's fence: the write has taken effect once Held returns this number or a higher one
 // under the same fence as at the time of the call.
-func (p *Part) Write(now int64, resource string, value []byte, out *fleet.Out) (uint64, error) {
+func (p *Module) Write(now int64, resource string, value []byte, out *fleet.Out) (uint64, error) {
 	p.advanceClock(now)
 	if len(value) > MaxRecord {
 		return 0, &RecordSizeError{Resource: resource, Size: len(value)}
@@ -178,7 +178,7 @@
 }
 
 // resetVoters rebuilds the list of voters from the current rosters and discards all earlier answers.
-func (p *Part) resetVoters(c *claim) {
+func (p *Module) resetVoters(c *claim) {
 	c.voters, c.requests = nil, [16]request{}
 	for _, name := range p.electors(c.resource) {
 		c.voters = append(c.voters, voter{name: name, inCurrent: true})
@@ -194,7 +194,7 @@
 }
 
 // tickClaim does what is due: expiry, a new attempt, a renewal or a retry.
-func (p *Part) tickClaim(c *claim, out *fleet.Out) {
+func (p *Module) tickClaim(c *claim, out *fleet.Out) {
 	if c.phase == holding && p.now >= c.expiresAt {
 		p.counts.lapses++
 		p.publishPending = true
@@ -230,7 +230,7 @@
 }
 
 // startAttempt requests votes under a fence higher than any seen so far.
-func (p *Part) startAttempt(c *claim, out *fleet.Out) {
+func (p *Module) startAttempt(c *claim, out *fleet.Out) {
 	p.counts.attempts++
 	c.fence = max(c.highestFence, p.highestFence) + 1
 	c.highestFence = c.fence
@@ -243,7 +243,7 @@
 }
 
 // sendRequest sends a request to all electors, or only to those that have not answered.
-func (p *Part) sendRequest(c *claim, all bool, out *fleet.Out) {
+func (p *Module) sendRequest(c *claim, all bool, out *fleet.Out) {
 	if all {
 		c.lastBroadcast, c.retryInterval = p.now, p.retryInterval
 	}
@@ -269,7 +269,7 @@
 }
 
 // newRequest records a request and returns its message.
-func (p *Part) newRequest(c *claim) body {
+func (p *Module) newRequest(c *claim) body {
 	p.lastSeq++
 	question := &c.requests[p.lastSeq%uint64(len(c.requests))]
 	*question = request{seq: p.lastSeq, sentAt: p.now, isHold: c.phase != requestingVotes}
@@ -291,10 +291,10 @@
 }
 
 // majorityAnsweredLatest reports whether a majority has answered the last request sent to all.
-func (p *Part) majorityAnsweredLatest(c *claim) bool { return p.hasMajority(c, c.answeredLatest) }
+func (p *Module) majorityAnsweredLatest(c *claim) bool { return p.hasMajority(c, c.answeredLatest) }
 
 // needsBothMajorities reports whether a majority of the previous electors is required as well.
-func (p *Part) needsBothMajorities(c *claim) bool {
+func (p *Module) needsBothMajorities(c *claim) bool {
 	if p.overrides.currentMajorityOnly {
 		return false
 	}
@@ -311,7 +311,7 @@
 
 // hasMajority reports whether the condition holds for a majority of the electors, in both rosters where both are
 // required.
-func (p *Part) hasMajority(c *claim, condition func(*voter) bool) bool {
+func (p *Module) hasMajority(c *claim, condition func(*voter) bool) bool {
 	var total, count, previousTotal, previousCount int
 	for i := range c.voters {
 		v := &c.voters[i]
@@ -337,7 +337,7 @@
 
 // voteDuration is how long a vote counts here, from the time its request was sent. It is shorter than at any elector by
 // the drift margin.
-func (p *Part) voteDuration() int64 {
+func (p *Module) voteDuration() int64 {
 	if p.overrides.noDriftMargin {
 		return p.cfg.Lease
 	}
@@ -345,7 +345,7 @@
 }
 
 // votesExpireAt returns until when a majority of the votes is valid.
-func (p *Part) votesExpireAt(c *claim) int64 {
+func (p *Module) votesExpireAt(c *claim) int64 {
 	majorityExpiry := func(included, counts func(*voter) bool) int64 {
 		var sentTimes []int64
 		total := 0
@@ -371,7 +371,7 @@
 }
 
 // handleReply handles a vote or a refusal.
-func (p *Part) handleReply(from string, msg body, out *fleet.Out) {
+func (p *Module) handleReply(from string, msg body, out *fleet.Out) {
 	p.observeRoster(msg.Roster)
 	p.observeFence(msg.HighestFence)
 	c := p.findClaim(msg.Thing)
@@ -416,7 +416,7 @@
 }
 
 // advanceClaim moves a claim to its next phase if a majority has answered.
-func (p *Part) advanceClaim(c *claim, out *fleet.Out) {
+func (p *Module) advanceClaim(c *claim, out *fleet.Out) {
 	valid := func(sent int64) bool { return p.now < sent+p.voteDuration() }
 	if c.phase == requestingVotes && p.hasMajority(c, func(v *voter) bool { return v.voted && valid(v.voteSentAt) }) {
 		// Before it acts, the holder stores the learned record under its own fence. Otherwise a write that only a
@@ -449,7 +449,7 @@
 		if until := p.votesExpireAt(c); until > c.expiresAt {
 			c.expiresAt = until
 			p.counts.renewals++
-			if p.cfg.Renewals {
+			if p.cfg.NoteRenewals {
 				out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Lease, What: "renewed", Thing: c.resource,
 					Fence: c.fence, Until: c.expiresAt})
 			}
@@ -460,7 +460,7 @@
 	}
 }
 
-func (p *Part) grantLease(c *claim, out *fleet.Out) {
+func (p *Module) grantLease(c *claim, out *fleet.Out) {
 	until := p.votesExpireAt(c)
 	if until <= p.now {
 		return // too late; the request is repeated
@@ -476,7 +476,7 @@
 }
 
 // handleRefusal records why an elector does not vote, and abandons an attempt that can no longer succeed.
-func (p *Part) handleRefusal(c *claim, v *voter, msg body, out *fleet.Out) {
+func (p *Module) handleRefusal(c *claim, v *voter, msg body, out *fleet.Out) {
 	v.reason, v.holder, v.holderFence = msg.Reason, msg.Holder, msg.HighestFence
 	switch msg.Reason {
 	case Learning: // the elector sends a message when it has finished learning
@@ -505,14 +505,14 @@
 }
 
 // majorityPossible reports whether the electors that have not refused can still form a majority.
-func (p *Part) majorityPossible(c *claim) bool {
+func (p *Module) majorityPossible(c *claim) bool {
 	return p.hasMajority(c, func(v *voter) bool { return p.now >= v.blockedUntil })
 }
 
 // abandonAttempt releases the votes of a failed attempt and backs off: until the votes for a holder expire if a
 // majority votes for one, else for a random delay that grows with the number of failed attempts, for claimants that
 // took votes from each other.
-func (p *Part) abandonAttempt(c *claim, out *fleet.Out) {
+func (p *Module) abandonAttempt(c *claim, out *fleet.Out) {
 	p.sendRelease(c, out)
 	c.phase = backingOff
 	c.failedAttempts++
@@ -554,7 +554,7 @@
 }
 
 // handleFree handles the message of an elector that refused earlier and can vote now.
-func (p *Part) handleFree(from string, msg body, out *fleet.Out) {
+func (p *Module) handleFree(from string, msg body, out *fleet.Out) {
 	c := p.findClaim(msg.Thing)
 	if c == nil {
 		return
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -71,7 +71,7 @@
 
 // requiredRoster returns the roster under which this process must have learned a resource before it votes on it; 0: it
 // is not an elector of the resource.
-func (p *Part) requiredRoster(resourceName string) uint64 {
+func (p *Module) requiredRoster(resourceName string) uint64 {
 	if slices.Contains(p.electors(resourceName), p.cfg.Self) {
 		return p.roster
 	}
@@ -82,7 +82,7 @@
 }
 
 // ensureResource returns the state of a resource and creates it if there is room; nil: there is none.
-func (p *Part) ensureResource(resourceName string) *resource {
+func (p *Module) ensureResource(resourceName string) *resource {
 	if res := p.resources[resourceName]; res != nil {
 		return res
 	}
@@ -120,7 +120,7 @@
 }
 
 // handleClaim decides on a claim or its renewal.
-func (p *Part) handleClaim(from string, msg body, out *fleet.Out) {
+func (p *Module) handleClaim(from string, msg body, out *fleet.Out) {
 	p.observeFence(msg.Fence)
 	p.observeRoster(msg.Roster)
 	refuse := func(res *resource, why Reason, left int64) {
@@ -209,7 +209,7 @@
 
 // handleRelease ends the vote for a claimant that gives up its fence, and makes sure that a delayed claim under that
 // fence gets no vote.
-func (p *Part) handleRelease(from string, msg body, out *fleet.Out) {
+func (p *Module) handleRelease(from string, msg body, out *fleet.Out) {
 	res := p.resources[msg.Thing]
 	if res == nil {
 		return
@@ -230,7 +230,7 @@
 }
 
 // notifyWaiters tells refused claimants that they can ask again.
-func (p *Part) notifyWaiters(res *resource, out *fleet.Out) {
+func (p *Module) notifyWaiters(res *resource, out *fleet.Out) {
 	for _, w := range res.waiters {
 		p.send(w, body{Type: typFree, Thing: res.name, Fence: res.fence}, out)
 	}
@@ -239,7 +239,7 @@
 
 // startLearning starts to ask the resource's other electors, those of the previous roster included, for their state of
 // it. tickLearning sends the requests.
-func (p *Part) startLearning(res *resource) {
+func (p *Module) startLearning(res *resource) {
 	if res.learning {
 		return
 	}
@@ -268,14 +268,14 @@
 	p.learning = append(p.learning, res)
 }
 
-func (p *Part) stopLearning(res *resource) {
+func (p *Module) stopLearning(res *resource) {
 	res.learning, res.peers = false, nil
 	p.learning = slices.DeleteFunc(p.learning, func(o *resource) bool { return o == res })
 }
 
 // tickLearning starts a new learn round when it is due, and asks all peers again. Answers to earlier rounds then only
 // serve to detect peers that stay unready (see peer.unreadyRound).
-func (p *Part) tickLearning(res *resource, out *fleet.Out) {
+func (p *Module) tickLearning(res *resource, out *fleet.Out) {
 	if !res.learning || p.now < res.nextLearnAt {
 		return
 	}
@@ -302,7 +302,7 @@
 // handleLearn answers another elector's learn request with the local state. It first records the request's roster
 // number, so that no claim under an older roster gets a vote from now on and what the requester learns from a majority
 // stays complete.
-func (p *Part) handleLearn(from string, msg body, out *fleet.Out) {
+func (p *Module) handleLearn(from string, msg body, out *fleet.Out) {
 	if msg.Roster > p.roster+1 {
 		return
 	}
@@ -330,7 +330,7 @@
 }
 
 // handleKnown handles another elector's answer to a learn request.
-func (p *Part) handleKnown(from string, msg body, out *fleet.Out) {
+func (p *Module) handleKnown(from string, msg body, out *fleet.Out) {
 	p.observeFence(msg.Fence)
 	p.observeRoster(msg.Roster)
 	res := p.resources[msg.Thing]
@@ -372,7 +372,7 @@
 
 // finishLearning ends learning; from now on this process votes on the resource under the required roster. Up to the
 // time until, its votes report that a majority of the previous electors is required as well.
-func (p *Part) finishLearning(res *resource, required uint64, until int64, out *fleet.Out) {
+func (p *Module) finishLearning(res *resource, required uint64, until int64, out *fleet.Out) {
 	res.readyRoster, res.bothMajoritiesUntil = required, max(res.bothMajoritiesUntil, until)
 	p.counts.learned++
 	p.stopLearning(res)
@@ -402,7 +402,7 @@
 // roster: whatever this process voted for or stored before its restart was also voted for or stored by one of them. It
 // is also complete if a majority, including this process, had lost the state at one moment. Then a new state starts; if
 // the previous roster is known, a majority of its electors must first report their state or have lost it too.
-func (p *Part) checkLearned(res *resource, out *fleet.Out) {
+func (p *Module) checkLearned(res *resource, out *fleet.Out) {
 	required := p.requiredRoster(res.name)
 	electors := p.electors(res.name)
 	if res.learnRound == 0 {
--- a/internal/lease/errors.go
+++ b/internal/lease/errors.go
@@ -7,49 +7,49 @@
 )
 
 // Errors lists all errors of this package, for the operators' page.
-var Errors = []advice.Advised{&FenceError{}, &RosterSkipError{}, &RosterYoungError{}, &RosterEmptyError{},
+var Errors = []advice.Advised{&StaleFenceError{}, &RosterSequenceError{}, &RosterChangeError{}, &InvalidRosterError{},
 	&NotHeldError{},
-	&RecordSizeError{}, &ThingNameError{}, &BodyError{}, &RefusedError{}}
+	&RecordSizeError{}, &ResourceNameError{}, &MessageError{}, &RefusedError{}}
 
-// FenceError refuses an action under a fence lower than one already seen.
-type FenceError struct {
+// StaleFenceError refuses an action under a fence lower than one already seen.
+type StaleFenceError struct {
 	Resource       string
 	Fence, Highest uint64
 }
 
-func (e *FenceError) Error() string {
+func (e *StaleFenceError) Error() string {
 	return fmt.Sprintf("%s: fence %d is lower than fence %d, which has already been seen", e.Resource, e.Fence,
 		e.Highest)
 }
 
 // Advice returns what an operator can do.
-func (e *FenceError) Advice() string {
+func (e *StaleFenceError) Advice() string {
 	return "Ignore a single case: an earlier holder acted late and was refused; restart a process that repeats it."
 }
 
-// RosterSkipError rejects a roster whose number does not follow the current one.
-type RosterSkipError struct{ Current, Got uint64 }
+// RosterSequenceError rejects a roster whose number does not follow the current one.
+type RosterSequenceError struct{ Current, Got uint64 }
 
-func (e *RosterSkipError) Error() string {
+func (e *RosterSequenceError) Error() string {
 	return fmt.Sprintf("roster %d does not follow roster %d", e.Got, e.Current)
 }
 
 // Advice returns what an operator can do.
-func (e *RosterSkipError) Advice() string {
+func (e *RosterSequenceError) Advice() string {
 	return fmt.Sprintf(
 		"Install roster %d first, one lease apart from the next, or restart this process with the others' roster.",
 		e.Current+1)
 }
 
-// RosterYoungError rejects a roster while the previous change is not complete: it is younger than a lease, or local
+// RosterChangeError rejects a roster while the previous change is not complete: it is younger than a lease, or local
 // state has not been transferred to the new electors.
-type RosterYoungError struct {
+type RosterChangeError struct {
 	Current, Got uint64
 	Left         int64 // microseconds; 0: only the transfer of resources is not complete
 	Resources    int   // number of resources still to be transferred
 }
 
-func (e *RosterYoungError) Error() string {
+func (e *RosterChangeError) Error() string {
 	return fmt.Sprintf(
 		"roster %d rejected: the change to roster %d is incomplete, %d ms and %d resource transfers remain", e.Got,
 		e.Current,
@@ -57,22 +57,22 @@
 }
 
 // Advice returns what an operator can do.
-func (e *RosterYoungError) Advice() string {
+func (e *RosterChangeError) Advice() string {
 	return fmt.Sprintf(
 		"Check that a majority of roster %d and of the previous one is running, wait, and install roster %d again.",
 		e.Current, e.Got)
 }
 
-// RosterEmptyError rejects a roster without names, with a duplicate name, or with a different list under a used number.
-type RosterEmptyError struct {
+// InvalidRosterError rejects a roster without names, with a duplicate name, or with a different list under a used number.
+type InvalidRosterError struct {
 	Number uint64
 	Reason string
 }
 
-func (e *RosterEmptyError) Error() string { return fmt.Sprintf("roster %d: %s", e.Number, e.Reason) }
+func (e *InvalidRosterError) Error() string { return fmt.Sprintf("roster %d: %s", e.Number, e.Reason) }
 
 // Advice returns what an operator can do.
-func (e *RosterEmptyError) Advice() string {
+func (e *InvalidRosterError) Advice() string {
 	return "Correct the roster in the site file: each name once, and a new number for each new list."
 }
 
@@ -101,25 +101,25 @@
 	return "Report it as a bug, with the version: no setting makes a record this large."
 }
 
-// ThingNameError rejects a resource name that is empty or longer than MaxName.
-type ThingNameError struct{ Size int }
+// ResourceNameError rejects a resource name that is empty or longer than MaxName.
+type ResourceNameError struct{ Size int }
 
-func (e *ThingNameError) Error() string {
+func (e *ResourceNameError) Error() string {
 	return fmt.Sprintf("resource name of %d bytes: the length must be 1 to %d", e.Size, MaxName)
 }
 
 // Advice returns what an operator can do.
-func (e *ThingNameError) Advice() string {
+func (e *ResourceNameError) Advice() string {
 	return "Shorten the number or the change's name in the site file."
 }
 
-// BodyError says why a message was dropped.
-type BodyError struct{ Reason string }
+// MessageError says why a message was dropped.
+type MessageError struct{ Reason string }
 
-func (e *BodyError) Error() string { return "lease message dropped: " + e.Reason }
+func (e *MessageError) Error() string { return "lease message dropped: " + e.Reason }
 
 // Advice returns what an operator can do.
-func (e *BodyError) Advice() string {
+func (e *MessageError) Advice() string {
 	return "Check for another cluster or program on the fleet's addresses; a few during an update are version skew."
 }
 
--- a/internal/lease/gate.go
+++ b/internal/lease/gate.go
@@ -11,7 +11,7 @@
 // fence equal to the highest belongs to the same holder.
 func (g *Gate) Admit(resource string, fence uint64) error {
 	if highest := g.highest[resource]; fence < highest && !g.disabled {
-		return &FenceError{Resource: resource, Fence: fence, Highest: highest}
+		return &StaleFenceError{Resource: resource, Fence: fence, Highest: highest}
 	}
 	if g.highest == nil {
 		g.highest = map[string]uint64{}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -35,8 +35,8 @@
 	// claimed for EvictAfter are evicted, the least recently used first; EvictAfter 0: an hour.
 	MaxResources int
 	EvictAfter   int64
-	// Renewals also adds a note for each renewal, for tests that read the history.
-	Renewals bool
+	// NoteRenewals also adds a note for each renewal, for tests that read the history.
+	NoteRenewals bool
 }
 
 // testOverrides disables safeguards one by one, for tests that check that each missing safeguard is detected.
@@ -56,9 +56,9 @@
 	noJitter            bool // not a safeguard: no jitter, for the state search
 }
 
-// Part manages the leases of one process, both as an elector and as a claimant of resources. It implements fleet.Module
+// Module manages the leases of one process, both as an elector and as a claimant of resources. It implements fleet.Module
 // and Lessor. It is not safe for concurrent use.
-type Part struct {
+type Module struct {
 	cfg           Config
 	overrides     testOverrides
 	driftMargin   int64 // maximum drift between two clocks over one lease
@@ -100,12 +100,12 @@
 }
 
 var (
-	_ fleet.Module = (*Part)(nil)
-	_ Lessor       = (*Part)(nil)
+	_ fleet.Module = (*Module)(nil)
+	_ Client       = (*Module)(nil)
 )
 
 // New returns a Part without any state of earlier runs.
-func New(config Config) *Part {
+func New(config Config) *Module {
 	config.Roster = max(config.Roster, 1)
 	if config.Electors <= 0 {
 		config.Electors = 5
@@ -124,7 +124,7 @@
 		config.EvictAfter = 3_600_000_000
 	}
 	config.Floor = min(config.Floor, maxNumber>>1)
-	p := &Part{cfg: config, roster: config.Roster, highestRoster: config.Roster, highestFence: config.Floor,
+	p := &Module{cfg: config, roster: config.Roster, highestRoster: config.Roster, highestFence: config.Floor,
 		fenceFloor: config.Floor, resources: map[string]*resource{}}
 	p.driftMargin = int64(math.Ceil(float64(config.Lease) * config.Drift))
 	p.retryInterval = max(config.Lease/64, 1)
@@ -170,11 +170,11 @@
 	return electors
 }
 
-func (p *Part) electors(resource string) []string {
+func (p *Module) electors(resource string) []string {
 	return Electors(resource, p.rosterNames, p.cfg.Electors)
 }
 
-func (p *Part) previousElectors(resource string) []string {
+func (p *Module) previousElectors(resource string) []string {
 	if p.previousNames == nil {
 		return nil
 	}
@@ -182,7 +182,7 @@
 }
 
 // majority returns the size of a majority of n electors.
-func (p *Part) majority(n int) int {
+func (p *Module) majority(n int) int {
 	if p.overrides.smallMajority {
 		return max(n/2, 1)
 	}
@@ -190,10 +190,10 @@
 }
 
 // leaseWait is how long the local clock must run until a lease has expired by every other clock.
-func (p *Part) leaseWait() int64 { return p.cfg.Lease + p.driftMargin }
+func (p *Module) leaseWait() int64 { return p.cfg.Lease + p.driftMargin }
 
 // jitter returns a random number in [0, n).
-func (p *Part) jitter(n int64) int64 {
+func (p *Module) jitter(n int64) int64 {
 	if n <= 0 || p.overrides.noJitter {
 		return 0
 	}
@@ -201,7 +201,7 @@
 }
 
 // observeFence updates the highest fence seen for any resource.
-func (p *Part) observeFence(fence uint64) {
+func (p *Module) observeFence(fence uint64) {
 	if fence > p.highestFence && fence <= maxNumber>>1 {
 		p.highestFence, p.publishPending = fence, true
 	}
@@ -211,20 +211,20 @@
 // comes while the previous change is not complete (*RosterYoungError), and an invalid list (*RosterEmptyError); the
 // current roster then stays. Installing the current roster again is no error. The resulting messages are sent at the
 // next Tick, which is due at once.
-func (p *Part) SetRoster(now int64, number uint64, names []string) error {
+func (p *Module) SetRoster(now int64, number uint64, names []string) error {
 	p.advanceClock(now)
 	members := sortedUnique(names)
 	switch {
 	case len(members) == 0:
-		return &RosterEmptyError{Number: number, Reason: "it lists no names"}
+		return &InvalidRosterError{Number: number, Reason: "it lists no names"}
 	case len(members) != len(names):
-		return &RosterEmptyError{Number: number, Reason: "it lists a name twice"}
+		return &InvalidRosterError{Number: number, Reason: "it lists a name twice"}
 	case number == p.roster && slices.Equal(members, p.rosterNames):
 		return nil
 	case number == p.roster:
-		return &RosterEmptyError{Number: number, Reason: "a different list already has this number"}
+		return &InvalidRosterError{Number: number, Reason: "a different list already has this number"}
 	case number != p.roster+1:
-		return &RosterSkipError{Current: p.roster, Got: number}
+		return &RosterSequenceError{Current: p.roster, Got: number}
 	}
 	transferring := 0
 	for _, res := range p.resources {
@@ -233,7 +233,7 @@
 		}
 	}
 	if now < p.bothMajoritiesUntil || transferring > 0 {
-		return &RosterYoungError{Current: p.roster, Got: number, Left: max(p.bothMajoritiesUntil-now, 0),
+		return &RosterChangeError{Current: p.roster, Got: number, Left: max(p.bothMajoritiesUntil-now, 0),
 			Resources: transferring}
 	}
 	p.previousNames, p.rosterNames, p.roster = p.rosterNames, members, number
@@ -261,23 +261,23 @@
 }
 
 // Roster returns the number of the installed roster and the highest number seen.
-func (p *Part) Roster() (known, heard uint64) { return p.roster, p.highestRoster }
+func (p *Module) Roster() (known, heard uint64) { return p.roster, p.highestRoster }
 
 // observeRoster records the roster number of a message. It accepts only the next number, to guard against a corrupted
 // one.
-func (p *Part) observeRoster(number uint64) {
+func (p *Module) observeRoster(number uint64) {
 	if number == p.roster+1 && !p.overrides.noRosterNotice && !p.overrides.noRosterCheck {
 		p.highestRoster = max(p.highestRoster, number)
 	}
 }
 
-func (p *Part) advanceClock(now int64) { p.now = max(p.now, now) }
+func (p *Module) advanceClock(now int64) { p.now = max(p.now, now) }
 
 // Kind returns fleet.Lease.
-func (p *Part) Kind() fleet.Kind { return fleet.Lease }
+func (p *Module) Kind() fleet.Kind { return fleet.Lease }
 
 // Start begins the waiting time after which the process votes.
-func (p *Part) Start(now int64, out *fleet.Out) {
+func (p *Module) Start(now int64, out *fleet.Out) {
 	p.now = now
 	p.voteFrom = now + p.leaseWait()
 	if p.overrides.noStartWait {
@@ -291,7 +291,7 @@
 }
 
 // Message handles a lease message of another process. Messages that cannot be decoded are counted and dropped.
-func (p *Part) Message(now int64, message fleet.Message, out *fleet.Out) {
+func (p *Module) Message(now int64, message fleet.Message, out *fleet.Out) {
 	p.advanceClock(now)
 	p.counts.received++
 	msg, err := decode(message.Body)
@@ -303,7 +303,7 @@
 	p.flush(out)
 }
 
-func (p *Part) handle(from string, msg body, out *fleet.Out) {
+func (p *Module) handle(from string, msg body, out *fleet.Out) {
 	switch msg.Type {
 	case typClaim, typHold:
 		p.handleClaim(from, msg, out)
@@ -321,7 +321,7 @@
 }
 
 // View reads the highest fences and the holder hints from the members' entries.
-func (p *Part) View(now int64, view *fleet.View, out *fleet.Out) {
+func (p *Module) View(now int64, view *fleet.View, out *fleet.Out) {
 	p.advanceClock(now)
 	p.hints = make(map[string]hint, len(p.hints))
 	parts := make(map[string]cachedEntryPart, len(view.Members))
@@ -357,10 +357,10 @@
 }
 
 // Done does nothing: leases request no acts.
-func (p *Part) Done(int64, fleet.Act, error, *fleet.Out) {}
+func (p *Module) Done(int64, fleet.Act, error, *fleet.Out) {}
 
 // Tick performs due retries, renewals and expiries.
-func (p *Part) Tick(now int64, out *fleet.Out) {
+func (p *Module) Tick(now int64, out *fleet.Out) {
 	p.advanceClock(now)
 	for i := 0; i < len(p.learning); { // tickLearning may remove it
 		res := p.learning[i]
@@ -380,7 +380,7 @@
 }
 
 // Next returns when the first retry, renewal or expiry is due.
-func (p *Part) Next() int64 {
+func (p *Module) Next() int64 {
 	next := int64(math.MaxInt64)
 	for _, res := range p.learning {
 		next = min(next, res.nextLearnAt)
@@ -392,7 +392,7 @@
 }
 
 // send queues a message for another process, or for the elector or claimant of this one.
-func (p *Part) send(to string, msg body, out *fleet.Out) {
+func (p *Module) send(to string, msg body, out *fleet.Out) {
 	if to == p.cfg.Self {
 		p.selfMessages = append(p.selfMessages, msg)
 		return
@@ -402,7 +402,7 @@
 }
 
 // flush delivers the messages that this process sent to itself and publishes changes in its entry.
-func (p *Part) flush(out *fleet.Out) {
+func (p *Module) flush(out *fleet.Out) {
 	for i := 0; i < len(p.selfMessages); i++ {
 		p.handle(p.cfg.Self, p.selfMessages[i], out)
 	}
@@ -424,7 +424,7 @@
 }
 
 // Holder returns the last known holder of a resource. It is only a hint.
-func (p *Part) Holder(resource string) (name string, fence uint64) {
+func (p *Module) Holder(resource string) (name string, fence uint64) {
 	latest := p.hints[resource]
 	if res := p.resources[resource]; res != nil && res.fenceOwner != "" && !res.released && res.fence > latest.fence {
 		latest = hint{res.fenceOwner, res.fence}
@@ -442,7 +442,7 @@
 
 // Figures reports the package's metrics. While a majority answers, a held lease costs one request to each of its
 // electors, and the answers, every third of a lease.
-func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
+func (p *Module) Figures(put func(name string, n uint64, gauge bool)) {
 	held := uint64(0)
 	for _, counters := range p.claims {
 		if counters.phase == holding && p.now < counters.expiresAt {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -134,10 +134,10 @@
 func decode(raw []byte) (body, error) {
 	var msg body
 	if len(raw) > fleet.MaxBody {
-		return msg, &BodyError{Reason: "too long"}
+		return msg, &MessageError{Reason: "too long"}
 	}
 	if err := decoder.Unmarshal(raw, &msg); err != nil {
-		return body{}, &BodyError{Reason: err.Error()}
+		return body{}, &MessageError{Reason: err.Error()}
 	}
 	why := ""
 	switch {
@@ -160,7 +160,7 @@
 		why = "the claim has no fence or no roster number"
 	}
 	if why != "" {
-		return body{}, &BodyError{Reason: why}
+		return body{}, &MessageError{Reason: why}
 	}
 	return msg, nil
 }
--- a/internal/lease/search_test.go
+++ b/internal/lease/search_test.go
@@ -48,7 +48,7 @@
 
 // searchState is a state of the search. Its Parts and envelopes are never modified once they belong to a state.
 type searchState struct {
-	parts     [5]*Part
+	parts     [5]*Module
 	inTransit []envelope // delivered in this order
 	delayed   []envelope // may be delivered
 	step      int
@@ -72,7 +72,7 @@
 	lastProcess    int       // index of the process that handled the last event
 }
 
-func (p *Part) clone() *Part {
+func (p *Module) clone() *Module {
 	clone := *p
 	clone.resources = make(map[string]*resource, len(p.resources))
 	clone.learning = nil
@@ -100,7 +100,7 @@
 
 // apply runs an event in a process and returns the resulting state.
 func (s *search) apply(state *searchState, i int, what string,
-	f func(p *Part, now int64, out *fleet.Out)) *searchState {
+	f func(p *Module, now int64, out *fleet.Out)) *searchState {
 	next := *state
 	next.parent, next.event, next.message, next.lastProcess = s.parentOf(state), what, nil, i
 	next.parts[i] = state.parts[i].clone()
@@ -118,7 +118,7 @@
 }
 
 // applyTo runs an event in a state that is not shared yet.
-func (s *search) applyTo(state *searchState, i int, f func(p *Part, now int64, out *fleet.Out)) {
+func (s *search) applyTo(state *searchState, i int, f func(p *Module, now int64, out *fleet.Out)) {
 	var out fleet.Out
 	f(state.parts[i], s.clock(i, state.step), &out)
 	state.inTransit = slices.Clip(state.inTransit)
@@ -269,11 +269,11 @@
 	for i := range state.parts {
 		s.startProcess(state, i)
 	}
-	s.applyTo(state, 3, func(p *Part, now int64, out *fleet.Out) { p.Claim(now, "a", out) })
+	s.applyTo(state, 3, func(p *Module, now int64, out *fleet.Out) { p.Claim(now, "a", out) })
 	for state.step = 0; state.step < 10; state.step++ {
 		s.deliverAll(state)
 		for i := range state.parts {
-			s.applyTo(state, i, func(p *Part, now int64, out *fleet.Out) { p.Tick(now, out) })
+			s.applyTo(state, i, func(p *Module, now int64, out *fleet.Out) { p.Tick(now, out) })
 		}
 	}
 	s.deliverAll(state)
@@ -282,7 +282,7 @@
 		s.violation = "the initial state was not reached"
 	}
 	state.highestFence = grant.Fence
-	s.applyTo(state, 3, func(p *Part, now int64, out *fleet.Out) { p.Release(now, "a", out) })
+	s.applyTo(state, 3, func(p *Module, now int64, out *fleet.Out) { p.Release(now, "a", out) })
 	s.deliverAll(state)
 	return state
 }
@@ -291,7 +291,7 @@
 	for len(state.inTransit) > 0 {
 		l := state.inTransit[0]
 		state.inTransit = state.inTransit[1:]
-		s.applyTo(state, l.to, func(p *Part, now int64, out *fleet.Out) { p.Message(now, l.m, out) })
+		s.applyTo(state, l.to, func(p *Module, now int64, out *fleet.Out) { p.Message(now, l.m, out) })
 	}
 }
 
@@ -304,14 +304,14 @@
 	p.overrides = s.overrides
 	p.overrides.noJitter = true
 	state.parts[i] = p
-	s.applyTo(state, i, func(p *Part, now int64, out *fleet.Out) { p.Start(now, out) })
+	s.applyTo(state, i, func(p *Module, now int64, out *fleet.Out) { p.Start(now, out) })
 }
 
 // successors returns the possible next states.
 func (s *search) successors(state *searchState) []*searchState {
 	var all []*searchState
 	deliver := func(state *searchState, l envelope, what string) *searchState {
-		x := s.apply(state, l.to, what, func(p *Part, now int64, out *fleet.Out) { p.Message(now, l.m, out) })
+		x := s.apply(state, l.to, what, func(p *Module, now int64, out *fleet.Out) { p.Message(now, l.m, out) })
 		x.message = &l
 		return x
 	}
@@ -382,7 +382,7 @@
 		for i := range x.parts {
 			if now := s.clock(i, x.step); x.parts[i].Next() <= now {
 				x.parts[i] = x.parts[i].clone()
-				s.applyTo(x, i, func(p *Part, now int64, out *fleet.Out) { p.Tick(now, out) })
+				s.applyTo(x, i, func(p *Module, now int64, out *fleet.Out) { p.Tick(now, out) })
 			} else if len(x.parts[i].claims) > 0 {
 				x.parts[i] = x.parts[i].clone()
 				x.parts[i].advanceClock(now)
@@ -406,20 +406,20 @@
 		p := state.parts[3+c]
 		// the first claim is always by claimant 1
 		if state.claims > 0 && len(p.claims) == 0 && (c == 0 || state.claims == 1) {
-			x := s.apply(state, 3+c, "claim", func(p *Part, now int64, out *fleet.Out) { p.Claim(now, "a", out) })
+			x := s.apply(state, 3+c, "claim", func(p *Module, now int64, out *fleet.Out) { p.Claim(now, "a", out) })
 			x.claims--
 			all = append(all, x)
 		}
 		if _, ok := p.Held(s.clock(3+c, state.step), "a"); ok {
 			if state.writes > 0 && state.faults > 0 {
-				x := s.apply(state, 3+c, "write", func(p *Part, now int64, out *fleet.Out) {
+				x := s.apply(state, 3+c, "write", func(p *Module, now int64, out *fleet.Out) {
 					_, _ = p.Write(now, "a", []byte(s.names[3+c]), out)
 				})
 				x.writes, x.faults = x.writes-1, x.faults-1
 				all = append(all, x)
 			}
 			if state.releases > 0 && state.faults > 0 {
-				x := s.apply(state, 3+c, "release", func(p *Part, now int64,
+				x := s.apply(state, 3+c, "release", func(p *Module, now int64,
 					out *fleet.Out) {
 					p.Release(now, "a", out)
 				})
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -63,7 +63,7 @@
 
 type simProcess struct {
 	name          string
-	part          *Part
+	part          *Module
 	rate          float64 // of its clock
 	offset        float64
 	incarnation   uint64
--- a/internal/liveness/holding_times.go
+++ b/internal/liveness/holding_times.go
@@ -46,15 +46,17 @@
 	total     float64
 }
 
-// Holding estimates the holding times of calls: the rate at which calls end (the hazard rate), by class and age. It
+// HoldingTimes estimates the holding times of calls: the rate at which calls end (the hazard rate), by class and age. It
 // is learned over all offices, from calls that offices ended and from calls that still exist.
-type Holding struct{ classes []classStats }
+type HoldingTimes struct{ classes []classStats }
 
-// NewHolding returns an estimator for the given number of call classes.
-func NewHolding(classes int) *Holding { return &Holding{classes: make([]classStats, classes)} }
+// NewHoldingTimes returns an estimator for the given number of call classes.
+func NewHoldingTimes(classes int) *HoldingTimes {
+	return &HoldingTimes{classes: make([]classStats, classes)}
+}
 
-// Ended records that the office ended a call of a class at an age.
-func (h *Holding) Ended(class int, age int64) {
+// EndedByOffice records that the office ended a call of a class at an age.
+func (h *HoldingTimes) EndedByOffice(class int, age int64) {
 	c := &h.classes[class]
 	if c.total >= keptEnds {
 		c.halve()
@@ -64,8 +66,10 @@
 	addTimeAtAges(&c.timeAtAge, age)
 }
 
-// Outlived records that the caller ended a call at an age: until then its office had not ended it.
-func (h *Holding) Outlived(class int, age int64) { addTimeAtAges(&h.classes[class].timeAtAge, age) }
+// EndedByCaller records that the caller ended a call at an age: until then its office had not ended it.
+func (h *HoldingTimes) EndedByCaller(class int, age int64) {
+	addTimeAtAges(&h.classes[class].timeAtAge, age)
+}
 
 func (c *classStats) halve() {
 	for i := range c.ended {
@@ -81,8 +85,8 @@
 	Class int
 }
 
-// Observed is the established calls of an office and the time up to which they are known not to have ended.
-type Observed struct {
+// OfficeCalls is the established calls of an office and the time up to which they are known not to have ended.
+type OfficeCalls struct {
 	Until int64
 	Calls iter.Seq[Call]
 }
@@ -92,7 +96,7 @@
 
 // Rates returns the learned rates, including the time spent by the calls that are established now. A step that few
 // calls have reached gets a low rate.
-func (h *Holding) Rates(offices iter.Seq[Observed]) Rates {
+func (h *HoldingTimes) Rates(offices iter.Seq[OfficeCalls]) Rates {
 	timeAtAge := make([][ageSteps]float64, len(h.classes))
 	for office := range offices {
 		for call := range office.Calls {
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -21,8 +21,8 @@
 	maxOutages = 16
 )
 
-// Standing returns the number of calls at an office that were established at or after from and before to.
-type Standing func(from, to int64) int
+// CountEstablished returns the number of calls at an office that were established at or after from and before to.
+type CountEstablished func(from, to int64) int
 
 // Evidence is the evidence that another process of the office has replaced the one that held the calls from before an
 // outage.
@@ -71,15 +71,15 @@
 	reportContradicts bool // the last report of lines contradicted the established calls
 }
 
-// Lost describes a main connection at the time of its loss.
-type Lost struct {
+// LostConnection describes a main connection at the time of its loss.
+type LostConnection struct {
 	Opened     int64 // when it was established
 	Unanswered int   // set-ups outstanding on it, sent after the last message of a call and outstanding for LeastWait
 }
 
-// LeastWait is the shortest time, in microseconds, that a set-up must have been outstanding for its missing answer to
+// MinWait is the shortest time, in microseconds, that a set-up must have been outstanding for its missing answer to
 // count as evidence.
-const LeastWait = minWait
+const MinWait = minWait
 
 // inOutage reports whether the main connection has brought nothing since its last loss.
 func (o *Office) inOutage() bool {
@@ -148,7 +148,7 @@
 }
 
 // LinesInUse records a report of the number of lines in use at the office, by calls of all senders.
-func (o *Office) LinesInUse(now int64, lines int, established Standing) {
+func (o *Office) LinesInUse(now int64, lines int, established CountEstablished) {
 	since := int64(0) // calls from before an outage are in question
 	if last := len(o.outages) - 1; last >= 0 {
 		since = o.outages[last].lost
@@ -167,7 +167,7 @@
 // linesInUse compares a report with all calls established before the report can have been sent: those in question and
 // those established since. A report that agrees soon afterwards cancels one that did not; later, new calls may hide
 // that old ones are gone.
-func (g *outage) linesInUse(now int64, lines int, from int64, established Standing) {
+func (g *outage) linesInUse(now int64, lines int, from int64, established CountEstablished) {
 	before := max(g.lost, now-reportDelay)
 	switch {
 	case g.firstMessage == 0 || !g.reportsTrusted || g.deficit.confirmed:
@@ -181,7 +181,7 @@
 }
 
 // confirm evaluates a report of fewer lines once pending releases have had time to arrive.
-func (f *lineDeficit) confirm(now int64, established Standing) {
+func (f *lineDeficit) confirm(now int64, established CountEstablished) {
 	if f.at == 0 || f.confirmed || now-f.at < settleAfter {
 		return
 	}
@@ -190,23 +190,23 @@
 	}
 }
 
-// List is what the caller knows about the reception of the list of offices.
-type List struct {
-	Heard int64 // when anything was last received of it; 0: never, or it cannot be lost
-	Lost  int64 // when it was last unreachable; 0: never
+// ListReception is what the caller knows about the reception of the list of offices.
+type ListReception struct {
+	LastReceived    int64 // when anything was last received of it; 0: never, or it cannot be lost
+	LastUnreachable int64 // when it was last unreachable; 0: never
 }
 
 // Restart describes a process that has ended. Calls established at the office before a given time are over.
 type Restart struct {
-	Before   int64
-	Evidence Evidence
-	Spoke    int64 // the last message of that process
+	Before      int64
+	Evidence    Evidence
+	LastMessage int64 // the last message of that process
 }
 
 // Restarted reports whether calls established before a given time are over because their process has ended, although
 // the office sends messages. The delay counts from the last message of that process. When this controller is
 // departing, a refused connect suffices, without delay.
-func (o *Office) Restarted(now int64, list List, established Standing, departing bool) (Restart, bool) {
+func (o *Office) Restarted(now int64, list ListReception, established CountEstablished, departing bool) (Restart, bool) {
 	for i := len(o.outages) - 1; i >= 0; i-- {
 		g := &o.outages[i]
 		g.updateListState(now, list)
@@ -218,7 +218,7 @@
 		if evidence == NoEvidence || !departing && now < g.releaseTime(evidence) {
 			continue
 		}
-		restart := Restart{Before: g.lost, Evidence: evidence, Spoke: g.lastMessage}
+		restart := Restart{Before: g.lost, Evidence: evidence, LastMessage: g.lastMessage}
 		o.outages = slices.Delete(o.outages, 0, i+1) // calls from before earlier outages are included
 		return restart, true
 	}
@@ -229,17 +229,17 @@
 }
 
 // updateListState records whether the list could be received at the time when it had to announce a new start.
-func (g *outage) updateListState(now int64, list List) {
+func (g *outage) updateListState(now int64, list ListReception) {
 	if now > g.lost+listLag {
 		return
 	}
-	lost := list.Lost != 0 && list.Lost >= g.lost-listSilence
-	unheard := list.Heard != 0 && list.Heard < g.lost && now-g.lost >= listSilence/2
+	lost := list.LastUnreachable != 0 && list.LastUnreachable >= g.lost-listSilence
+	unheard := list.LastReceived != 0 && list.LastReceived < g.lost && now-g.lost >= listSilence/2
 	g.listUnheard = g.listUnheard || lost || unheard
 }
 
 // evidence returns the evidence for another process after an outage.
-func (g *outage) evidence(now int64, established Standing) Evidence {
+func (g *outage) evidence(now int64, established CountEstablished) Evidence {
 	switch {
 	case g.firstMessage == 0:
 		return NoEvidence // silence and failed connects are judged by assess
--- a/internal/liveness/incarnation_test.go
+++ b/internal/liveness/incarnation_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // countEstablishedAt counts calls by the times at which they were established.
-func countEstablishedAt(times ...int64) Standing {
+func countEstablishedAt(times ...int64) CountEstablished {
 	return func(from, to int64) int {
 		n := 0
 		for _, at := range times {
@@ -31,11 +31,11 @@
 	} {
 		var o Office
 		o.Heard(message(9 * second))
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/10, c.refused)
 		o.Connected()
 		o.Heard(message(11 * second))
-		list := List{Lost: c.lost}
+		list := ListReception{LastUnreachable: c.lost}
 		established := countEstablishedAt(8 * second)
 		o.Heard(message(16*second - 1))
 		if _, over := o.Restarted(16*second-1, list, established, false); over {
@@ -56,12 +56,12 @@
 	var o Office
 	for i := int64(0); i < 2; i++ {
 		o.Heard(message((10 + 2*i) * second))
-		o.ConnectionLost((11+2*i)*second, Lost{Opened: second})
+		o.ConnectionLost((11+2*i)*second, LostConnection{Opened: second})
 		o.ConnectFailed((11+2*i)*second+second/10, true)
 	}
 	o.Heard(message(14 * second))
 	established := countEstablishedAt(9*second, 12*second+second/2)
-	list := List{Lost: 14 * second}
+	list := ListReception{LastUnreachable: 14 * second}
 	want := []int64{11 * second, 13 * second}
 	for now := int64(14 * second); now <= 19*second; now += second / 10 {
 		o.Heard(message(now))
@@ -69,7 +69,7 @@
 		if !over {
 			continue
 		}
-		if len(want) == 0 || restart.Before != want[0] || now > restart.Spoke+releaseAfter {
+		if len(want) == 0 || restart.Before != want[0] || now > restart.LastMessage+releaseAfter {
 			t.Fatalf("%+v over at %d us, want calls from before %v 7 s after the last message", restart, now, want)
 		}
 		want = want[1:]
@@ -96,11 +96,11 @@
 	} {
 		var o Office
 		o.Heard(message(10 * second))
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/20, true)
 		o.Heard(message(10*second + second/10))
 		o.Ended(c.at, Call{Since: c.since}, c.opened)
-		list := List{Lost: 10 * second}
+		list := ListReception{LastUnreachable: 10 * second}
 		if _, over := o.Restarted(13*second, list, countEstablishedAt(9*second), false); over {
 			t.Errorf("%s: restarted 3 s after the last message", c.name)
 		}
@@ -131,13 +131,13 @@
 		for _, lines := range c.before {
 			o.LinesInUse(9*second, lines, established)
 		}
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		for i, lines := range c.after {
 			at := 10*second + int64(i+1)*second/5
 			o.Heard(message(at))
 			o.LinesInUse(at, lines, established)
 		}
-		restart, over := o.Restarted(17*second, List{}, established, false)
+		restart, over := o.Restarted(17*second, ListReception{}, established, false)
 		if over != c.want || over && restart.Evidence != FewerLines {
 			t.Errorf("%s: %+v %t, want %t", c.name, restart, over, c.want)
 		}
@@ -151,7 +151,7 @@
 		var o Office
 		established := countEstablishedAt(8*second, 8*second+1, 8*second+2)
 		o.Heard(message(10 * second))
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		over := false
 		for now := int64(10*second + second/10); now <= 17*second; now += second / 10 {
 			o.Heard(message(now))
@@ -160,7 +160,7 @@
 			} else if now >= 10*second+secondReport {
 				o.LinesInUse(now, 9, established)
 			}
-			if _, restarted := o.Restarted(now, List{}, established, false); restarted && now == 17*second {
+			if _, restarted := o.Restarted(now, ListReception{}, established, false); restarted && now == 17*second {
 				over = true
 			}
 		}
@@ -176,13 +176,13 @@
 func TestFewerLinesInUseUntilReleasesCome(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
-	o.ConnectionLost(10*second, Lost{Opened: second})
+	o.ConnectionLost(10*second, LostConnection{Opened: second})
 	o.Heard(message(14 * second))
 	o.LinesInUse(14*second, 1, countEstablishedAt(8*second, 8*second+1, 8*second+2))
 	left := countEstablishedAt(8 * second)
 	for now := int64(14 * second); now <= 20*second; now += second / 10 {
 		o.Heard(message(now))
-		if restart, over := o.Restarted(now, List{}, left, false); over {
+		if restart, over := o.Restarted(now, ListReception{}, left, false); over {
 			t.Fatalf("%+v at %d us, although as many calls are established as lines are in use", restart, now)
 		}
 	}
@@ -194,13 +194,13 @@
 	established := countEstablishedAt(8*second, 8*second+1, 10*second+second/2, 10*second+second/2+1)
 	o.Heard(message(9 * second))
 	for _, at := range []int64{10 * second, 12 * second} {
-		o.ConnectionLost(at, Lost{Opened: at - second})
+		o.ConnectionLost(at, LostConnection{Opened: at - second})
 		o.Heard(message(at + second/5))
 		o.LinesInUse(at+second/5, 0, established)
 	}
 	for _, c := range []struct{ now, before int64 }{{16 * second, 10 * second}, {17*second + second/5, 12 * second}} {
 		o.Heard(message(c.now))
-		if restart, over := o.Restarted(c.now, List{}, established, false); !over || restart.Before != c.before {
+		if restart, over := o.Restarted(c.now, ListReception{}, established, false); !over || restart.Before != c.before {
 			t.Errorf("%+v %t at %d us, want calls from before %d us over", restart, over, c.now, c.before)
 		}
 	}
@@ -227,16 +227,16 @@
 			o.Ended(28*second, Call{Since: 27 * second}, second)
 		}
 		o.Heard(message(30 * second))
-		o.ConnectionLost(30*second+second/10, Lost{Opened: second})
+		o.ConnectionLost(30*second+second/10, LostConnection{Opened: second})
 		var times []int64
 		for range c.established {
 			times = append(times, 30*second-c.age)
 		}
 		o.Heard(message(30*second + second/5))
-		if _, over := o.Restarted(37*second-1, List{}, countEstablishedAt(times...), false); over {
+		if _, over := o.Restarted(37*second-1, ListReception{}, countEstablishedAt(times...), false); over {
 			t.Errorf("%s: over before 7 s", c.name)
 		}
-		restart, over := o.Restarted(37*second, List{}, countEstablishedAt(times...), false)
+		restart, over := o.Restarted(37*second, ListReception{}, countEstablishedAt(times...), false)
 		if over != c.want || over && restart.Evidence != NoEnds {
 			t.Errorf("%s: %+v %t, want %t", c.name, restart, over, c.want)
 		}
@@ -248,10 +248,10 @@
 	for _, refused := range []bool{true, false} {
 		var o Office
 		o.Heard(message(10 * second))
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/10, refused)
 		o.Heard(message(11 * second))
-		if _, over := o.Restarted(12*second, List{}, countEstablishedAt(9*second), true); over != refused {
+		if _, over := o.Restarted(12*second, ListReception{}, countEstablishedAt(9*second), true); over != refused {
 			t.Errorf("refused %t: restarted %t", refused, over)
 		}
 	}
@@ -262,7 +262,7 @@
 	var o Office
 	for at := int64(second); at < 200*second; at += second {
 		o.Heard(message(at))
-		o.ConnectionLost(at+second/2, Lost{Opened: at})
+		o.ConnectionLost(at+second/2, LostConnection{Opened: at})
 	}
 	if len(o.outages) > maxOutages {
 		t.Errorf("%d outages are kept, want %d at most", len(o.outages), maxOutages)
@@ -274,7 +274,7 @@
 func TestFewerLinesInUseByPreviousProcess(t *testing.T) {
 	var o Office
 	killed, reset := int64(10*second), int64(12*second)
-	of := func(now int64) Standing {
+	of := func(now int64) CountEstablished {
 		first := countEstablishedAt(8*second, 8*second+1, 8*second+2)
 		own := countEstablishedAt(11*second, 11*second+1)
 		return func(from, to int64) int {
@@ -285,19 +285,19 @@
 			return n
 		}
 	}
-	o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
-	o.ConnectionLost(killed, Lost{Opened: second})
+	o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+	o.ConnectionLost(killed, LostConnection{Opened: second})
 	o.Heard(message(killed + second/10))
 	o.LinesInUse(killed+second/10, 0, of(killed+second/10))
 	for now := killed + second/10; now < 30*second; now += second / 10 {
 		if now == reset {
-			o.ConnectionLost(reset, Lost{Opened: killed + second/10})
+			o.ConnectionLost(reset, LostConnection{Opened: killed + second/10})
 		}
 		o.Heard(message(now + 1))
 		if now > 11*second {
 			o.LinesInUse(now+1, 2, of(now))
 		}
-		if restart, over := o.Restarted(now+2, List{}, of(now), false); over && restart.Before != killed {
+		if restart, over := o.Restarted(now+2, ListReception{}, of(now), false); over && restart.Before != killed {
 			t.Fatalf("%+v at %d us, although the process of these calls runs and reports both", restart, now)
 		}
 	}
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -133,55 +133,55 @@
 // Unanswered summarizes unanswered set-ups: their number, the total time that they have been outstanding, and since
 // when the oldest is. Times are in microseconds.
 type Unanswered struct {
-	Count  int
-	Waited int64
-	First  int64
+	Count       int
+	TotalWait   int64
+	OldestSince int64
 }
 
 // Add counts a set-up that has been outstanding for the given time; 0: it is no evidence.
 func (u *Unanswered) Add(now, duration int64) {
 	if duration > 0 {
-		u.merge(Unanswered{Count: 1, Waited: duration, First: now - duration})
+		u.merge(Unanswered{Count: 1, TotalWait: duration, OldestSince: now - duration})
 	}
 }
 
 // merge adds the set-ups of another summary.
 func (u *Unanswered) merge(other Unanswered) {
-	if u.Count == 0 || other.Count > 0 && other.First < u.First {
-		u.First = other.First
+	if u.Count == 0 || other.Count > 0 && other.OldestSince < u.OldestSince {
+		u.OldestSince = other.OldestSince
 	}
 	u.Count += other.Count
-	u.Waited += other.Waited
+	u.TotalWait += other.TotalWait
 }
 
 // sufficient reports whether an office that leaves these set-ups unanswered answers none, given the queueing delay at
 // the office.
 func (u Unanswered) sufficient(queueDelay int64) bool {
-	return u.Count >= minUnanswered && u.Waited >= stalledWait+minUnanswered*queueDelay
+	return u.Count >= minUnanswered && u.TotalWait >= stalledWait+minUnanswered*queueDelay
 }
 
 // State returns the current state.
 func (o *Office) State() State { return o.state }
 
-// Spoke returns when the last complete message was received; 0: none was.
-func (o *Office) Spoke() int64 { return o.lastMessage }
+// LastMessage returns when the last complete message was received; 0: none was.
+func (o *Office) LastMessage() int64 { return o.lastMessage }
 
-// Last returns when the last message of a kind was received; 0: none was.
-func (o *Office) Last(word Word) int64 { return o.lastOfKind[word] }
+// LastOfKind returns when the last message of a kind was received; 0: none was.
+func (o *Office) LastOfKind(word MessageKind) int64 { return o.lastOfKind[word] }
 
-// Lag returns the queueing delay at the office, as measured by its last answer.
-func (o *Office) Lag() int64 { return o.queueDelay }
+// QueueDelay returns the queueing delay at the office, as measured by its last answer.
+func (o *Office) QueueDelay() int64 { return o.queueDelay }
 
-// Served returns when the last message of a call was received, which only a working process can write; 0: none was.
-func (o *Office) Served() int64 { return o.lastService }
+// LastService returns when the last message of a call was received, which only a working process can write; 0: none was.
+func (o *Office) LastService() int64 { return o.lastService }
 
 // Message is the part of a complete message from an office that counts as evidence.
 type Message struct {
-	At     int64
-	Word   Word
-	Main   bool  // it was received on the office's main connection, not on a pooled one
-	Opened int64 // when that connection was established
-	Asked  int64 // when the set-up that it answers was sent; 0: it answers none
+	At        int64
+	Kind      MessageKind
+	OnMain    bool  // it was received on the office's main connection, not on a pooled one
+	Opened    int64 // when that connection was established
+	SetUpSent int64 // when the set-up that it answers was sent; 0: it answers none
 }
 
 // processedUntil returns the earliest time at which the office may have stopped ending calls, by its last message:
@@ -194,23 +194,23 @@
 // learnQueueDelay measures the queueing delay at the office by an answer to a set-up. Guards against a late answer
 // that answers to later set-ups have overtaken.
 func (o *Office) learnQueueDelay(m Message) {
-	if m.Asked > o.lastAnsweredSent {
-		o.lastAnsweredSent = m.Asked
-		o.queueDelay = min(max(m.At-m.Asked, 0), maxQueueDelay)
+	if m.SetUpSent > o.lastAnsweredSent {
+		o.lastAnsweredSent = m.SetUpSent
+		o.queueDelay = min(max(m.At-m.SetUpSent, 0), maxQueueDelay)
 	}
 }
 
 // Heard records a message.
 func (o *Office) Heard(m Message) (Transition, bool) {
 	o.lastMessage = max(o.lastMessage, m.At)
-	o.lastOfKind[m.Word] = max(o.lastOfKind[m.Word], m.At)
-	if m.Main {
+	o.lastOfKind[m.Kind] = max(o.lastOfKind[m.Kind], m.At)
+	if m.OnMain {
 		o.endFailureSeries()
 		o.endOutage(m.At)
 	} else {
 		o.recordSameProcess(processProof{at: m.At, since: m.Opened, opened: m.Opened})
 	}
-	if proves[m.Word].service {
+	if proves[m.Kind].service {
 		o.lastService = max(o.lastService, m.At)
 		o.learnQueueDelay(m)
 		o.unanswered = Unanswered{}
@@ -232,17 +232,17 @@
 func (o *Office) contradicted(m Message) bool {
 	switch o.reason {
 	case Stalled:
-		return proves[m.Word].service
+		return proves[m.Kind].service
 	case Refused, Unreachable:
-		return m.Main
+		return m.OnMain
 	}
 	return true
 }
 
-// Waited returns how long a set-up that was sent at the given time has been outstanding; 0: that is no evidence. A
+// OutstandingFor returns how long a set-up that was sent at the given time has been outstanding; 0: that is no evidence. A
 // set-up that others overtook, which were answered long after it was sent, was lost on its way and is no evidence
 // about the office.
-func (o *Office) Waited(now, sent int64) int64 { return o.outstandingFor(now, sent, minWait) }
+func (o *Office) OutstandingFor(now, sent int64) int64 { return o.outstandingFor(now, sent, minWait) }
 
 func (o *Office) outstandingFor(now, sent, least int64) int64 {
 	duration := now - max(sent, o.lastService)
@@ -252,13 +252,13 @@
 	return duration
 }
 
-// GivenUp records that a set-up sent at the given time is given up unanswered.
-func (o *Office) GivenUp(now, sent int64) {
+// SetUpCancelled records that a set-up sent at the given time is given up unanswered.
+func (o *Office) SetUpCancelled(now, sent int64) {
 	o.addUnanswered(now, o.outstandingFor(now, sent, minWait))
 }
 
-// Cut records that a set-up sent at the given time was unanswered when its connection was lost.
-func (o *Office) Cut(now, sent int64) {
+// SetUpCut records that a set-up sent at the given time was unanswered when its connection was lost.
+func (o *Office) SetUpCut(now, sent int64) {
 	o.addUnanswered(now, o.outstandingFor(now, sent, minCutWait))
 }
 
@@ -286,7 +286,7 @@
 func (o *Office) Connected() { o.lastConnect = noFailure }
 
 // ConnectionLost records the loss of a main connection.
-func (o *Office) ConnectionLost(now int64, lost Lost) {
+func (o *Office) ConnectionLost(now int64, lost LostConnection) {
 	if o.failingSince == 0 || now-lost.Opened >= lastingFor {
 		o.failingSince = now
 	}
@@ -328,20 +328,20 @@
 	return o.transition(state, reason), true
 }
 
-// LastObservation is what is known of an office when this process is about to shut down.
-type LastObservation struct {
-	Usual      Rhythm // the usual interval between two reports
-	Connected  bool
-	Unanswered int // outstanding set-ups that should have been answered, as in Lost
+// ShutdownObservation is what is known of an office when this process is about to shut down.
+type ShutdownObservation struct {
+	ReportInterval ReportInterval // the usual interval between two reports
+	Connected      bool
+	Unanswered     int // outstanding set-ups that should have been answered, as in Lost
 }
 
 // JudgeDeparting decides on an office that has established calls when this process is about to shut down. The next
 // process knows nothing of them, so doubt suffices: a report overdue by its usual interval, no connection, an
 // unanswered set-up, or silence for which a probe is due. Where reports continue, the time without a message of a
 // call counts.
-func (o *Office) JudgeDeparting(now int64, observation LastObservation) (Transition, bool) {
+func (o *Office) JudgeDeparting(now int64, observation ShutdownObservation) (Transition, bool) {
 	silent := now - o.lastMessage
-	overdue := observation.Usual != 0 && silent >= int64(observation.Usual+observation.Usual/2)
+	overdue := observation.ReportInterval != 0 && silent >= int64(observation.ReportInterval+observation.ReportInterval/2)
 	doubted := overdue || !observation.Connected || o.unanswered.Count > 0 || silent >= probeAfter
 	unanswered := o.unanswered.Count > 0 || observation.Unanswered >= minUnanswered
 	stalled := unanswered && now-o.lastService >= departingStalled
@@ -351,10 +351,10 @@
 	return o.transition(Unresponsive, Departing), true
 }
 
-// Inspect reports whether a probe is due: a second connection that shows whether the office still sends messages,
+// NeedsProbe reports whether a probe is due: a second connection that shows whether the office still sends messages,
 // because an office first sends on it what it could not deliver before. A connection established after the office's
 // last message has already been such a probe.
-func (o *Office) Inspect(now, opened int64) bool {
+func (o *Office) NeedsProbe(now, opened int64) bool {
 	return now-o.lastMessage >= probeAfter && opened <= o.lastMessage
 }
 
@@ -364,7 +364,7 @@
 	stalled := int64(0)
 	outstanding.merge(o.unanswered)
 	if outstanding.sufficient(o.queueDelay) {
-		stalled = min(now-o.servedUntil(), now-outstanding.First+silentAfter-stalledFor)
+		stalled = min(now-o.servedUntil(), now-outstanding.OldestSince+silentAfter-stalledFor)
 	}
 	failing := int64(0)
 	if o.lastConnect != noFailure {
