--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -5,7 +5,7 @@
 const second = 1_000_000
 
 // message returns a message on the main connection.
-func message(at int64) Message { return Message{At: at, Main: true} }
+func message(at int64) Message { return Message{At: at, OnMain: true} }
 
 // An office that sends nothing is suspected after half of the time limit and unresponsive after all of it, whatever
 // the result of connects.
@@ -14,7 +14,7 @@
 		"no other events": func(*Office, int64) {},
 		"connections are established and lost": func(o *Office, now int64) {
 			o.Connected()
-			o.ConnectionLost(now, Lost{Opened: now - second/2})
+			o.ConnectionLost(now, LostConnection{Opened: now - second/2})
 		},
 		"connects fail and succeed alternately": func(o *Office, now int64) {
 			o.ConnectFailed(now, now%2 == 0)
@@ -50,7 +50,7 @@
 	}{{"refused", true, refusedFor}, {"not established", false, unreachableFor}} {
 		var o Office
 		o.Heard(message(10 * second))
-		o.ConnectionLost(10*second, Lost{Opened: second})
+		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		at := int64(0)
 		for now := int64(10*second + second/2); at == 0 && now < 30*second; now += second / 2 {
 			o.ConnectFailed(now, c.refused)
@@ -76,7 +76,7 @@
 func TestPooledConnectionsDoNotProveMainConnection(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
-	o.ConnectionLost(10*second, Lost{Opened: second})
+	o.ConnectionLost(10*second, LostConnection{Opened: second})
 	verdict := Transition{}
 	for now := int64(10 * second); now <= 20*second; now += second / 2 {
 		o.ConnectFailed(now, true)
@@ -94,7 +94,7 @@
 func TestSilenceHoldsBesideRefusedConnects(t *testing.T) {
 	var o Office
 	o.Heard(message(10 * second))
-	o.ConnectionLost(10*second, Lost{Opened: second})
+	o.ConnectionLost(10*second, LostConnection{Opened: second})
 	var last Transition
 	for now := int64(10 * second); now <= 17*second; now += second / 2 {
 		o.ConnectFailed(now, true)
@@ -115,7 +115,7 @@
 			o.Heard(message(now))
 		}
 		if now%(11*second) == 0 {
-			o.ConnectionLost(now, Lost{Opened: now - 5*second})
+			o.ConnectionLost(now, LostConnection{Opened: now - 5*second})
 			o.ConnectFailed(now, true)
 			o.Connected()
 		}
@@ -133,7 +133,7 @@
 		now, opened int64
 		want        bool
 	}{{13 * second, second, false}, {14 * second, second, true}, {14 * second, 13 * second, false}} {
-		if got := o.Inspect(c.now, c.opened); got != c.want {
+		if got := o.NeedsProbe(c.now, c.opened); got != c.want {
 			t.Errorf("at %d us, opened at %d us: %t, want %t", c.now, c.opened, got, c.want)
 		}
 	}
@@ -141,24 +141,24 @@
 
 // A connection is mute when a report is overdue by the usual interval, and never where no office reports.
 func TestReportInterval(t *testing.T) {
-	var all Rhythm
+	var all ReportInterval
 	var c Connection
-	c.Up(second)
-	if c.Mute(100*second, all) {
+	c.Begin(second)
+	if c.IsSilent(100*second, all) {
 		t.Error("mute, although no office reports")
 	}
 	for at := int64(2 * second); at <= 6*second; at += second / 2 {
 		c.Report(at, &all)
 		c.Heard = at
 	}
-	if all != second/2 || c.Rhythm != second/2 {
-		t.Errorf("learned %d and %d us, want half a second", all, c.Rhythm)
+	if all != second/2 || c.ReportInterval != second/2 {
+		t.Errorf("learned %d and %d us, want half a second", all, c.ReportInterval)
 	}
 	for _, x := range []struct {
 		now  int64
 		want bool
 	}{{6*second + second/2, false}, {6*second + second/2 + 99_999, false}, {6*second + second/2 + 100_000, true}} {
-		if got := c.Mute(x.now, all); got != x.want {
+		if got := c.IsSilent(x.now, all); got != x.want {
 			t.Errorf("%d us after the last report: %t, want %t", x.now-6*second, got, x.want)
 		}
 	}
@@ -191,17 +191,17 @@
 		{"some unanswered", 2 * second, second, 3 * second, false},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
+		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		at := int64(0)
 		for now := int64(10*second + second/100); now < 40*second && at == 0; now += second / 100 {
 			if now%(second/2) == 0 {
 				o.Heard(message(now))
 			}
 			if c.every != 0 && now%c.every == c.out%c.every && now > 11*second {
-				o.GivenUp(now, now-c.out)
+				o.SetUpCancelled(now, now-c.out)
 			}
 			if c.servedEvery != 0 && now%c.servedEvery == 0 {
-				o.Heard(Message{At: now, Word: Answer, Main: true})
+				o.Heard(Message{At: now, Kind: Answer, OnMain: true})
 			}
 			if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
 				if at = now; transition.Reason != Stalled {
@@ -220,7 +220,7 @@
 	for _, c := range []struct {
 		name      string
 		silent    int64
-		usual     Rhythm
+		usual     ReportInterval
 		connected bool
 		lost      bool // a set-up is unanswered
 		want      bool
@@ -235,12 +235,12 @@
 		{"a set-up is unanswered", 2 * second, 0, true, true, true},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
+		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		if c.lost {
-			o.GivenUp(11*second, 10*second+second/10)
+			o.SetUpCancelled(11*second, 10*second+second/10)
 		}
 		transition, changed := o.JudgeDeparting(10*second+c.silent,
-			LastObservation{Usual: c.usual, Connected: c.connected})
+			ShutdownObservation{ReportInterval: c.usual, Connected: c.connected})
 		if changed != c.want || changed && (transition.To != Unresponsive || transition.Reason != Departing) {
 			t.Errorf("%s: %+v %t, want %t", c.name, transition, changed, c.want)
 		}
@@ -265,13 +265,13 @@
 		{"no set-ups", 0, 0, 5 * second, false},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
+		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		now := 10*second + c.served
 		for range c.lost {
-			o.GivenUp(now, 10*second+second/10)
+			o.SetUpCancelled(now, 10*second+second/10)
 		}
 		o.Heard(message(now - second/10))
-		seen := LastObservation{Usual: second / 2, Connected: true, Unanswered: c.out}
+		seen := ShutdownObservation{ReportInterval: second / 2, Connected: true, Unanswered: c.out}
 		if transition, changed := o.JudgeDeparting(now, seen); changed != c.stalled {
 			t.Errorf("%s: %+v %t, want %t", c.name, transition, changed, c.stalled)
 		}
@@ -286,9 +286,9 @@
 		want bool
 	}{{"just before", second / 10, true}, {"long before, others answered", second, false}} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
-		o.GivenUp(11*second, 10*second-c.sent)
-		o.GivenUp(12*second, 11*second)
+		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+		o.SetUpCancelled(11*second, 10*second-c.sent)
+		o.SetUpCancelled(12*second, 11*second)
 		o.Heard(message(17 * second))
 		transition, changed := o.Judge(17*second, Unanswered{})
 		if judged := changed && transition.To == Unresponsive && transition.Reason == Stalled; judged != c.want {
@@ -300,11 +300,11 @@
 // Guards against too little evidence on an office that hangs: one set-up was unanswered, and no other was sent there.
 func TestUnansweredSetUpRequestsTrial(t *testing.T) {
 	var o Office
-	o.Heard(Message{At: 10 * second, Word: Answer, Main: true})
+	o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
 	if o.WantsTrial(12 * second) {
 		t.Error("a trial set-up is requested although nothing was left unanswered")
 	}
-	o.GivenUp(12*second, 11*second)
+	o.SetUpCancelled(12*second, 11*second)
 	asked := 0
 	for now := int64(12 * second); now < 30*second; now += second / 50 {
 		if o.WantsTrial(now) {
@@ -314,7 +314,7 @@
 	if asked != maxTrials {
 		t.Errorf("%d trial set-ups were requested, want %d", asked, maxTrials)
 	}
-	o.Heard(Message{At: 30 * second, Word: Answer, Main: true})
+	o.Heard(Message{At: 30 * second, Kind: Answer, OnMain: true})
 	if o.WantsTrial(31 * second) {
 		t.Error("a trial set-up is requested although the office answered")
 	}
@@ -331,13 +331,13 @@
 		{"served long before", 10 * second, 30 * second, 30*second + stalledFor},
 	} {
 		var o Office
-		o.Heard(Message{At: c.served, Word: Answer, Main: true})
+		o.Heard(Message{At: c.served, Kind: Answer, OnMain: true})
 		at := int64(0)
 		for now := c.sent; now < c.sent+20*second && at == 0; now += second / 50 {
 			o.Heard(message(now))
 			var out Unanswered
-			out.Add(now, o.Waited(now, c.sent))
-			out.Add(now, o.Waited(now, c.sent))
+			out.Add(now, o.OutstandingFor(now, c.sent))
+			out.Add(now, o.OutstandingFor(now, c.sent))
 			if transition, changed := o.Judge(now, out); changed && transition.To == Unresponsive {
 				at = now
 			}
@@ -353,8 +353,8 @@
 func TestQueueDelayCounts(t *testing.T) {
 	for _, waited := range []int64{second / 100, second, 2 * second, 60 * second} {
 		var o Office
-		o.Heard(Message{At: 70 * second, Word: Answer, Main: true, Asked: 70*second - waited})
-		o.Heard(Message{At: 70*second + second/2, Word: End, Main: true})
+		o.Heard(Message{At: 70 * second, Kind: Answer, OnMain: true, SetUpSent: 70*second - waited})
+		o.Heard(Message{At: 70*second + second/2, Kind: End, OnMain: true})
 		last := 70*second + second/2 - min(waited, maxQueueDelay)
 		if transition, changed := o.Judge(last+silentAfter-1, Unanswered{}); changed && transition.To == Unresponsive {
 			t.Errorf("delay %d us: %+v too early", waited, transition)
--- a/internal/liveness/message_kinds.go
+++ b/internal/liveness/message_kinds.go
@@ -1,16 +1,16 @@
 package liveness
 
-// Word is the kind of a message from an office.
-type Word int
+// MessageKind is the kind of a message from an office.
+type MessageKind int
 
 // Kinds of messages.
 const (
-	Report       Word = iota // the state of its lines, unsolicited; also the first message on a new connection
-	Confirmation             // a release was received
-	Progress                 // progress of a set-up, or the result of a test
-	Answer                   // a call is established
-	Refusal                  // a set-up is over
-	End                      // an established call is over
+	Report       MessageKind = iota // the state of its lines, unsolicited; also the first message on a new connection
+	Confirmation                    // a release was received
+	Progress                        // progress of a set-up, or the result of a test
+	Answer                          // a call is established
+	Refusal                         // a set-up is over
+	End                             // an established call is over
 	kinds
 )
 
--- a/internal/liveness/missing_ends.go
+++ b/internal/liveness/missing_ends.go
@@ -55,9 +55,9 @@
 	e.missing = false
 }
 
-// EndSeen records the end of a call that was already released. It shows that the office ends calls, but no holding
+// ReleasedCallEnded records the end of a call that was already released. It shows that the office ends calls, but no holding
 // time is known.
-func (o *Office) EndSeen(at int64) {
+func (o *Office) ReleasedCallEnded(at int64) {
 	o.ended.last = max(o.ended.last, at)
 	o.ended.missing = false
 }
@@ -65,17 +65,17 @@
 // LastEnd returns when the office last ended a call; 0: it has ended none.
 func (o *Office) LastEnd() int64 { return o.ended.last }
 
-// UnendedDue reports whether Unended should be called: the office has ended calls before, but none for releaseAfter.
-func (o *Office) UnendedDue(now int64) bool {
+// MissingEndsCheckDue reports whether Unended should be called: the office has ended calls before, but none for releaseAfter.
+func (o *Office) MissingEndsCheckDue(now int64) bool {
 	e := &o.ended
 	return e.last != 0 && now-(e.last-o.queueDelay) >= releaseAfter && now-e.checked >= noEndsCheckInterval
 }
 
-// Unended reports whether the office no longer ends calls, whatever else it sends. If so, its calls established before
+// CheckMissingEnds reports whether the office no longer ends calls, whatever else it sends. If so, its calls established before
 // the returned time are over. The learned rates are wrong if holding times change suddenly or if calls of another kind
 // replace those that end. ratesConfirmed detects this: the calls established shortly before the last end, which was
 // that of an older call, then have fewer ends than the rates predict.
-func (o *Office) Unended(now int64, calls iter.Seq[Call], rates Rates) (before int64, over bool) {
+func (o *Office) CheckMissingEnds(now int64, calls iter.Seq[Call], rates Rates) (before int64, over bool) {
 	e := &o.ended
 	e.checked = now
 	if !e.missing {
--- a/internal/liveness/missing_ends_test.go
+++ b/internal/liveness/missing_ends_test.go
@@ -10,14 +10,14 @@
 // callLoad simulates calls that begin at an office at random and last a random time each.
 type callLoad struct {
 	office      Office
-	holding     *Holding
+	holding     *HoldingTimes
 	rng         *rand.Rand
 	established []Call
 	endTimes    []int64 // end times of the established calls
 }
 
 func newCallLoad() *callLoad {
-	return &callLoad{holding: NewHolding(1), rng: rand.New(rand.NewPCG(3, 5))}
+	return &callLoad{holding: NewHoldingTimes(1), rng: rand.New(rand.NewPCG(3, 5))}
 }
 
 func (l *callLoad) calls() iter.Seq[Call] { return slices.Values(l.established) }
@@ -29,13 +29,13 @@
 		if l.rng.Float64() < ratePerSecond/100 {
 			l.established = append(l.established, Call{Since: now})
 			l.endTimes = append(l.endTimes, now+int64(meanSeconds*l.rng.ExpFloat64()*second))
-			l.office.Heard(Message{At: now, Word: Answer, Main: true, Asked: now - 1000})
+			l.office.Heard(Message{At: now, Kind: Answer, OnMain: true, SetUpSent: now - 1000})
 		}
 		for i := 0; works && i < len(l.established); i++ {
 			if l.endTimes[i] <= now {
 				l.office.Ended(now, l.established[i], 1)
-				l.office.Heard(Message{At: now, Word: End, Main: true})
-				l.holding.Ended(0, now-l.established[i].Since)
+				l.office.Heard(Message{At: now, Kind: End, OnMain: true})
+				l.holding.EndedByOffice(0, now-l.established[i].Since)
 				l.established = slices.Delete(l.established, i, i+1)
 				l.endTimes = slices.Delete(l.endTimes, i, i+1)
 				i--
@@ -46,12 +46,12 @@
 
 // endsNoCalls reports whether the office is found to end no calls.
 func (l *callLoad) endsNoCalls(now int64) bool {
-	if !l.office.UnendedDue(now) {
+	if !l.office.MissingEndsCheckDue(now) {
 		return false
 	}
 	until := l.office.LastEnd()
-	rates := l.holding.Rates(slices.Values([]Observed{{Until: until, Calls: l.calls()}}))
-	_, over := l.office.Unended(now, l.calls(), rates)
+	rates := l.holding.Rates(slices.Values([]OfficeCalls{{Until: until, Calls: l.calls()}}))
+	_, over := l.office.CheckMissingEnds(now, l.calls(), rates)
 	return over
 }
 
@@ -102,13 +102,13 @@
 
 // The learned holding times predict as many ends as there are, at each age.
 func TestHoldingTimesPredictEnds(t *testing.T) {
-	h := NewHolding(2)
+	h := NewHoldingTimes(2)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 4000 {
-		h.Ended(0, int64(2.5*second*rng.ExpFloat64()))
-		h.Ended(1, 30*second)
+		h.EndedByOffice(0, int64(2.5*second*rng.ExpFloat64()))
+		h.EndedByOffice(1, 30*second)
 	}
-	rates := h.Rates(slices.Values([]Observed(nil)))
+	rates := h.Rates(slices.Values([]OfficeCalls(nil)))
 	for _, c := range []struct {
 		class    int
 		from, to int64
--- a/internal/liveness/report_interval.go
+++ b/internal/liveness/report_interval.go
@@ -13,52 +13,52 @@
 	minSilence = 600_000
 )
 
-// Rhythm is the usual interval between two unsolicited reports, in microseconds; zero: not known.
-type Rhythm int64
+// ReportInterval is the usual interval between two unsolicited reports, in microseconds; zero: not known.
+type ReportInterval int64
 
 // Observe learns from the interval between two reports. Guards against a late report, after which the next seems
 // early, and against several missed ones: an interval counts as half to twice the usual one.
-func (r *Rhythm) Observe(interval int64) {
+func (r *ReportInterval) Observe(interval int64) {
 	if *r == 0 {
-		*r = Rhythm(max(interval, minInterval))
+		*r = ReportInterval(max(interval, minInterval))
 	}
 	if interval < minInterval {
 		return
 	}
 	usual := int64(*r)
 	bounded := min(max(interval, usual/2), 2*usual)
-	*r += Rhythm((bounded - usual) / learnPart)
+	*r += ReportInterval((bounded - usual) / learnPart)
 }
 
 // Connection records what was received from an office on one connection. Times are microseconds of the caller's
 // clock.
 type Connection struct {
-	Opened   int64 // when it was established
-	Heard    int64 // when anything was last received, or it was established
-	Reported int64 // when the office last reported on it; 0: not yet
-	Rhythm   Rhythm
+	Opened         int64 // when it was established
+	Heard          int64 // when anything was last received, or it was established
+	Reported       int64 // when the office last reported on it; 0: not yet
+	ReportInterval ReportInterval
 }
 
-// Up begins a connection. It keeps the report interval of the connections before it.
-func (c *Connection) Up(now int64) {
+// Begin begins a connection. It keeps the report interval of the connections before it.
+func (c *Connection) Begin(now int64) {
 	c.Opened = now
 	c.Heard = now
 	c.Reported = 0
 }
 
 // Report records a report received at the given time, and learns from it for this connection and for all offices.
-func (c *Connection) Report(at int64, all *Rhythm) {
+func (c *Connection) Report(at int64, all *ReportInterval) {
 	if c.Reported != 0 {
 		all.Observe(at - c.Reported)
-		c.Rhythm.Observe(at - c.Reported)
+		c.ReportInterval.Observe(at - c.Reported)
 	}
 	c.Reported = at
 }
 
-// Mute reports whether the connection has brought nothing although a report was due, by the longer of its own report
+// IsSilent reports whether the connection has brought nothing although a report was due, by the longer of its own report
 // interval and that of all offices. It is never mute where no office reports.
-func (c *Connection) Mute(now int64, all Rhythm) bool {
-	usual := int64(max(all, c.Rhythm))
+func (c *Connection) IsSilent(now int64, all ReportInterval) bool {
+	usual := int64(max(all, c.ReportInterval))
 	if usual == 0 {
 		return false
 	}
--- a/internal/member/guard.go
+++ b/internal/member/guard.go
@@ -97,7 +97,7 @@
 	look := time.NewTicker(time.Second)
 	defer look.Stop()
 	step := func(s guard.Step) (over bool) {
-		if s.Start {
+		if s.ScheduleStart {
 			start.Reset(time.Duration(max(0, s.StartAt-agent.Monotonic())) * time.Microsecond)
 		}
 		return s.Exit
@@ -122,7 +122,7 @@
 			if err != nil {
 				log.Error("the concluded version cannot be started", "program", program, "error", err, advice.Attr(err))
 			} else {
-				log.Warn("the concluded version is started", "program", program, "deaths", g.Deaths)
+				log.Warn("the concluded version is started", "program", program, "deaths", g.UnexpectedExits)
 			}
 			step(g.Started(agent.Monotonic(), err == nil))
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -103,9 +103,9 @@
 	net fleetnet.Net // set before the agent runs
 
 	// Of the agent's goroutine.
-	lessor *lease.Part
-	stage  *stage.Part
-	keeper *keeper.Part
+	lessor *lease.Module
+	stage  *stage.Module
+	keeper *keeper.Module
 
 	mu        sync.Mutex
 	state     fleet.State
@@ -157,11 +157,11 @@
 // Front puts what the parts need of the calls before a decider, the meter in front of all.
 func (t *together) Front(set decide.Settings, classes []string, inner session.Decider) session.Decider {
 	if t.table != nil {
-		inner = keeper.NewFront(t.keepers(uint64(t.wall), nil), set, inner, t.table, t.queue)
+		inner = keeper.NewAdmissionFilter(t.keepers(uint64(t.wall), nil), set, inner, t.table, t.queue)
 	}
 	m := meter.New(set, classes, inner)
-	m.Started = func() { t.now(fleet.Serving); t.serves() }
-	m.Also = func(put func(name string, n uint64, gauge bool)) {
+	m.OnStart = func() { t.now(fleet.Serving); t.serves() }
+	m.ExtraFigures = func(put func(name string, n uint64, gauge bool)) {
 		if a := t.agent.Load(); a != nil {
 			a.Figures(put)
 		}
@@ -183,7 +183,7 @@
 	defer t.mu.Unlock()
 	t.state = max(t.state, s)
 	if a := t.agent.Load(); a != nil {
-		a.State(t.state)
+		a.SetState(t.state)
 	}
 }
 
@@ -222,15 +222,15 @@
 	t.net = net
 	digest, _ := t.reader.Going()
 	a := agent.New(agent.Config{Self: t.member.Name, Zone: t.member.Zone, Program: Version(), Settings: digest, Roster: t.base.Fleet.RosterNumber,
-		Net: net, Views: &t.views, Make: t.make, First: map[fleet.Kind][]byte{fleet.Stage: stage.First(t.running, t.concluded)}, Wake: t.wakes(), Do: t.do, Log: t.log, Clock: t.clock, Wall: func() int64 { return t.wall }, Window: t.window})
+		Net: net, Views: &t.views, NewModules: t.make, InitialParts: map[fleet.Kind][]byte{fleet.Stage: stage.InitialStatus(t.running, t.concluded)}, Wake: t.wakes(), RunAct: t.do, Log: t.log, Clock: t.clock, WallClock: func() int64 { return t.wall }, Window: t.window})
 	ran := make(chan struct{})
 	go func() { a.Run(); close(ran) }()
 	t.mu.Lock()
 	t.agent.Store(a)
-	a.State(t.state)
+	a.SetState(t.state)
 	t.mu.Unlock()
 	digest, _ = t.reader.Going() // the service may have read the file meanwhile
-	a.Goes(digest, t.base.Fleet.RosterNumber)
+	a.SetSettingsAndRoster(digest, t.base.Fleet.RosterNumber)
 	t.log.Info("fleet joined", "cluster", cfg.Cluster, "self", cfg.Self, "bind", cfg.Bind, "mono", agent.Monotonic())
 	<-t.stop
 	a.Stop()
@@ -279,8 +279,8 @@
 	if a == nil || s.Fleet == nil {
 		return // members that are gone from a file are not forgotten by those that run
 	}
-	a.Name(addresses(s, t.member.Name))
-	a.Goes(digest, s.Fleet.RosterNumber)
+	a.SetAddresses(addresses(s, t.member.Name))
+	a.SetSettingsAndRoster(digest, s.Fleet.RosterNumber)
 	t.mu.Lock()
 	t.last = s
 	t.mu.Unlock()
@@ -305,7 +305,7 @@
 	case stage.Conclude:
 		return t.conclude(to)
 	}
-	return &agent.ActError{What: act.What, Why: "no such act"}
+	return &agent.ActError{What: act.What, Reason: "no such act"}
 }
 
 // apply goes by the settings that a change names, as after SIGHUP.
--- a/internal/member/parts.go
+++ b/internal/member/parts.go
@@ -36,7 +36,7 @@
 	}
 	f := s.Fleet
 	t.lessor = lease.New(leaseWithFailpoints(lease.Config{Self: t.member.Name, Incarnation: life, Seed: life, Roster: f.RosterNumber, Names: f.Roster,
-		Lease: f.Lease, Drift: f.Drift, Floor: life / 1000, Renewals: failpoint.Enabled}))
+		Lease: f.Lease, Drift: f.Drift, Floor: life / 1000, NoteRenewals: failpoint.Enabled}))
 	figures := aggregate.New(aggregate.Config{Self: t.member.Name, Seed: life, Allow: t.allowFigures})
 	t.stage = stage.New(stage.Config{
 		Name:      t.member.Name,
@@ -50,7 +50,7 @@
 	parts := []fleet.Module{t.lessor, figures, t.stage}
 	if t.table != nil {
 		cfg := t.keepers(life, t.lessor)
-		cfg.Barred = t.stage.Soon
+		cfg.Excluded = t.stage.ChangesSoon
 		k, err := keeper.New(keeperWithFailpoints(cfg), t.table, t.queue)
 		if err != nil {
 			t.log.Error("no numbers are kept", "error", err, advice.Attr(err))
@@ -60,8 +60,8 @@
 		}
 	}
 	if t.pools != nil {
-		p, err := pooling.New(pooling.Config{Self: t.member.Name, Seed: life, Loop: t.pools, Unsafe: unsafe(t.base.Pooling.Unsafe), Watch: t.base.Pooling.Mode == "watch",
-			Complain: func(err error) { t.log.Warn("pooling", "error", err, advice.Attr(err)) }})
+		p, err := pooling.New(pooling.Config{Self: t.member.Name, Seed: life, Loop: t.pools, MaxUnsafeRate: unsafe(t.base.Pooling.Unsafe), ObserveOnly: t.base.Pooling.Mode == "watch",
+			ReportError: func(err error) { t.log.Warn("pooling", "error", err, advice.Attr(err)) }})
 		if err != nil {
 			t.log.Error("no sessions are observed", "error", err, advice.Attr(err))
 		} else {
@@ -77,9 +77,9 @@
 }
 
 // keepers is what the keepers' part and its front go by; the front needs no lessor.
-func (t *together) keepers(life uint64, lessor lease.Lessor) keeper.Config {
+func (t *together) keepers(life uint64, lessor lease.Client) keeper.Config {
 	k := t.base.Keepers
-	return keeper.Config{Self: t.member.Name, Life: life, Lessor: lessor, Most: k.Numbers, Share: k.Share, Drift: t.base.Fleet.Drift}
+	return keeper.Config{Self: t.member.Name, Incarnation: life, Lessor: lessor, MaxOwned: k.Numbers, FallbackShare: k.Share, ClockDrift: t.base.Fleet.Drift}
 }
 
 // wakes is what asks for a look at the parts before it is due.
@@ -223,13 +223,13 @@
 		const second = 1e6
 		t := func(s float64) int64 { return int64(s * second * by) }
 		// A process takes over in its own time, however short the rest is made.
-		r = stage.Rules{Baseline: t(120), Warm: t(30), Slot: max(t(10), 2*second), Look: max(t(60), 4*second), Most: t(600),
-			Patience: max(t(60), 15*second), Lost: t(20), Ask: max(t(30), 15*second), Repeat: max(t(1), second/5)}
+		r = stage.Rules{Baseline: t(120), WarmUp: t(30), SlotLength: max(t(10), 2*second), MinEvaluation: max(t(60), 4*second), MaxEvaluation: t(600),
+			ApplyTimeout: max(t(60), 15*second), SuspectTimeout: t(20), LeaseTimeout: max(t(30), 15*second), ResendInterval: max(t(1), second/5)}
 	}
 	if by, err := parseFactor(failpoint.Value("stage-margins")); err == nil {
 		m := &r.Margins
-		*m = stage.Rules{}.Whole().Margins
-		for _, x := range []*float64{&m.Worth, &m.Refused, &m.Failed, &m.Late, &m.Wait, &m.CPU, &m.Memory, &m.Growth} {
+		*m = stage.Rules{}.WithDefaults().Margins
+		for _, x := range []*float64{&m.Worth, &m.Refused, &m.Failed, &m.Late, &m.WaitP99, &m.CPU, &m.Memory, &m.Growth} {
 			*x *= by
 		}
 	}
--- a/internal/membership/file.go
+++ b/internal/membership/file.go
@@ -63,17 +63,17 @@
 // Address is empty: a file is read, not connected to.
 func (f *File) Address() string { return "" }
 
-// Ask is never called, because there is no address.
-func (f *File) Ask(int64) []byte { return nil }
+// Request is never called, because there is no address.
+func (f *File) Request(int64) []byte { return nil }
 
 // Feed is never called, because there is no address.
 func (f *File) Feed(int64, []byte, func(wire.Change)) error { return nil }
 
 // Heard is never called, because there is no address.
-func (f *File) Heard() int64 { return 0 }
+func (f *File) LastFrame() int64 { return 0 }
 
-// Last returns the number of the last change, which counts the changes of the list.
-func (f *File) Last() uint64 { return f.lastNumber }
+// LastNumber returns the number of the last change, which counts the changes of the list.
+func (f *File) LastNumber() uint64 { return f.lastNumber }
 
 // Reload announces the smallest change that makes the list match a new version of the file; unchanged offices are not
 // mentioned.
--- a/internal/membership/frames_test.go
+++ b/internal/membership/frames_test.go
@@ -76,7 +76,7 @@
 			var reported []uint64
 			emit := func(c wire.Change) { reported = append(reported, c.Number) }
 			_ = j.Start(0, emit)
-			j.Ask(0)
+			j.Request(0)
 			var err error
 			for at := 0; at < len(c.in) && err == nil; at += step {
 				err = j.Feed(1, c.in[at:min(at+step, len(c.in))], emit)
@@ -92,7 +92,7 @@
 					t.Fatalf("%s, %d bytes at a time: reported %v", c.name, step, reported)
 				}
 			}
-			if ask := j.Ask(2); binary.BigEndian.Uint64(ask) != last {
+			if ask := j.Request(2); binary.BigEndian.Uint64(ask) != last {
 				t.Errorf("%s: requests events after % x, not %d", c.name, ask, last)
 			}
 		}
@@ -104,14 +104,14 @@
 func TestIncompleteFrameIsSilence(t *testing.T) {
 	j := NewJournal("x:1", wire.Known{Last: 3}, nil)
 	_ = j.Start(0, func(wire.Change) {})
-	j.Ask(7)
+	j.Request(7)
 	for i, b := range frameWithLength(9+2700, 4, 2, make([]byte, 2699)) {
-		if err := j.Feed(int64(100+i), []byte{b}, func(wire.Change) {}); err != nil || j.Heard() != 7 {
-			t.Fatalf("byte %d: heard at %d, %v", i, j.Heard(), err)
+		if err := j.Feed(int64(100+i), []byte{b}, func(wire.Change) {}); err != nil || j.LastFrame() != 7 {
+			t.Fatalf("byte %d: heard at %d, %v", i, j.LastFrame(), err)
 		}
 	}
-	if err := j.Feed(9000, []byte{0}, func(wire.Change) {}); err != nil || j.Heard() != 9000 || j.Last() != 4 {
-		t.Errorf("heard at %d, last %d, %v", j.Heard(), j.Last(), err)
+	if err := j.Feed(9000, []byte{0}, func(wire.Change) {}); err != nil || j.LastFrame() != 9000 || j.LastNumber() != 4 {
+		t.Errorf("heard at %d, last %d, %v", j.LastFrame(), j.LastNumber(), err)
 	}
 }
 
@@ -138,8 +138,8 @@
 					}
 				}
 			})
-			if j.Last() != last {
-				t.Fatalf("Last returns %d, but event %d was reported last", j.Last(), last)
+			if j.LastNumber() != last {
+				t.Fatalf("Last returns %d, but event %d was reported last", j.LastNumber(), last)
 			}
 			if err != nil {
 				return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -18,7 +18,7 @@
 	Zones   []string   // for a Journal: names of the zones, in order
 	Members []Member   // for a File: all offices in the file
 	Linger  int64      // for a File: how long calls may continue at an office removed from the file
-	Part    any        // settings that do not concern the list; passed on unchanged
+	Other   any        // settings that do not concern the list; passed on unchanged
 }
 
 // Source is a source of the list of offices.
@@ -28,20 +28,20 @@
 	// Address returns the address of the service to connect to. If it is empty, there is none and Feed is never
 	// called.
 	Address() string
-	// Ask begins a new connection to the service and returns the data to write on it first.
-	Ask(now int64) []byte
+	// Request begins a new connection to the service and returns the data to write on it first.
+	Request(now int64) []byte
 	// Feed parses data received on the connection and reports the changes in it, in order. After an error the
 	// connection must be closed; a new one resumes.
 	Feed(now int64, data []byte, emit func(wire.Change)) error
-	// Heard returns when the last complete frame was received on the connection.
-	Heard() int64
+	// LastFrame returns when the last complete frame was received on the connection.
+	LastFrame() int64
 	// Reload applies a reloaded configuration, which has already been checked.
 	Reload(now int64, u Update, emit func(wire.Change)) error
 	// Tick reports changes that are due to the passage of time. countCalls returns the number of calls established or
 	// outstanding at an office. Tick is called several times a second.
 	Tick(now int64, countCalls func(decide.ServerID) int, emit func(wire.Change))
-	// Last returns the number of the last change reported.
-	Last() uint64
+	// LastNumber returns the number of the last change reported.
+	LastNumber() uint64
 }
 
 // SkippedError reports that changes are missing before a received one.
@@ -82,17 +82,17 @@
 // Address returns the address of the journal service.
 func (j *Journal) Address() string { return j.address }
 
-// Ask requests all events after the last one reported.
-func (j *Journal) Ask(now int64) []byte {
+// Request requests all events after the last one reported.
+func (j *Journal) Request(now int64) []byte {
 	j.buffer, j.lastFrame = nil, now
 	return binary.BigEndian.AppendUint64(nil, j.lastNumber)
 }
 
 // Heard returns when the last complete frame was received.
-func (j *Journal) Heard() int64 { return j.lastFrame }
+func (j *Journal) LastFrame() int64 { return j.lastFrame }
 
-// Last returns the number of the last event reported.
-func (j *Journal) Last() uint64 { return j.lastNumber }
+// LastNumber returns the number of the last event reported.
+func (j *Journal) LastNumber() uint64 { return j.lastNumber }
 
 // Tick does nothing: changes come only from the journal.
 func (j *Journal) Tick(int64, func(decide.ServerID) int, func(wire.Change)) {}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -173,8 +173,8 @@
 	if err := j.Start(0, emit); err != nil {
 		t.Fatal(err)
 	}
-	if ask := j.Ask(5); binary.BigEndian.Uint64(ask) != 3 || j.Heard() != 5 {
-		t.Errorf("requested % x, heard at %d", ask, j.Heard())
+	if ask := j.Request(5); binary.BigEndian.Uint64(ask) != 3 || j.LastFrame() != 5 {
+		t.Errorf("requested % x, heard at %d", ask, j.LastFrame())
 	}
 	frame := func(number uint64, kind byte) []byte {
 		b := binary.BigEndian.AppendUint64([]byte{0, 0, 0, 9}, number)
@@ -185,8 +185,8 @@
 			t.Fatal(err)
 		}
 	}
-	if reported != 1 || j.Last() != 4 || j.Heard() != 35 {
-		t.Errorf("reported %d, last %d, heard at %d", reported, j.Last(), j.Heard())
+	if reported != 1 || j.LastNumber() != 4 || j.LastFrame() != 35 {
+		t.Errorf("reported %d, last %d, heard at %d", reported, j.LastNumber(), j.LastFrame())
 	}
 	var skipped *SkippedError
 	if err := j.Feed(40, frame(6, 2), emit); !errors.As(err, &skipped) || skipped.Last != 4 || skipped.Number != 6 {
--- a/internal/membership/reload_test.go
+++ b/internal/membership/reload_test.go
@@ -52,9 +52,9 @@
 			}
 			_ = j.Start(0, emit)
 			err := j.Reload(1, Update{Address: "new:1", Known: known}, emit)
-			if changed := len(reported) > 0 || j.Last() != 3 || j.Address() != "old:1"; fails != (err != nil) ||
+			if changed := len(reported) > 0 || j.LastNumber() != 3 || j.Address() != "old:1"; fails != (err != nil) ||
 				fails == changed {
-				t.Errorf("%s, %s: %v; reported %v, last %d, address %s", name, at, err, reported, j.Last(), j.Address())
+				t.Errorf("%s, %s: %v; reported %v, last %d, address %s", name, at, err, reported, j.LastNumber(), j.Address())
 			}
 		}
 	}
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -35,8 +35,8 @@
 // of the deciders; both may be nil. Step, Reload, Avoids and Figures belong to the loop of calls; Read to any one other
 // goroutine.
 type Meter struct {
-	Started func()
-	Also    func(put func(name string, n uint64, gauge bool))
+	OnStart      func()
+	ExtraFigures func(put func(name string, n uint64, gauge bool))
 
 	inner    Decider
 	reloader interface {
@@ -77,28 +77,28 @@
 // Step passes an event on and counts what the event and the resulting actions report.
 func (m *Meter) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	switch e.Kind {
-	case decide.Start:
-		if m.Started != nil {
-			m.Started()
+	case decide.NodeStarted:
+		if m.OnStart != nil {
+			m.OnStart()
 		}
-	case decide.Order:
+	case decide.CallArrived:
 		if e.Class >= 0 && e.Class < len(m.counters) {
 			counters := &m.counters[e.Class]
 			increment(&counters.offered)
 			m.calls[e.Call] = openCall{arrivedAt: now, deadline: e.Deadline, class: int32(e.Class)}
 		}
-	case decide.Begun:
+	case decide.SetUpCompleted:
 		m.countFinal(now, e.Call, completed)
-	case decide.Ended:
+	case decide.AttemptEnded:
 		if call, ok := m.calls[e.Call]; ok {
-			if e.Final {
+			if e.AnswerGiven {
 				m.countFinal(now, e.Call, failed)
 			} else if call.attemptOut {
 				call.attemptOut = false
 				m.calls[e.Call] = call
 			}
 		}
-	case decide.Gone:
+	case decide.CallerLeft:
 		m.countFinal(now, e.Call, callerLeft)
 	}
 	first := len(out)
@@ -191,8 +191,8 @@
 		m.figuresSource.Figures(put)
 	}
 	put("meter_broken", m.violations.Load(), false)
-	if m.Also != nil {
-		m.Also(put)
+	if m.ExtraFigures != nil {
+		m.ExtraFigures(put)
 	}
 }
 
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -35,27 +35,27 @@
 	m := New(settings, []string{"a", "b"}, inner)
 	step := func(now int64, e decide.Event, acts ...decide.Action) {
 		inner.actions = acts
-		if out := m.Step(now, e, []decide.Action{{Kind: decide.Watch}}); len(out) != 1+len(acts) {
+		if out := m.Step(now, e, []decide.Action{{Kind: decide.SubscribeList}}); len(out) != 1+len(acts) {
 			t.Errorf("actions %v were passed on as %v", acts, out)
 		}
 	}
 	order := func(id decide.CallID, class int, acts ...decide.Action) {
-		step(0, decide.Event{Kind: decide.Order, Call: id, Class: class, Deadline: 5000}, acts...)
+		step(0, decide.Event{Kind: decide.CallArrived, Call: id, Class: class, Deadline: 5000}, acts...)
 	}
 	send := func(id decide.CallID) decide.Action { return decide.Action{Kind: decide.Send, Call: id} }
 	order(1, 0, send(1))
-	step(900, decide.Event{Kind: decide.Begun, Call: 1})
-	step(90000, decide.Event{Kind: decide.Ended, Call: 1, Outcome: decide.OK}) // established: counted already
+	step(900, decide.Event{Kind: decide.SetUpCompleted, Call: 1})
+	step(90000, decide.Event{Kind: decide.AttemptEnded, Call: 1, Outcome: decide.OK}) // established: counted already
 	order(2, 0, send(2))
-	step(2000, decide.Event{Kind: decide.Begun, Call: 2}) // late
+	step(2000, decide.Event{Kind: decide.SetUpCompleted, Call: 2}) // late
 	order(3, 0, decide.Action{Kind: decide.Refuse, Call: 3})
 	order(4, 1, send(4))
-	step(10, decide.Event{Kind: decide.Ended, Call: 4, Outcome: decide.Unreached}, send(4)) // second attempt
-	step(20, decide.Event{Kind: decide.Ended, Call: 4, Outcome: decide.Failed, Final: true})
+	step(10, decide.Event{Kind: decide.AttemptEnded, Call: 4, Outcome: decide.Unreachable}, send(4)) // second attempt
+	step(20, decide.Event{Kind: decide.AttemptEnded, Call: 4, Outcome: decide.Failed, AnswerGiven: true})
 	order(5, 1)
-	step(5000, decide.Event{Kind: decide.Gone, Call: 5})
+	step(5000, decide.Event{Kind: decide.CallerLeft, Call: 5})
 	order(6, 1)
-	step(30, decide.Event{Kind: decide.Fired}, decide.Action{Kind: decide.Fail, Call: 6})
+	step(30, decide.Event{Kind: decide.TimerFired}, decide.Action{Kind: decide.Fail, Call: 6})
 	want := fleet.Window{Class: []fleet.ClassFigures{
 		{Name: "a", Offered: 3, Served: 2, Refused: 1, Late: 1, Worth: 3, Whole: 6, Waits: []uint32{0, 1, 1}},
 		{Name: "b", Offered: 3, Failed: 3, Whole: 30, Waits: []uint32{}}}}
@@ -63,9 +63,9 @@
 		t.Error(d)
 	}
 	order(7, 0, send(7))
-	step(10, decide.Event{Kind: decide.Fired}, send(7)) // two attempts out at the same time
+	step(10, decide.Event{Kind: decide.TimerFired}, send(7)) // two attempts out at the same time
 	order(8, 0)
-	step(5101, decide.Event{Kind: decide.Fired}, decide.Action{Kind: decide.Refuse, Call: 8}) // too late
+	step(5101, decide.Event{Kind: decide.TimerFired}, decide.Action{Kind: decide.Refuse, Call: 8}) // too late
 	if w := m.Read(); w.Broken != 2 || w.Class[0].Offered != 2 || w.Class[0].Refused != 1 {
 		t.Errorf("%+v", w)
 	}
@@ -76,7 +76,7 @@
 		t.Error("the wrapped decider was not called")
 	}
 	names := map[string]uint64{}
-	m.Also = func(put func(string, uint64, bool)) { put("also", 4, true) }
+	m.ExtraFigures = func(put func(string, uint64, bool)) { put("also", 4, true) }
 	m.Figures(func(name string, n uint64, _ bool) { names[name] = n })
 	if names["inner"] != 3 || names["also"] != 4 || names["meter_broken"] != 2 {
 		t.Errorf("figures %v", names)
@@ -101,14 +101,14 @@
 func BenchmarkCall(b *testing.B) {
 	m := New(settings, []string{"a", "b"}, noopDecider{})
 	for i := range 1000 {
-		m.Step(0, decide.Event{Kind: decide.Order, Call: decide.CallID(i), Deadline: 5000}, nil)
+		m.Step(0, decide.Event{Kind: decide.CallArrived, Call: decide.CallID(i), Deadline: 5000}, nil)
 	}
 	b.ReportAllocs()
 	id := decide.CallID(1000)
 	for b.Loop() {
 		id++
-		m.Step(1, decide.Event{Kind: decide.Order, Call: id, Deadline: 5000}, nil)
-		m.Step(2, decide.Event{Kind: decide.Begun, Call: id}, nil)
+		m.Step(1, decide.Event{Kind: decide.CallArrived, Call: id, Deadline: 5000}, nil)
+		m.Step(2, decide.Event{Kind: decide.SetUpCompleted, Call: id}, nil)
 	}
 }
 
@@ -118,8 +118,8 @@
 	id := decide.CallID(0)
 	if n := testing.AllocsPerRun(10_000, func() {
 		id++
-		m.Step(1, decide.Event{Kind: decide.Order, Call: id, Deadline: 5000}, nil)
-		m.Step(2, decide.Event{Kind: decide.Begun, Call: id}, nil)
+		m.Step(1, decide.Event{Kind: decide.CallArrived, Call: id, Deadline: 5000}, nil)
+		m.Step(2, decide.Event{Kind: decide.SetUpCompleted, Call: id}, nil)
 	}); n != 0 {
 		t.Errorf("%v allocations a call", n)
 	}
--- a/internal/pathcost/pathcost.go
+++ b/internal/pathcost/pathcost.go
@@ -68,22 +68,22 @@
 // Open, Closed, Keep, Observe and Round are those of a pooling.Laner that keeps nothing.
 func (*laned) Open(int64, pooling.SessionID, string, string) pooling.ClientID { return 1 }
 func (*laned) Closed(int64, pooling.ClientID, pooling.SessionID)              {}
-func (*laned) Keep(int64, pooling.ClientID, pooling.SessionID) bool           { return true }
+func (*laned) KeepOwn(int64, pooling.ClientID, pooling.SessionID) bool        { return true }
 func (*laned) Observe(int64, pooling.Observation)                             {}
-func (*laned) Round(int64)                                                    {}
+func (*laned) EndRound(int64)                                                 {}
 
-// Lane gives the one kind of lane.
-func (l *laned) Lane(_ int64, c *pooling.Call, k pooling.Kind) pooling.Lane {
+// Select gives the one kind of lane.
+func (l *laned) Select(_ int64, c *pooling.Call, k pooling.MessageKind) pooling.ConnectionKind {
 	if k != pooling.SetUp {
-		return pooling.Held
+		return pooling.SetUpConnection
 	}
-	switch c.Lane = pooling.Own; l.how {
+	switch c.Connection = pooling.OwnConnection; l.how {
 	case "taken":
-		c.Lane = pooling.Taken
+		c.Connection = pooling.ExclusiveConnection
 	case "any":
-		c.Lane = pooling.Any
+		c.Connection = pooling.AnyConnection
 	}
-	return c.Lane
+	return c.Connection
 }
 
 // coreEnv names the one core on which the program is to run.
@@ -97,7 +97,7 @@
 
 // Step does what the module does, and keeps something of each call.
 func (p *planted) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
-	if e.Kind == decide.Order {
+	if e.Kind == decide.CallArrived {
 		p.kept = new([64]byte)
 	}
 	return p.Node.Step(now, e, out)
--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -22,97 +22,97 @@
 // SessionID identifies a caller's connection in this process. IDs are never reused.
 type SessionID uint64
 
-// Kind is the effect that a message to an office has on its call.
-type Kind uint8
+// MessageKind is the effect that a message to an office has on its call.
+type MessageKind uint8
 
 // The kinds of messages to an office.
 const (
-	SetUp  Kind = iota + 1 // an attempt of a call
-	GiveUp                 // withdraws a set-up that has no answer yet
-	End                    // releases an established call
-	Heard                  // acknowledges the office's release
+	SetUp      MessageKind = iota + 1 // an attempt of a call
+	GiveUp                            // withdraws a set-up that has no answer yet
+	End                               // releases an established call
+	ReleaseAck                        // acknowledges the office's release
 )
 
-// Lane is the kind of connection to an office that carries a message.
-type Lane uint8
+// ConnectionKind is the kind of connection to an office that carries a message.
+type ConnectionKind uint8
 
 // The kinds of connections. If no connection of the selected kind is open, one is opened. A connection that cannot be
 // opened is no reason to use another kind.
 const (
-	// Own is the session's own connection to the office. It carries no other session's messages and stays open as
+	// OwnConnection is the session's own connection to the office. It carries no other session's messages and stays open as
 	// long as the session.
-	Own   Lane = iota + 1
-	Taken      // a pooled connection that no other call uses, for the length of this call
-	Any        // any pooled connection; after the set-up a different one than the set-up's, if there is one
-	Held       // the connection that carried the call's set-up; never returned for a set-up
+	OwnConnection       ConnectionKind = iota + 1
+	ExclusiveConnection                // a pooled connection that no other call uses, for the length of this call
+	AnyConnection                      // any pooled connection; after the set-up a different one than the set-up's, if there is one
+	SetUpConnection                    // the connection that carried the call's set-up; never returned for a set-up
 )
 
 // Call is the state that the session code keeps for a call from its set-up to its end, and passes with each query and
 // observation. It is copied as a whole when the call changes from open to established.
 type Call struct {
-	ID      uint64
-	Client  ClientID  // of the connection on which the set-up arrived
-	Session SessionID // the connection on which the set-up arrived
-	Office  uint64    // office that its newest set-up goes or went to: any number that is unique per office
-	Free    bool      // the call's class may be repeated freely
-	Lane    Lane      // returned by Laner.Lane for its newest set-up and stored here by it; 0: none was sent
-	Memo    uint8     // flags private to pooling, like the next field
-	Refused uint64    // office that refused the call on a shared connection; 0: none has
+	ID         uint64
+	Client     ClientID       // of the connection on which the set-up arrived
+	Session    SessionID      // the connection on which the set-up arrived
+	Office     uint64         // office that its newest set-up goes or went to: any number that is unique per office
+	Repeatable bool           // the call's class may be repeated freely
+	Connection ConnectionKind // returned by Laner.Lane for its newest set-up and stored here by it; 0: none was sent
+	Flags      uint8          // flags private to pooling, like the next field
+	RefusedBy  uint64         // office that refused the call on a shared connection; 0: none has
 }
 
-// Happening is the kind of an observation.
-type Happening uint8
+// EventKind is the kind of an observation.
+type EventKind uint8
 
 // The observations that the session code reports. Brackets name the Observation fields that are set.
 const (
-	CameSetUp Happening = iota + 1 // a set-up was accepted from the caller [Text: its description]
-	CameAgain                      // a set-up arrived under a call id in use or still remembered [On]
-	CameEnd                        // a release or give-up arrived from a caller [On: the session on which it arrived]
-	Answered                       // the office answered and the call is established [Text: its description]
-	Failed                         // the office refused the newest set-up [Cause]; not for a withdrawn one
-	EndHeard                       // the office acknowledged a release sent by this process
-	// EndUnheard: no acknowledgement arrived in time while the connection was open. The release is then sent again on
+	SetUpReceived   EventKind = iota + 1 // a set-up was accepted from the caller [Text: its description]
+	IDReused                             // a set-up arrived under a call id in use or still remembered [On]
+	EndReceived                          // a release or give-up arrived from a caller [On: the session on which it arrived]
+	SetUpAnswered                        // the office answered and the call is established [Text: its description]
+	SetUpRefused                         // the office refused the newest set-up [Cause]; not for a withdrawn one
+	EndAcknowledged                      // the office acknowledged a release sent by this process
+	// EndUnacknowledged: no acknowledgement arrived in time while the connection was open. The release is then sent again on
 	// the connection that a further call of Lane selects.
-	EndUnheard
-	EndedThere // the office released an established call [Cause]
-	Over       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
-	LaneLost   // the connection that carried the newest set-up was lost; counts as no sign
+	EndUnacknowledged
+	EndedByOffice  // the office released an established call [Cause]
+	CallOver       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
+	ConnectionLost // the connection that carried the newest set-up was lost; counts as no sign
 )
 
 // Observation is one reported event with its details. Text is only read before Observe returns.
 type Observation struct {
-	What  Happening
-	Call  *Call
-	On    SessionID // the session on which the message arrived; 0: the same as Call.Session
-	Cause byte      // cause of the release
-	Text  []byte
+	Event   EventKind
+	Call    *Call
+	Session SessionID // the session on which the message arrived; 0: the same as Call.Session
+	Cause   byte      // cause of the release
+	Text    []byte
 }
 
-// Laner is the interface that the session code uses. All methods run on the session loop; Lane and Observe neither
-// allocate nor block. Only Open may allocate, once per caller connection. A nil Laner means that pooling is off, and
+// ConnectionSelector is the interface that the session code uses. All methods run on the session loop; Lane and Observe neither
+// allocate nor block. Only Open may allocate, once per caller connection. A nil ConnectionSelector means that pooling is off, and
 // no method is called.
-type Laner interface {
+type ConnectionSelector interface {
 	// Open registers a caller's connection with the application that it declares (named as in the site file) and its
 	// source address without the port. Each is cut to MaxName bytes.
 	Open(now int64, session SessionID, application, source string) ClientID
 	// Closed reports that the connection ended. Its own connections to offices may be closed once nothing is open on
 	// them.
 	Closed(now int64, client ClientID, session SessionID)
-	// Keep reports whether a session's own connections to offices must stay open although nothing is open on them. It
+	// KeepOwn reports whether a session's own connections to offices must stay open although nothing is open on them. It
 	// is called by the periodic sweep. They may be closed once the client's verdict has allowed sharing for long
 	// enough.
-	Keep(now int64, client ClientID, session SessionID) bool
-	// Lane selects the kind of connection for a message of a call. For a set-up it is Own, Taken or Any, and Lane also
-	// stores it in call.Lane; CameSetUp must be observed before the first one. For later messages it is Held, or Any
+	KeepOwn(now int64, client ClientID, session SessionID) bool
+	// Select selects the kind of connection for a message of a call. For a set-up it is Own, Taken or Any, and Select also
+	// stores it in call.Select; CameSetUp must be observed before the first one. For later messages it is Held, or Any
 	// for an End if the set-up went on Any and the client's verdict still allows it: when the client's mode is lowered,
 	// a call in progress stays on its connection. If a set-up was refused on a shared connection (Taken or Any), its
 	// repeat goes on Own.
-	Lane(now int64, call *Call, kind Kind) Lane
+	Select(now int64, call *Call, kind MessageKind) ConnectionKind
 	// Observe reports an event of a call.
 	Observe(now int64, observation Observation)
-	// Round is called at the end of each round of the loop. It hands the observations over to the Part as far as the
+	// EndRound is called at the end of each round of the loop. It hands the observations over to the Part as far as the
 	// ring has room.
-	Round(now int64)
+	EndRound(now int64)
 }
 
 // MaxName bounds the application and the source address of a client, in bytes each.
--- a/internal/pooling/errors.go
+++ b/internal/pooling/errors.go
@@ -6,77 +6,77 @@
 	"pewterwheel/internal/advice"
 )
 
-// BodyError reports a message or a part of an entry that cannot be decoded. It is ignored; evidence from other
+// PayloadError reports a message or a part of an entry that cannot be decoded. It is ignored; evidence from other
 // processes still arrives.
-type BodyError struct {
+type PayloadError struct {
 	From string
 	Why  error
 }
 
 // Error implements error.
-func (e *BodyError) Error() string {
+func (e *PayloadError) Error() string {
 	return fmt.Sprintf("pooling: payload from %q ignored: %v", e.From, e.Why)
 }
 
 // Unwrap returns the cause.
-func (e *BodyError) Unwrap() error { return e.Why }
+func (e *PayloadError) Unwrap() error { return e.Why }
 
 // Advice implements advice.Advised.
-func (e *BodyError) Advice() string {
+func (e *PayloadError) Advice() string {
 	return "Check that process's program version and the fleet's addresses: another program may be sending to them."
 }
 
-// ClientsError reports that the client table is full. Clients that are left out go by session.
-type ClientsError struct{ Most int }
+// ClientLimitError reports that the client table is full. Clients that are left out go by session.
+type ClientLimitError struct{ Most int }
 
 // Error implements error.
-func (e *ClientsError) Error() string {
+func (e *ClientLimitError) Error() string {
 	return fmt.Sprintf("pooling: client table is full: %d clients are known and none can be evicted", e.Most)
 }
 
 // Advice implements advice.Advised.
-func (e *ClientsError) Advice() string {
+func (e *ClientLimitError) Advice() string {
 	return "Calls are not affected; if offices lack connections, let callers use fewer applications or addresses."
 }
 
-// RecordsError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and take
+// RecordLimitError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and take
 // longer.
-type RecordsError struct{ Most int }
+type RecordLimitError struct{ Most int }
 
 // Error implements error.
-func (e *RecordsError) Error() string {
+func (e *RecordLimitError) Error() string {
 	return fmt.Sprintf("pooling: record table is full: %d records of other processes are kept", e.Most)
 }
 
 // Advice implements advice.Advised.
-func (e *RecordsError) Advice() string {
+func (e *RecordLimitError) Advice() string {
 	return "Expected in fleets of hundreds; split the installation into clusters if clients are raised too slowly."
 }
 
-// CutError reports that most other processes are unreachable. No client is raised, and no client stays raised on the
+// IsolatedError reports that most other processes are unreachable. No client is raised, and no client stays raised on the
 // evidence of others.
-type CutError struct{ Reached, Known int }
+type IsolatedError struct{ Reached, Known int }
 
 // Error implements error.
-func (e *CutError) Error() string {
+func (e *IsolatedError) Error() string {
 	return fmt.Sprintf("pooling: only %d of %d other processes are reachable", e.Reached, e.Known)
 }
 
 // Advice implements advice.Advised.
-func (e *CutError) Advice() string {
+func (e *IsolatedError) Advice() string {
 	return "Repair the network between the processes; until then clients go by session, with more connections at offices."
 }
 
-// StillError reports that the Part was stalled for so long that its table expired.
-type StillError struct{ For int64 }
+// StallError reports that the Part was stalled for so long that its table expired.
+type StallError struct{ For int64 }
 
 // Error implements error.
-func (e *StillError) Error() string {
+func (e *StallError) Error() string {
 	return fmt.Sprintf("pooling: processing stalled for %d ms", e.For/1000)
 }
 
 // Advice implements advice.Advised.
-func (e *StillError) Advice() string {
+func (e *StallError) Advice() string {
 	return "Find what stopped the process (stop signal, overloaded machine); verdicts recover by themselves in seconds."
 }
 
@@ -92,5 +92,5 @@
 }
 
 // Errors lists all error types of the package.
-var Errors = []advice.Advised{&BodyError{}, &ClientsError{}, &RecordsError{}, &CutError{}, &StillError{},
+var Errors = []advice.Advised{&PayloadError{}, &ClientLimitError{}, &RecordLimitError{}, &IsolatedError{}, &StallError{},
 	&ConfigError{}}
--- a/internal/pooling/export_test.go
+++ b/internal/pooling/export_test.go
@@ -11,7 +11,7 @@
 }
 
 // InjectDefect disables the safeguard of the given name in a part and its loop. Unknown names have no effect.
-func InjectDefect(p *Part, l *Loop, name string) {
+func InjectDefect(p *Module, l *Loop, name string) {
 	p.defects, l.defects = defectSets[name], defectSets[name]
 }
 
@@ -41,7 +41,7 @@
 var DecodePayload = decodePayload
 
 // Weighted returns the weighted count of a sign of a client.
-func (p *Part) Weighted(key uint64, s Sign) float64 {
+func (p *Module) Weighted(key uint64, s Sign) float64 {
 	if c := p.clients[key]; c != nil {
 		return c.weighted[s]
 	}
@@ -49,7 +49,7 @@
 }
 
 // Opinion returns the part's own opinion, before those of newer versions are applied.
-func (p *Part) Opinion(key uint64) Mode {
+func (p *Module) Opinion(key uint64) Mode {
 	if c := p.clients[key]; c != nil {
 		return c.opinion
 	}
@@ -57,7 +57,7 @@
 }
 
 // Digest returns the digest of all denials.
-func (p *Part) Digest() uint64 { return p.digest }
+func (p *Module) Digest() uint64 { return p.digest }
 
 // Constants for tests.
 const (
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -157,7 +157,7 @@
 	defects      defectSet
 }
 
-var _ Laner = (*Loop)(nil)
+var _ ConnectionSelector = (*Loop)(nil)
 
 // NewLoop returns a Loop that uses BySession for every client until a Part publishes its first table. The seed
 // determines which set-ups are tried.
@@ -225,8 +225,8 @@
 	}
 }
 
-// Keep implements Laner.
-func (l *Loop) Keep(now int64, clientID ClientID, sessionID SessionID) bool {
+// KeepOwn implements Laner.
+func (l *Loop) KeepOwn(now int64, clientID ClientID, sessionID SessionID) bool {
 	sess := l.sessions[sessionID]
 	if sess == nil {
 		return false
@@ -277,58 +277,58 @@
 // draw returns true with a probability of share/2^32.
 func (l *Loop) draw(share uint32) bool { return uint32(l.random.Uint64()>>32) < share }
 
-// Lane implements Laner.
-func (l *Loop) Lane(now int64, call *Call, kind Kind) Lane {
+// Select implements Laner.
+func (l *Loop) Select(now int64, call *Call, kind MessageKind) ConnectionKind {
 	l.now = now
 	sess := l.sessions[call.Session]
 	if kind != SetUp {
 		return l.connectionAfterSetUp(sess, call, kind)
 	}
-	call.Lane = l.connectionForSetUp(sess, call)
-	call.Memo |= memoSent
+	call.Connection = l.connectionForSetUp(sess, call)
+	call.Flags |= memoSent
 	if sess == nil {
-		return call.Lane
+		return call.Connection
 	}
-	sess.shared = sess.shared || call.Lane != Own
-	return call.Lane
+	sess.shared = sess.shared || call.Connection != OwnConnection
+	return call.Connection
 }
 
 // connectionForSetUp selects the kind of connection for a set-up: that of the client's mode or, for a random share of
 // the set-ups, that of the mode on trial.
-func (l *Loop) connectionForSetUp(sess *session, call *Call) Lane {
+func (l *Loop) connectionForSetUp(sess *session, call *Call) ConnectionKind {
 	if sess == nil {
-		return Own
+		return OwnConnection
 	}
-	if !call.Free {
+	if !call.Repeatable {
 		sess.guarded = true
 	}
-	if call.Memo&memoRefused != 0 || !call.Free && !l.defects.anyClass {
+	if call.Flags&memoRefused != 0 || !call.Repeatable && !l.defects.anyClass {
 		// Evidence only covers classes that may be repeated freely, so all others use own connections.
-		return Own
+		return OwnConnection
 	}
 	cl := &l.clients[sess.client]
 	v := l.verdict(cl)
 	share := v.Share
-	if call.Memo&memoMarked != 0 {
+	if call.Flags&memoMarked != 0 {
 		share = v.Marked
 	}
 	mode, trial := l.mode(cl, v), l.trial(cl, v)
 	switch {
-	case trial <= mode || call.Memo&memoSent != 0: // only the first set-up of a call is tried
+	case trial <= mode || call.Flags&memoSent != 0: // only the first set-up of a call is tried
 	case mode > BySession && l.draw(share):
 		mode = trial
 	// The share is doubled because only the half of the sessions outside the control group is tried.
 	case mode == BySession && !sess.control && sess.ownAnswers >= minOwnAnswers && l.draw(double(share)):
-		call.Memo |= memoTrial
+		call.Flags |= memoTrial
 		mode = trial
 	}
 	switch mode {
 	case ByMessage:
-		return Any
+		return AnyConnection
 	case ByCall:
-		return Taken
+		return ExclusiveConnection
 	}
-	return Own
+	return OwnConnection
 }
 
 func double(share uint32) uint32 { return uint32(min(2*uint64(share), math.MaxUint32)) }
@@ -336,24 +336,24 @@
 // connectionAfterSetUp selects the kind of connection for a message after the set-up. Only an end may use another
 // connection than the set-up: a give-up could overtake its set-up there, and an acknowledgement must go where the
 // release came from.
-func (l *Loop) connectionAfterSetUp(sess *session, call *Call, kind Kind) Lane {
+func (l *Loop) connectionAfterSetUp(sess *session, call *Call, kind MessageKind) ConnectionKind {
 	if kind != End || sess == nil {
-		return Held
+		return SetUpConnection
 	}
 	cl := &l.clients[sess.client]
-	if call.Memo&(memoEndMoved|memoEndUnheard) == 0 {
+	if call.Flags&(memoEndMoved|memoEndUnheard) == 0 {
 		l.count(sess.client, Ended)
 	}
 	v := l.verdict(cl)
 	allowed := l.mode(cl, v) >= ByMessage && v.Ends || l.trial(cl, v) == ByMessage
-	if l.defects.callsMove && !allowed && call.Lane != Own {
-		return Own
+	if l.defects.callsMove && !allowed && call.Connection != OwnConnection {
+		return OwnConnection
 	}
-	if call.Lane != Any || !allowed || call.Memo&memoEndUnheard != 0 {
-		return Held
+	if call.Connection != AnyConnection || !allowed || call.Flags&memoEndUnheard != 0 {
+		return SetUpConnection
 	}
-	call.Memo |= memoEndMoved
-	return Any
+	call.Flags |= memoEndMoved
+	return AnyConnection
 }
 
 // Observe implements Laner.
@@ -366,10 +366,10 @@
 	}
 	id := sess.client
 	cl := &l.clients[id]
-	marked := call.Memo&memoMarked != 0
-	switch observation.What {
-	case CameSetUp:
-		if !call.Free {
+	marked := call.Flags&memoMarked != 0
+	switch observation.Event {
+	case SetUpReceived:
+		if !call.Repeatable {
 			l.count(id, Guarded)
 		}
 		if sess.open > 0 {
@@ -379,53 +379,53 @@
 		}
 		sess.calls++
 		sess.open++
-		call.Memo |= memoOpen
+		call.Flags |= memoOpen
 		if sess.repeatsToken(observation.Text) {
-			call.Memo |= memoMarked
+			call.Flags |= memoMarked
 			l.count(id, Marked)
 		}
-	case CameAgain:
-		if other := l.sessions[observation.On]; other != nil && other != sess && other.client == id {
+	case IDReused:
+		if other := l.sessions[observation.Session]; other != nil && other != sess && other.client == id {
 			l.recordWitness(id, IDClash)
 		}
 		l.count(id, Again)
-	case CameEnd:
-		if observation.On != 0 && observation.On != call.Session {
+	case EndReceived:
+		if observation.Session != 0 && observation.Session != call.Session {
 			l.count(id, Crossed)
 		}
-	case Answered:
+	case SetUpAnswered:
 		sess.recordReceivedTokens(observation.Text)
-		if call.Memo&memoRefused == 0 {
+		if call.Flags&memoRefused == 0 {
 			l.count(id, l.outcomeSign(sess, call, OwnClean))
 		}
-		if call.Lane != Own {
+		if call.Connection != OwnConnection {
 			break
 		}
 		sess.ownAnswers++
-		if call.Memo&memoMissing != 0 && call.Refused == call.Office {
+		if call.Flags&memoMissing != 0 && call.RefusedBy == call.Office {
 			if marked {
 				l.recordWitness(id, TokenBound)
 			} else {
 				l.recordWitness(id, StateMissing)
 			}
 		}
-	case Failed:
+	case SetUpRefused:
 		l.observeRefusal(sess, cl, call, observation.Cause)
-	case EndHeard:
-		switch call.Memo & (memoEndMoved | memoEndUnheard) {
+	case EndAcknowledged:
+		switch call.Flags & (memoEndMoved | memoEndUnheard) {
 		case memoEndMoved:
 			l.count(id, EndClean)
 		case memoEndMoved | memoEndUnheard:
 			l.count(id, EndFault)
 		}
-		call.Memo &^= memoEndMoved | memoEndUnheard
-	case EndUnheard:
-		if call.Memo&memoEndMoved != 0 {
-			call.Memo |= memoEndUnheard
+		call.Flags &^= memoEndMoved | memoEndUnheard
+	case EndUnacknowledged:
+		if call.Flags&memoEndMoved != 0 {
+			call.Flags |= memoEndUnheard
 		}
-	case Over:
-		if call.Memo&memoOpen != 0 {
-			call.Memo &^= memoOpen
+	case CallOver:
+		if call.Flags&memoOpen != 0 {
+			call.Flags &^= memoOpen
 			sess.open--
 		}
 	}
@@ -434,19 +434,19 @@
 // observeRefusal records the refusal of a set-up.
 func (l *Loop) observeRefusal(sess *session, cl *loopClient, call *Call, cause byte) {
 	id := sess.client
-	if !stateful(cause) || call.Memo&memoRefused != 0 {
+	if !stateful(cause) || call.Flags&memoRefused != 0 {
 		return
 	}
-	call.Memo |= memoRefused
+	call.Flags |= memoRefused
 	l.count(id, l.outcomeSign(sess, call, OwnFault))
 	if cause != wire.CauseMissing {
 		return
 	}
 	switch {
-	case call.Lane != Own:
-		call.Memo |= memoMissing
-		call.Refused = call.Office
-		if v := l.verdict(cl); v.OwnNeverMissed && !cl.ownMissing && call.Memo&memoTrial == 0 {
+	case call.Connection != OwnConnection:
+		call.Flags |= memoMissing
+		call.RefusedBy = call.Office
+		if v := l.verdict(cl); v.OwnNeverMissed && !cl.ownMissing && call.Flags&memoTrial == 0 {
 			l.recordWitness(id, MissingShared)
 		}
 	case !sess.shared:
@@ -461,22 +461,22 @@
 // no longer count for the base rate: those of guarded calls count as AfterClean (see sharesOften) or AfterFault, and
 // those of other calls are not counted, because the trials provide the same evidence.
 func (l *Loop) outcomeSign(sess *session, call *Call, sign Sign) Sign {
-	switch call.Lane {
-	case Own:
+	switch call.Connection {
+	case OwnConnection:
 		switch {
-		case sess.shared && call.Free:
+		case sess.shared && call.Repeatable:
 			return 0
 		case sess.shared && sign == OwnClean && !l.sharesOften(sess):
 			return 0
 		case sess.shared:
 			return sign + AfterClean - OwnClean
 		}
-	case Taken:
+	case ExclusiveConnection:
 		sign += CallClean - OwnClean
-	case Any:
+	case AnyConnection:
 		sign += MessageClean - OwnClean
 	}
-	if call.Memo&memoMarked != 0 {
+	if call.Flags&memoMarked != 0 {
 		sign += OwnMarkedClean - OwnClean
 	}
 	return sign
@@ -516,9 +516,9 @@
 	}
 }
 
-// Round implements Laner. It hands over counts every handOverInterval, or at once if there is a witness; clients with a
+// EndRound implements Laner. It hands over counts every handOverInterval, or at once if there is a witness; clients with a
 // witness come first. Counts for which the ring has no room are kept for a later round.
-func (l *Loop) Round(now int64) {
+func (l *Loop) EndRound(now int64) {
 	l.now = now
 	if len(l.dirtyClients) == 0 || !l.urgent && now-l.handedOverAt < handOverInterval {
 		return
--- a/internal/pooling/module.go
+++ b/internal/pooling/module.go
@@ -63,20 +63,20 @@
 
 // Config is the configuration of a Part.
 type Config struct {
-	Self     string // name of this process in the fleet
-	Seed     uint64 // seed for the order of the processes that evidence is sent to
-	Loop     *Loop  // the loop of the same process
-	Complain func(error)
-	// Unsafe bounds the probability that a client is raised to a mode that is not safe for it; 0: 1 in 10,000.
-	Unsafe float64
-	// Watch computes and reports verdicts, but the table keeps every client by session. Session code that only
+	Self        string // name of this process in the fleet
+	Seed        uint64 // seed for the order of the processes that evidence is sent to
+	Loop        *Loop  // the loop of the same process
+	ReportError func(error)
+	// MaxUnsafeRate bounds the probability that a client is raised to a mode that is not safe for it; 0: 1 in 10,000.
+	MaxUnsafeRate float64
+	// ObserveOnly computes and reports verdicts, but the table keeps every client by session. Session code that only
 	// observes and never calls Laner.Lane makes no trials; what it observes on shared connections still counts.
-	Watch bool
+	ObserveOnly bool
 	// Signs is the mask of the signs that are evaluated; 0: all that this version knows. For tests of mixed versions.
 	Signs uint64
-	// Fixed raises a client after this many clean outcomes regardless of the test, and no test denies; 0: the test
+	// FixedThreshold raises a client after this many clean outcomes regardless of the test, and no test denies; 0: the test
 	// decides. It is a baseline for measurements only and not for production.
-	Fixed float64
+	FixedThreshold float64
 }
 
 // peer is another process of the fleet.
@@ -132,8 +132,8 @@
 	dueAt          int64
 }
 
-// Part is the state machine of pooling in one process.
-type Part struct {
+// Module is the state machine of pooling in one process.
+type Module struct {
 	cfg            Config
 	knownSigns     uint64
 	random         *rand.Rand
@@ -164,58 +164,58 @@
 	messagesIn, messagesOut, unreadable, refusedRecords, refusedClients, witnesses, falls, raises uint64
 }
 
-var _ fleet.Module = (*Part)(nil)
+var _ fleet.Module = (*Module)(nil)
 
 // New returns a Part. The error is a *ConfigError.
-func New(cfg Config) (*Part, error) {
+func New(cfg Config) (*Module, error) {
 	if cfg.Self == "" {
 		return nil, &ConfigError{"process name is empty"}
 	}
 	if cfg.Loop == nil {
 		return nil, &ConfigError{"no session loop is given"}
 	}
-	if cfg.Unsafe == 0 {
-		cfg.Unsafe = defaultUnsafe
+	if cfg.MaxUnsafeRate == 0 {
+		cfg.MaxUnsafeRate = defaultUnsafe
 	}
-	if !(cfg.Unsafe > 0 && cfg.Unsafe < 0.5) {
+	if !(cfg.MaxUnsafeRate > 0 && cfg.MaxUnsafeRate < 0.5) {
 		return nil, &ConfigError{fmt.Sprintf("probability of unsafe sessions is %v, but must be above 0 and below 0.5",
-			cfg.Unsafe)}
+			cfg.MaxUnsafeRate)}
 	}
 	if cfg.Signs == 0 {
 		cfg.Signs = KnownSigns
 	}
-	if cfg.Complain == nil {
-		cfg.Complain = func(error) {}
+	if cfg.ReportError == nil {
+		cfg.ReportError = func(error) {}
 	}
-	return &Part{cfg: cfg, knownSigns: cfg.Signs & KnownSigns, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)),
+	return &Module{cfg: cfg, knownSigns: cfg.Signs & KnownSigns, random: rand.New(rand.NewPCG(cfg.Seed, 0x73696773)),
 		clients: map[uint64]*client{},
 		peers:   map[string]*peer{}, reportedAt: map[string]int64{}}, nil
 }
 
 // Kind implements fleet.Module.
-func (p *Part) Kind() fleet.Kind { return fleet.Pooling }
+func (p *Module) Kind() fleet.Kind { return fleet.Pooling }
 
 // Start implements fleet.Module.
-func (p *Part) Start(now int64, _ *fleet.Out) {
+func (p *Module) Start(now int64, _ *fleet.Out) {
 	p.startedAt, p.tickedAt, p.nextTick = now, now, now+tickInterval
 }
 
 // Done implements fleet.Module. The Part requests no acts.
-func (p *Part) Done(int64, fleet.Act, error, *fleet.Out) {}
+func (p *Module) Done(int64, fleet.Act, error, *fleet.Out) {}
 
 // Next implements fleet.Module.
-func (p *Part) Next() int64 { return p.nextTick }
+func (p *Module) Next() int64 { return p.nextTick }
 
 // report passes an error to Config.Complain, at most once a minute for each kind.
-func (p *Part) report(now int64, kind string, err error) {
+func (p *Module) report(now int64, kind string, err error) {
 	if at, ok := p.reportedAt[kind]; !ok || now-at >= reportInterval {
 		p.reportedAt[kind] = now
-		p.cfg.Complain(err)
+		p.cfg.ReportError(err)
 	}
 }
 
 // View implements fleet.Module.
-func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
+func (p *Module) View(now int64, v *fleet.View, out *fleet.Out) {
 	for _, q := range p.peerList {
 		q.present = false
 	}
@@ -261,7 +261,7 @@
 }
 
 // setIncarnation sets this process's incarnation, also in the records that were counted before it was known.
-func (p *Part) setIncarnation(life uint64) {
+func (p *Module) setIncarnation(life uint64) {
 	p.incarnation = life
 	for _, c := range p.clientList {
 		if i, ok := c.evidence.find(p.cfg.Self); ok {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (p *Part) peer(now int64, name string) *peer {
+func (p *Module) peer(now int64, name string) *peer {
 	q := p.peers[name]
 	if q == nil {
 		q = &peer{name: name, firstSeen: now}
@@ -289,7 +289,7 @@
 
 // updateIsolation reports whether more than half of the expected processes are unreachable, and updates the state of
 // isolation.
-func (p *Part) updateIsolation(now int64) bool {
+func (p *Module) updateIsolation(now int64) bool {
 	known, reached := 0, 0
 	for _, q := range p.peerList {
 		if q.lastSeen != 0 && now-q.lastSeen < peerMemory {
@@ -311,23 +311,23 @@
 		p.isolatedSince = now
 		p.markAllStale()
 	}
-	p.report(now, "cut", &CutError{reached, known})
+	p.report(now, "cut", &IsolatedError{reached, known})
 	return true
 }
 
-func (p *Part) markAllStale() {
+func (p *Module) markAllStale() {
 	for _, c := range p.clientList {
 		c.stale = true
 	}
 }
 
 // Tick implements fleet.Module.
-func (p *Part) Tick(now int64, out *fleet.Out) {
+func (p *Module) Tick(now int64, out *fleet.Out) {
 	if gap := now - p.tickedAt; gap >= stallGap {
 		// The process was stopped and has resumed: its state is old, and a witness may have been reported meanwhile.
 		p.pausedUntil = now + stallDelay
 		p.markAllStale()
-		p.report(now, "still", &StillError{gap})
+		p.report(now, "still", &StallError{gap})
 	}
 	p.tickedAt, p.nextTick = now, now+tickInterval
 	p.updateIsolation(now)
@@ -343,7 +343,7 @@
 }
 
 // evaluateStale evaluates the clients that changed and publishes the verdicts.
-func (p *Part) evaluateStale(now int64, out *fleet.Out) {
+func (p *Module) evaluateStale(now int64, out *fleet.Out) {
 	for _, c := range p.clientList {
 		if c.stale && now-c.evaluatedAt >= evaluateInterval || now-c.evaluatedAt >= startDelay {
 			p.evaluate(now, c, out)
@@ -356,12 +356,12 @@
 }
 
 // mayRaise reports whether clients may be raised or tried now.
-func (p *Part) mayRaise(now int64) bool {
+func (p *Module) mayRaise(now int64) bool {
 	return now-p.startedAt >= startDelay && now >= p.pausedUntil && p.isolatedSince == 0
 }
 
 // publish publishes a table of all verdicts.
-func (p *Part) publish(now int64) {
+func (p *Module) publish(now int64) {
 	p.tableChanged, p.publishedAt = false, now
 	table := &Table{ValidUntil: now + tableLifetime, Default: Verdict{Epoch: 1, Mode: BySession},
 		verdicts: make(map[uint64]Verdict, len(p.clientList))}
@@ -373,7 +373,7 @@
 	for _, c := range p.clientList {
 		v := Verdict{Epoch: c.evidence.Epoch, Mode: c.mode, Since: c.modeSince, Ends: c.endsPassed,
 			OwnNeverMissed: !c.ownMissing && c.weighted[OwnClean]+c.weighted[OwnMarkedClean] >= minSureOwnSetUps}
-		if paused || p.cfg.Watch {
+		if paused || p.cfg.ObserveOnly {
 			v.Mode = BySession // denials from the time of the stall may not have arrived yet
 		}
 		if next := c.mode + 1; mayRaise && next <= c.evidence.Denied.highestAllowed() {
@@ -396,7 +396,7 @@
 func fraction32(share float64) uint32 { return uint32(share * math.MaxUint32) }
 
 // drain takes the counts from the loop's ring.
-func (p *Part) drain(now int64, out *fleet.Out) {
+func (p *Module) drain(now int64, out *fleet.Out) {
 	for counted := (batch{}); p.cfg.Loop.ring.pop(&counted); {
 		c := p.client(now, counted.key, counted.epoch)
 		if c == nil {
@@ -438,14 +438,14 @@
 }
 
 // markChanged marks this process's own record of a client to be sent.
-func (p *Part) markChanged(c *client) {
+func (p *Module) markChanged(c *client) {
 	p.changeCount++
 	c.lastChange = p.changeCount
 }
 
 // client returns the client with the given key. A new one is added, if necessary in place of an evicted one; nil:
 // there is no room.
-func (p *Part) client(now int64, key uint64, epoch uint32) *client {
+func (p *Module) client(now int64, key uint64, epoch uint32) *client {
 	if c := p.clients[key]; c != nil {
 		return c
 	}
@@ -464,7 +464,7 @@
 		}
 		if worst < 0 {
 			p.refusedClients++
-			p.report(now, "clients", &ClientsError{MaxClients})
+			p.report(now, "clients", &ClientLimitError{MaxClients})
 			return nil
 		}
 		evicted := p.clientList[worst]
@@ -486,7 +486,7 @@
 }
 
 // remoteRecordCount returns the number of a client's records of other processes.
-func (p *Part) remoteRecordCount(c *client) int {
+func (p *Module) remoteRecordCount(c *client) int {
 	n := len(c.evidence.Records)
 	if _, ok := c.evidence.find(p.cfg.Self); ok {
 		n--
@@ -496,7 +496,7 @@
 
 // joinEvidence joins evidence into a client's and adds what is new to the weighted counts. Clean outcomes of a record
 // that this process did not know before are multiplied by trust; faults always count in full.
-func (p *Part) joinEvidence(now int64, c *client, other *Evidence, weight float64) {
+func (p *Module) joinEvidence(now int64, c *client, other *Evidence, weight float64) {
 	if other.Epoch < c.evidence.Epoch {
 		return
 	}
@@ -558,7 +558,7 @@
 }
 
 // deny denies modes to a client within its epoch and sends the denial to all processes.
-func (p *Part) deny(now int64, c *client, modes Modes, by Sign, out *fleet.Out) {
+func (p *Module) deny(now int64, c *client, modes Modes, by Sign, out *fleet.Out) {
 	if modes = modes.withHigherModes(); modes&^c.evidence.Denied == 0 {
 		return
 	}
@@ -579,7 +579,7 @@
 }
 
 // joinDenial joins a denial, lowers the verdict and publishes it at once.
-func (p *Part) joinDenial(now int64, c *client, other *Evidence, out *fleet.Out) {
+func (p *Module) joinDenial(now int64, c *client, other *Evidence, out *fleet.Out) {
 	denied, epoch := c.evidence.Denied, c.evidence.Epoch
 	if denied != 0 {
 		p.digest ^= c.denial().digest()
@@ -608,7 +608,7 @@
 func (c *client) historyKey() string { return fmt.Sprintf("%016x", c.key) }
 
 // endEpochs starts a new epoch for clients whose denial has expired and for those whose test stayed undecided.
-func (p *Part) endEpochs(now int64) {
+func (p *Module) endEpochs(now int64) {
 	for _, c := range p.clientList {
 		expired := c.evidence.Denied != 0 && now-c.deniedAt >= c.denialTime() ||
 			c.evidence.Denied == 0 && c.mode == BySession && now-c.epochBegan >= undecidedTimeout
@@ -632,7 +632,7 @@
 }
 
 // tally returns the outcomes that the test of a mode is computed from.
-func (p *Part) tally(counts *[MaxSigns]float64, mode Mode, marked bool) Tally {
+func (p *Module) tally(counts *[MaxSigns]float64, mode Mode, marked bool) Tally {
 	offset := Sign(0)
 	if marked {
 		offset = CallMarkedClean - CallClean
@@ -660,7 +660,7 @@
 
 // tests appends the tests that a mode must pass, given what was seen of a client. A kind of message that never
 // occurred needs no test.
-func (p *Part) tests(c *client, counts *[MaxSigns]float64, mode Mode, into []test) []test {
+func (p *Module) tests(c *client, counts *[MaxSigns]float64, mode Mode, into []test) []test {
 	plain, marked := CallClean, CallMarkedClean
 	if mode == ByMessage {
 		plain, marked = MessageClean, MessageMarkedClean
@@ -687,12 +687,12 @@
 }
 
 // requiredRatio returns the log likelihood ratio that each test of a mode must reach.
-func (p *Part) requiredRatio(c *client, counts *[MaxSigns]float64, mode Mode) float64 {
+func (p *Module) requiredRatio(c *client, counts *[MaxSigns]float64, mode Mode) float64 {
 	epoch := c.evidence.Epoch
 	if mode == ByMessage {
 		epoch += c.undecidedTests
 	}
-	required := requiredLogRatio(p.cfg.Unsafe, epoch)
+	required := requiredLogRatio(p.cfg.MaxUnsafeRate, epoch)
 	if counts[Serial] >= minOrderedSetUps && counts[Overlapped] < counts[Serial]/minOrderedSetUps &&
 		counts[Crossed] < counts[Serial]/20 {
 		required += extraDemand
@@ -704,7 +704,7 @@
 }
 
 // evaluate decays the evidence of a client, runs its tests and changes its verdict.
-func (p *Part) evaluate(now int64, c *client, out *fleet.Out) {
+func (p *Module) evaluate(now int64, c *client, out *fleet.Out) {
 	c.stale, c.evaluatedAt = false, now
 	p.decay(now, c)
 	counts := &c.weighted
@@ -716,7 +716,7 @@
 	for m := ByCall; m <= c.evidence.Denied.highestAllowed(); m++ {
 		need, pass := p.requiredRatio(c, counts, m), true
 		for _, t := range p.tests(c, counts, m, room[:0]) {
-			if t.highBaseRatio <= refutedLogRatio && counts == &c.weighted && p.cfg.Fixed == 0 {
+			if t.highBaseRatio <= refutedLogRatio && counts == &c.weighted && p.cfg.FixedThreshold == 0 {
 				modes := DenyCall
 				if m == ByMessage {
 					modes = DenyMessage
@@ -727,8 +727,8 @@
 			if c.opinion >= m {
 				c.clip(t, need+headroom)
 				pass = pass && t.lowBaseRatio >= keepFraction*need
-			} else if p.cfg.Fixed > 0 {
-				pass = pass && t.Clean >= p.cfg.Fixed
+			} else if p.cfg.FixedThreshold > 0 {
+				pass = pass && t.Clean >= p.cfg.FixedThreshold
 			} else {
 				pass = pass && t.lowBaseRatio >= need && p.mayRaise(now)
 			}
@@ -766,7 +766,7 @@
 }
 
 // recordOpinion writes the changed opinion to this process's own record.
-func (p *Part) recordOpinion(now int64, c *client) {
+func (p *Module) recordOpinion(now int64, c *client) {
 	r := Record{Process: p.cfg.Self, Incarnation: p.incarnation, Signs: p.knownSigns}
 	if i, ok := c.evidence.find(p.cfg.Self); ok {
 		r = c.evidence.Records[i]
@@ -780,7 +780,7 @@
 
 // limitByNewerVersions returns the lowest of this process's opinion and those of processes that evaluate signs which
 // it does not know.
-func (p *Part) limitByNewerVersions(c *client, own Mode) Mode {
+func (p *Module) limitByNewerVersions(c *client, own Mode) Mode {
 	if p.defects.ignoresNewerVersions {
 		return own
 	}
@@ -800,7 +800,7 @@
 // decay reduces the weight of old evidence once a client is raised, since its test then never ends. Before, evidence
 // keeps its full weight: Wald's bound holds for a test that forgets nothing, and an undecided test starts anew
 // instead.
-func (p *Part) decay(now int64, c *client) {
+func (p *Module) decay(now int64, c *client) {
 	elapsed := now - c.decayedAt
 	c.decayedAt = now
 	if elapsed <= 0 || p.defects.noDecay || c.mode == BySession {
@@ -848,11 +848,11 @@
 }
 
 // Message implements fleet.Module.
-func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
+func (p *Module) Message(now int64, m fleet.Message, out *fleet.Out) {
 	p.messagesIn++
 	s, err := decodePayload(m.From, m.Body)
 	if err == nil && p.peers[m.From] == nil && len(p.peerList) >= maxPeers {
-		err = &BodyError{m.From, errTooManyPeers}
+		err = &PayloadError{m.From, errTooManyPeers}
 	}
 	if err != nil {
 		p.unreadable++
@@ -880,7 +880,7 @@
 }
 
 // joinDenials joins denials received from another process.
-func (p *Part) joinDenials(now int64, denials []denialRecord, out *fleet.Out) {
+func (p *Module) joinDenials(now int64, denials []denialRecord, out *fleet.Out) {
 	for _, d := range denials {
 		if c := p.client(now, d.Key, d.Epoch); c != nil {
 			p.joinFromPeer(now, c, &Evidence{Epoch: d.Epoch, Denied: d.Modes, DeniedBy: d.DeniedBy}, out)
@@ -890,7 +890,7 @@
 
 // joinFromPeer joins a client's epoch and denials received from another process. If that begins a later epoch, a
 // recent denial of the present one is carried over: the epoch may have begun where the witness was not known.
-func (p *Part) joinFromPeer(now int64, c *client, other *Evidence, out *fleet.Out) {
+func (p *Module) joinFromPeer(now int64, c *client, other *Evidence, out *fleet.Out) {
 	own, by := c.evidence.Denied, c.evidence.DeniedBy
 	carry := other.Epoch > c.evidence.Epoch && own != 0 && now-c.deniedAt < c.denialTime()/2
 	p.joinDenial(now, c, other, out)
@@ -900,7 +900,7 @@
 }
 
 // acknowledged records that a process knows a denial, or a later epoch in which it no longer applies.
-func (p *Part) acknowledged(now int64, q *peer, ack denialRecord, out *fleet.Out) {
+func (p *Module) acknowledged(now int64, q *peer, ack denialRecord, out *fleet.Out) {
 	for i := 0; i < len(p.pending); i++ {
 		denial := &p.pending[i]
 		if denial.key != ack.Key || ack.Epoch < denial.epoch ||
@@ -920,7 +920,7 @@
 }
 
 // receiveEvidence joins another process's own record.
-func (p *Part) receiveEvidence(now int64, from *peer, message *payload, record *evidenceRecord, out *fleet.Out) {
+func (p *Module) receiveEvidence(now int64, from *peer, message *payload, record *evidenceRecord, out *fleet.Out) {
 	c := p.client(now, record.Key, record.Epoch)
 	if c == nil {
 		return
@@ -931,7 +931,7 @@
 	}
 	if _, found := c.evidence.find(from.name); !found && p.remoteRecords >= MaxRecords {
 		p.refusedRecords++
-		p.report(now, "records", &RecordsError{MaxRecords})
+		p.report(now, "records", &RecordLimitError{MaxRecords})
 		return
 	}
 	p.joinEvidence(now, c, &Evidence{Epoch: record.Epoch, Records: []Record{{Process: from.name,
@@ -940,7 +940,7 @@
 }
 
 // send queues a message. The caller keeps its payload within the size limit; a larger one is dropped.
-func (p *Part) send(to string, message *payload, out *fleet.Out) {
+func (p *Module) send(to string, message *payload, out *fleet.Out) {
 	message.Signs, message.Incarnation = p.knownSigns, p.incarnation
 	body := message.encode()
 	if len(body) > fleet.MaxBody {
@@ -951,7 +951,7 @@
 }
 
 // resendDenials sends denials again to the processes that have not acknowledged them.
-func (p *Part) resendDenials(now int64, out *fleet.Out) {
+func (p *Module) resendDenials(now int64, out *fleet.Out) {
 	var due []*pendingDenial
 	for i := 0; i < len(p.pending); i++ {
 		w := &p.pending[i]
@@ -989,7 +989,7 @@
 }
 
 // sendEvidence sends evidence to the next few processes, and denials to those whose digest differs.
-func (p *Part) sendEvidence(now int64, out *fleet.Out) {
+func (p *Module) sendEvidence(now int64, out *fleet.Out) {
 	if now-p.evidenceSentAt < evidenceInterval || len(p.peerList) == 0 {
 		return
 	}
@@ -1024,7 +1024,7 @@
 
 // repairDenials sends the next denials to a process whose digest differs. The denials that this process lacks are
 // sent by the other one in the same way.
-func (p *Part) repairDenials(q *peer, out *fleet.Out) {
+func (p *Module) repairDenials(q *peer, out *fleet.Out) {
 	var message payload
 	for range p.clientList {
 		if q.repairIndex >= len(p.clientList) {
@@ -1045,7 +1045,7 @@
 
 // sendEvidenceTo sends the oldest changed own records that a process has not been sent, and reports whether any are
 // left.
-func (p *Part) sendEvidenceTo(q *peer, out *fleet.Out) bool {
+func (p *Module) sendEvidenceTo(q *peer, out *fleet.Out) bool {
 	var changed []*client
 	for _, c := range p.clientList {
 		if c.lastChange > q.sentChange {
@@ -1082,7 +1082,7 @@
 
 // publishEntry publishes this process's part of its fleet entry: the signs that it knows, the digest of its denials,
 // and the newest of them.
-func (p *Part) publishEntry(now int64, out *fleet.Out) {
+func (p *Module) publishEntry(now int64, out *fleet.Out) {
 	if p.incarnation == 0 || p.entryBody != nil && now-p.entrySentAt < entryInterval {
 		return
 	}
@@ -1106,7 +1106,7 @@
 }
 
 // Figures implements fleet.Module.
-func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
+func (p *Module) Figures(put func(name string, n uint64, gauge bool)) {
 	var byMode [ByMessage + 1]uint64
 	denied := uint64(0)
 	for _, c := range p.clientList {
--- a/internal/pooling/payload.go
+++ b/internal/pooling/payload.go
@@ -69,25 +69,25 @@
 // decodePayload decodes and validates a payload.
 func decodePayload(from string, body []byte) (*payload, error) {
 	if len(body) > fleet.MaxBody {
-		return nil, &BodyError{from, errTooLong}
+		return nil, &PayloadError{from, errTooLong}
 	}
 	s := &payload{}
 	if err := decMode.Unmarshal(body, s); err != nil {
-		return nil, &BodyError{from, err}
+		return nil, &PayloadError{from, err}
 	}
 	if len(s.Denials) > maxPayloadDenials || len(s.Acks) > maxPayloadDenials || len(s.Evidence) > maxPayloadRecords {
-		return nil, &BodyError{from, errTooManyItems}
+		return nil, &PayloadError{from, errTooManyItems}
 	}
 	for i := range s.Denials {
 		if s.Denials[i].Epoch == 0 {
-			return nil, &BodyError{from, errZeroEpoch}
+			return nil, &PayloadError{from, errZeroEpoch}
 		}
 		s.Denials[i].Modes = s.Denials[i].Modes.withHigherModes()
 	}
 	for i := range s.Evidence {
 		r := &s.Evidence[i]
 		if r.Epoch == 0 {
-			return nil, &BodyError{from, errZeroEpoch}
+			return nil, &PayloadError{from, errZeroEpoch}
 		}
 		r.Modes, r.Opinion = r.Modes.withHigherModes(), min(r.Opinion, ByMessage)
 	}
--- a/internal/pooling/pooling_test.go
+++ b/internal/pooling/pooling_test.go
@@ -105,7 +105,7 @@
 type process struct {
 	now       int64
 	loop      *pooling.Loop
-	part      *pooling.Part
+	part      *pooling.Module
 	out       fleet.Out
 	view      fleet.View
 	callCount uint64
@@ -142,7 +142,7 @@
 func (o *process) advance(duration, step int64) {
 	for end := o.now + duration; o.now < end; {
 		o.now += step
-		o.loop.Round(o.now)
+		o.loop.EndRound(o.now)
 		o.part.View(o.now, &o.view, &o.out)
 		o.part.Tick(o.now, &o.out)
 	}
@@ -150,21 +150,21 @@
 
 func (o *process) call(free bool) *pooling.Call {
 	o.callCount++
-	c := &pooling.Call{ID: o.callCount, Client: o.clientID, Session: o.sessionID, Office: 1, Free: free}
-	o.observe(c, pooling.CameSetUp, 0, "ask")
+	c := &pooling.Call{ID: o.callCount, Client: o.clientID, Session: o.sessionID, Office: 1, Repeatable: free}
+	o.observe(c, pooling.SetUpReceived, 0, "ask")
 	return c
 }
 
-func (o *process) observe(c *pooling.Call, event pooling.Happening, cause byte, text string) {
-	o.loop.Observe(o.now, pooling.Observation{What: event, Call: c, Cause: cause, Text: []byte(text)})
+func (o *process) observe(c *pooling.Call, event pooling.EventKind, cause byte, text string) {
+	o.loop.Observe(o.now, pooling.Observation{Event: event, Call: c, Cause: cause, Text: []byte(text)})
 }
 
 // playAnswered plays a call that is answered and ends, and returns the kind of connection that carried it.
-func (o *process) playAnswered(free bool) pooling.Lane {
+func (o *process) playAnswered(free bool) pooling.ConnectionKind {
 	c := o.call(free)
-	connection := o.loop.Lane(o.now, c, pooling.SetUp)
-	o.observe(c, pooling.Answered, 0, "done")
-	o.observe(c, pooling.Over, 0, "")
+	connection := o.loop.Select(o.now, c, pooling.SetUp)
+	o.observe(c, pooling.SetUpAnswered, 0, "done")
+	o.observe(c, pooling.CallOver, 0, "")
 	return connection
 }
 
@@ -173,11 +173,11 @@
 func (o *process) playUntilTrial(t testing.TB) *pooling.Call {
 	for range 100_000 {
 		c := o.call(true)
-		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
+		if o.loop.Select(o.now, c, pooling.SetUp) != pooling.OwnConnection {
 			return c
 		}
-		o.observe(c, pooling.Answered, 0, "done")
-		o.observe(c, pooling.Over, 0, "")
+		o.observe(c, pooling.SetUpAnswered, 0, "done")
+		o.observe(c, pooling.CallOver, 0, "")
 		if o.callCount%1000 == 0 {
 			o.advance(100_000, 100_000)
 		}
@@ -217,13 +217,13 @@
 	{"witness does not win", func(t testing.TB, defect string) string {
 		o := newProcess(t, defect, pooling.Config{})
 		c := o.playUntilTrial(t)
-		o.observe(c, pooling.Failed, wire.CauseMissing, "")
-		if o.loop.Lane(o.now, c, pooling.SetUp) != pooling.Own {
+		o.observe(c, pooling.SetUpRefused, wire.CauseMissing, "")
+		if o.loop.Select(o.now, c, pooling.SetUp) != pooling.OwnConnection {
 			return "the repeat went on a shared connection"
 		}
-		o.observe(c, pooling.Answered, 0, "done")
+		o.observe(c, pooling.SetUpAnswered, 0, "done")
 		for i := range 3000 {
-			if o.playAnswered(true) != pooling.Own {
+			if o.playAnswered(true) != pooling.OwnConnection {
 				return "a set-up was shared after a witness"
 			}
 			if i == 1000 {
@@ -283,13 +283,13 @@
 			o := newProcess(t, defect, pooling.Config{})
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: mode})
 			c := o.call(true)
-			connection := o.loop.Lane(o.now, c, pooling.SetUp)
-			requireEqual(t, map[pooling.Mode]pooling.Lane{pooling.ByCall: pooling.Taken,
-				pooling.ByMessage: pooling.Any}[mode], connection)
-			o.observe(c, pooling.Answered, 0, "done")
+			connection := o.loop.Select(o.now, c, pooling.SetUp)
+			requireEqual(t, map[pooling.Mode]pooling.ConnectionKind{pooling.ByCall: pooling.ExclusiveConnection,
+				pooling.ByMessage: pooling.AnyConnection}[mode], connection)
+			o.observe(c, pooling.SetUpAnswered, 0, "done")
 			o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession})
-			for _, k := range []pooling.Kind{pooling.End, pooling.GiveUp, pooling.Heard} {
-				if o.loop.Lane(o.now, c, k) != pooling.Held {
+			for _, k := range []pooling.MessageKind{pooling.End, pooling.GiveUp, pooling.ReleaseAck} {
+				if o.loop.Select(o.now, c, k) != pooling.SetUpConnection {
 					return "changed connections when the verdict fell"
 				}
 			}
@@ -301,12 +301,12 @@
 		o.loop.SetTable(math.MaxInt64, pooling.Verdict{Epoch: 1, Mode: pooling.BySession, Trial: pooling.ByCall,
 			Share: math.MaxUint32, Marked: math.MaxUint32})
 		for range 50 {
-			if o.playAnswered(false) != pooling.Own {
+			if o.playAnswered(false) != pooling.OwnConnection {
 				return "a class that may not be repeated was tried"
 			}
 		}
 		o.playAnswered(true)
-		requireEqual(t, pooling.Taken, o.playAnswered(true))
+		requireEqual(t, pooling.ExclusiveConnection, o.playAnswered(true))
 		return ""
 	}},
 	{"lower verdict not taken", func(t testing.TB, defect string) string {
@@ -327,14 +327,14 @@
 	{"no confidence bound", func(t testing.TB, defect string) string {
 		cfg := pooling.Config{}
 		if defect != "" {
-			cfg.Fixed = 100
+			cfg.FixedThreshold = 100
 		}
 		r := rand.New(rand.NewPCG(5, 6))
 		for i := range 12 {
 			h := populations.Draw(r, populations.Prepared, 256)
 			h.Rate, h.Guarded = 1./256, 0
 			c := populations.Config{Processes: 2, Sessions: 3, Every: 500, Delay: 30_000, Seed: uint64(i),
-				Part: func(_ int, p *pooling.Config) { p.Fixed = cfg.Fixed }}
+				Part: func(_ int, p *pooling.Config) { p.FixedThreshold = cfg.FixedThreshold }}
 			if populations.One(c, h, 20_000).Wrong {
 				return "an unsafe client was raised"
 			}
@@ -402,18 +402,18 @@
 	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
 	o.loop.Count(o.clientID, pooling.Overlapped, 1000)
 	o.advance(1_000_000, 100_000)
-	requireEqual(t, pooling.Taken, o.playAnswered(true))
+	requireEqual(t, pooling.ExclusiveConnection, o.playAnswered(true))
 	o.now += pooling.TableLifetime + 1_000_000
-	requireEqual(t, pooling.Own, o.playAnswered(true), "before the first tick of the Part")
+	requireEqual(t, pooling.OwnConnection, o.playAnswered(true), "before the first tick of the Part")
 	o.part.Tick(o.now, &o.out)
-	requireEqual(t, pooling.Own, o.playAnswered(true), "right after the first tick of the Part")
+	requireEqual(t, pooling.OwnConnection, o.playAnswered(true), "right after the first tick of the Part")
 	o.advance(3_000_000, 100_000)
-	requireEqual(t, pooling.Taken, o.playAnswered(true))
+	requireEqual(t, pooling.ExclusiveConnection, o.playAnswered(true))
 }
 
 // With Watch, a verdict is computed but not applied.
 func TestWatch(t *testing.T) {
-	o := newProcess(t, "", pooling.Config{Watch: true})
+	o := newProcess(t, "", pooling.Config{ObserveOnly: true})
 	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
 	o.loop.Count(o.clientID, pooling.Overlapped, 1000)
 	o.advance(1_000_000, 100_000)
@@ -480,7 +480,7 @@
 		requireTrue(t, len(m.Body) <= fleet.MaxBody)
 	}
 
-	for _, cfg := range []pooling.Config{{}, {Self: "a"}, {Self: "a", Loop: o.loop, Unsafe: 2}} {
+	for _, cfg := range []pooling.Config{{}, {Self: "a"}, {Self: "a", Loop: o.loop, MaxUnsafeRate: 2}} {
 		_, err := pooling.New(cfg)
 		var bad *pooling.ConfigError
 		requireTrue(t, errors.As(err, &bad))
@@ -491,8 +491,8 @@
 	}
 	n := uint32(0)
 	for now := int64(100_000); now < 1_000_000; now += 100_000 {
-		l.Round(now)
-		l.Round(now + 50_000)
+		l.EndRound(now)
+		l.EndRound(now + 50_000)
 		n += l.DrainRing()[pooling.OwnClean]
 	}
 	requireEqual(t, uint32(3000), n, "nothing is lost while the ring is full")
@@ -507,15 +507,15 @@
 		n := uint32(0)
 		for i := range int64(20_000) {
 			c := o.call(true)
-			if o.loop.Lane(20_000_000+i*1000, c, pooling.SetUp) == pooling.Own {
+			if o.loop.Select(20_000_000+i*1000, c, pooling.SetUp) == pooling.OwnConnection {
 				n++
 			}
-			o.observe(c, pooling.Answered, 0, "done")
-			o.observe(c, pooling.Over, 0, "")
-			o.loop.Round(20_000_000 + i*1000)
+			o.observe(c, pooling.SetUpAnswered, 0, "done")
+			o.observe(c, pooling.CallOver, 0, "")
+			o.loop.EndRound(20_000_000 + i*1000)
 		}
 		for i := range int64(2) { // hand over the remaining counts
-			o.loop.Round(50_000_000 + i*1_000_000)
+			o.loop.EndRound(50_000_000 + i*1_000_000)
 		}
 		counted <- n
 	}()
@@ -537,16 +537,16 @@
 func TestLoopAllocatesNothing(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{})
 	text := bytes.Repeat([]byte("token-0123456789 "), 8)
-	c := &pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
+	c := &pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Repeatable: true}
 	requireEqual(t, 0, testing.AllocsPerRun(1000, func() {
-		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.CameSetUp, Call: c, Text: text})
-		o.loop.Lane(o.now, c, pooling.SetUp)
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.Answered, Call: c, Text: text})
-		o.loop.Lane(o.now, c, pooling.End)
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.Over, Call: c})
+		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Repeatable: true}
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.SetUpReceived, Call: c, Text: text})
+		o.loop.Select(o.now, c, pooling.SetUp)
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.SetUpAnswered, Call: c, Text: text})
+		o.loop.Select(o.now, c, pooling.End)
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.CallOver, Call: c})
 		o.now += 30_000
-		o.loop.Round(o.now)
+		o.loop.EndRound(o.now)
 	}))
 }
 
@@ -555,12 +555,12 @@
 	text := []byte("v=0 o=caller 4711 s=call token-0123456789 m=audio 4000")
 	c := &pooling.Call{}
 	for b.Loop() {
-		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Free: true}
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.CameSetUp, Call: c, Text: text})
-		o.loop.Lane(o.now, c, pooling.SetUp)
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.Answered, Call: c, Text: text})
-		o.loop.Lane(o.now, c, pooling.End)
-		o.loop.Observe(o.now, pooling.Observation{What: pooling.Over, Call: c})
+		*c = pooling.Call{Client: o.clientID, Session: o.sessionID, Office: 1, Repeatable: true}
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.SetUpReceived, Call: c, Text: text})
+		o.loop.Select(o.now, c, pooling.SetUp)
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.SetUpAnswered, Call: c, Text: text})
+		o.loop.Select(o.now, c, pooling.End)
+		o.loop.Observe(o.now, pooling.Observation{Event: pooling.CallOver, Call: c})
 	}
 }
 
@@ -582,7 +582,7 @@
 			o.loop.Count(id, pooling.OwnFault, uint32(1+i%2))
 			if i%250 == 249 {
 				o.now += 25_000
-				o.loop.Round(o.now)
+				o.loop.EndRound(o.now)
 				o.part.Tick(o.now, &o.out)
 			}
 		}
--- a/internal/recovery/record.go
+++ b/internal/recovery/record.go
@@ -180,8 +180,8 @@
 	return limit, err
 }
 
-// Describe decodes one record for display.
-func Describe(key string, value []byte) (any, error) {
+// DecodeRecord decodes one record for display.
+func DecodeRecord(key string, value []byte) (any, error) {
 	switch {
 	case strings.HasPrefix(key, callKey):
 		return readCall(key, value)
@@ -199,7 +199,7 @@
 	state := NewState()
 	var unreadable []string
 	for key, value := range records { // the order is irrelevant: records are independent
-		v, err := Describe(key, value)
+		v, err := DecodeRecord(key, value)
 		if err != nil {
 			unreadable = append(unreadable, key)
 			continue
@@ -216,12 +216,12 @@
 	return state, unreadable
 }
 
-// Later decides how a record that was read after a damaged part of the store replaces the stored one. It can only end
+// MergeAfterDamage decides how a record that was read after a damaged part of the store replaces the stored one. It can only end
 // or restrict: a call moves to a later stage, an office becomes draining or removed but never up again, a limit falls.
 // Nothing new is created.
-func Later(key string, stored []byte, op store.Op) (store.Op, bool) {
-	previous, err := Describe(key, stored)
-	current, currentErr := Describe(key, op.Value)
+func MergeAfterDamage(key string, stored []byte, op store.Op) (store.Op, bool) {
+	previous, err := DecodeRecord(key, stored)
+	current, currentErr := DecodeRecord(key, op.Value)
 	if currentErr != nil {
 		return op, false
 	}
--- a/internal/recovery/recorder.go
+++ b/internal/recovery/recorder.go
@@ -25,8 +25,8 @@
 
 func (r *Recorder) addChange(op store.Op) { r.changed[op.Key] = op }
 
-// Sent records that an attempt is out.
-func (r *Recorder) Sent(id uint64, office decide.ServerID, attempts int, now, deadline int64) {
+// AttemptSent records that an attempt is out.
+func (r *Recorder) AttemptSent(id uint64, office decide.ServerID, attempts int, now, deadline int64) {
 	r.setCall(Call{ID: id, Stage: AttemptOut, Office: office, Attempts: attempts, Since: now, Deadline: deadline})
 }
 
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -38,7 +38,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				if c, ok := r.state.Calls[id]; !ok || c.Stage == Guarded && c.Until <= h.now {
-					r.Sent(id, office(), 1, h.now, h.now+6_000_000)
+					r.AttemptSent(id, office(), 1, h.now, h.now+6_000_000)
 				}
 			case 1:
 				if c, ok := r.state.Calls[id]; ok && c.Stage == AttemptOut {
@@ -121,7 +121,7 @@
 				}
 				if op.Delete {
 					delete(records, op.Key)
-				} else if o, replace := Later(op.Key, stored, op); replace {
+				} else if o, replace := MergeAfterDamage(op.Key, stored, op); replace {
 					apply(records, []store.Op{o})
 				}
 			}
@@ -159,7 +159,7 @@
 			}
 			for _, ops := range h.batches[to:] {
 				for _, op := range ops {
-					if v, err := Describe(op.Key, op.Value); err == nil && op.Key == m.op().Key && v.(OfficeEntry).State > m.State {
+					if v, err := DecodeRecord(op.Key, op.Value); err == nil && op.Key == m.op().Key && v.(OfficeEntry).State > m.State {
 						t.Fatalf("office %+v was drained after the loss: %+v", m, v)
 					}
 				}
@@ -225,7 +225,7 @@
 		f.Add(op.Key, op.Value)
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		v, err := Describe(key, value)
+		v, err := DecodeRecord(key, value)
 		if err != nil {
 			return
 		}
@@ -238,7 +238,7 @@
 		case Limit:
 			op = v.op()
 		}
-		if again, err := Describe(op.Key, op.Value); err != nil || !reflect.DeepEqual(again, v) {
+		if again, err := DecodeRecord(op.Key, op.Value); err != nil || !reflect.DeepEqual(again, v) {
 			t.Errorf("%+v is decoded again as %+v, %v", v, again, err)
 		}
 	})
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	if e.Form == decide.Whole || e.Form == decide.Copy {
+	if e.Form == decide.ListFull || e.Form == decide.ListCached {
 		for _, h := range r.hostOrder {
 			if !listed[h.id] {
 				h.state = decide.Removed
@@ -71,7 +71,7 @@
 }
 
 func (r *Router) isCold(h *host) bool {
-	return h.Started != 0 && r.now-h.Started < r.settings.Rules.Cold
+	return h.Started != 0 && r.now-h.Started < r.settings.Rules.ColdTime
 }
 
 // updateColdHosts shows the module each cold host as up only while this sidecar has a token for it. Tokens come at
@@ -105,9 +105,9 @@
 		return 0
 	}
 	rules := &r.settings.Rules
-	age := float64(max(0, r.now-h.Started)) / float64(rules.Cold)
+	age := float64(max(0, r.now-h.Started)) / float64(rules.ColdTime)
 	capacity := rules.StartCapacity + (1-rules.StartCapacity)*age
-	return coldFraction * rules.FallMultiple * capacity * r.cfg.Pools[h.poolIndex].Whole * h.Share /
+	return coldFraction * rules.FallMultiple * capacity * r.cfg.Pools[h.poolIndex].TotalRate * h.Share /
 		max(h.Share, r.pools[h.poolIndex].totalShare) / float64(r.cfg.Sidecars)
 }
 
@@ -127,6 +127,6 @@
 // publish sends the module the hosts that were shown or hidden.
 func (r *Router) publish(updates []decide.Listed) {
 	if len(updates) > 0 {
-		r.forward(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: updates})
+		r.forward(decide.Event{Kind: decide.ListUpdate, Form: decide.ListDelta, Servers: updates})
 	}
 }
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -274,8 +274,8 @@
 // host left. It does not move a call if that could repeat an attempt that may have run, or during the guard time.
 func (r *Router) tryMove(c *call) {
 	p := &r.pools[c.pool]
-	if p.usableHosts > 0 && r.now-c.entered < r.cfg.Wait || r.now < c.notBefore ||
-		c.mayHaveRun && r.settings.Classes[c.class].Effect != decide.Free {
+	if p.usableHosts > 0 && r.now-c.entered < r.cfg.MoveAfter || r.now < c.notBefore ||
+		c.mayHaveRun && r.settings.Classes[c.class].Effect != decide.Repeatable {
 		return
 	}
 	pools := r.cfg.Classes[c.class].Pools
@@ -293,7 +293,7 @@
 		p.held--
 		p.release(c.class)
 		// The module forgets the call: no attempt is outstanding, and the router keeps what is left of earlier ones.
-		r.forward(decide.Event{Kind: decide.Gone, Call: c.id})
+		r.forward(decide.Event{Kind: decide.CallerLeft, Call: c.id})
 		c.earlierAttempts = c.attempts
 		r.enterPool(c, n)
 		return
@@ -310,13 +310,13 @@
 	switch {
 	// In the period after a reduction, calls held before it still move on: that is no reason for another reduction.
 	case overloaded && (p.pauseLeft < pausePeriods || observed < p.flow/2):
-		p.ceiling = max(r.cfg.Least, min(p.flow, observed))
-		p.flow = max(r.cfg.Least, min(p.flow, flowReduction*observed))
+		p.ceiling = max(r.cfg.MinFlow, min(p.flow, observed))
+		p.flow = max(r.cfg.MinFlow, min(p.flow, flowReduction*observed))
 		p.pauseLeft = pausePeriods
 	case p.pauseLeft > 0:
 		p.pauseLeft--
 	default:
-		step := r.cfg.Return * period / 1e6
+		step := r.cfg.ReturnRate * period / 1e6
 		if p.flow > p.ceiling*(1-nearCeiling) && p.flow < p.ceiling*(1+nearCeiling) {
 			step *= slowFactor
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -20,22 +20,22 @@
 
 // Config is the configuration of a router. Rates are set-ups per second; fractions are of one.
 type Config struct {
-	Sidecars int // number of sidecars that share the pools' hosts, including this one
-	Pools    []Pool
-	Classes  []Class
-	Repeats  float64 // ratio of repeated attempts to first ones
-	Floor    float64 // repeated attempts per second that are always allowed
-	Wait     int64   // a call held this long at a pool may move to the next
-	Return   float64 // fraction of a pool's calls, per second, by which its flow grows again
-	Least    float64 // smallest fraction of a pool's calls that is sent there, however limited it is
+	Sidecars      int // number of sidecars that share the pools' hosts, including this one
+	Pools         []Pool
+	Classes       []Class
+	RepeatRatio   float64 // ratio of repeated attempts to first ones
+	MinRepeatRate float64 // repeated attempts per second that are always allowed
+	MoveAfter     int64   // a call held this long at a pool may move to the next
+	ReturnRate    float64 // fraction of a pool's calls, per second, by which its flow grows again
+	MinFlow       float64 // smallest fraction of a pool's calls that is sent there, however limited it is
 }
 
 // Pool is the configuration of one pool; its index is the place that the module knows.
 type Pool struct {
-	Name  string
-	Rate  float64 // this sidecar's limit of set-ups per second
-	Open  int     // this sidecar's limit of open set-ups
-	Whole float64 // set-ups per second of the whole pool when all its hosts are warm
+	Name      string
+	RateLimit float64 // this sidecar's limit of set-ups per second
+	MaxOpen   int     // this sidecar's limit of open set-ups
+	TotalRate float64 // set-ups per second of the whole pool when all its hosts are warm
 }
 
 // Class is one class of calls; its index is that of the settings.
@@ -168,7 +168,7 @@
 	r.cfg = cfg
 	for i := range r.pools {
 		p, c := &r.pools[i], &cfg.Pools[i]
-		p.rateLimit, p.maxOpen = c.Rate, c.Open
+		p.rateLimit, p.maxOpen = c.RateLimit, c.MaxOpen
 		sum := 0.0
 		for _, cl := range cfg.Classes {
 			if slices.Contains(cl.Pools, i) {
@@ -207,21 +207,21 @@
 func (r *Router) Step(now int64, e decide.Event, out []decide.Action) []decide.Action {
 	r.now, r.actions = now, out
 	switch e.Kind {
-	case decide.Start:
+	case decide.NodeStarted:
 		r.lastRefill, r.lastUpdate, r.lastPeriod = now, now, now
 		for i := range r.pools {
 			r.pools[i].lastRefill = now
 		}
 		r.forward(e)
-	case decide.List:
+	case decide.ListUpdate:
 		r.handleList(e)
-	case decide.Order:
+	case decide.CallArrived:
 		r.handleOrder(e)
-	case decide.Begun:
+	case decide.SetUpCompleted:
 		r.handleBegun(e)
-	case decide.Ended:
+	case decide.AttemptEnded:
 		r.handleEnded(e)
-	case decide.Gone:
+	case decide.CallerLeft:
 		r.handleGone(e)
 	default:
 		r.forward(e)
@@ -281,7 +281,7 @@
 		r.actions = append(r.actions, decide.Action{Kind: decide.Refuse, Call: e.Call})
 		return
 	}
-	e.Dest, e.Transit = -1, false // places are pools here, and the router chooses the pool
+	e.Destination, e.Transit = -1, false // places are pools here, and the router chooses the pool
 	pool, ok := r.choosePool(e.Class)
 	if !ok {
 		r.Counts.Limited++
@@ -350,7 +350,7 @@
 		p.sent++
 	}
 	if c.attempts == 0 {
-		r.budget = min(r.budget+r.cfg.Repeats, r.maxBudget())
+		r.budget = min(r.budget+r.cfg.RepeatRatio, r.maxBudget())
 	} else { // repeated attempts are charged, because they are load for the pool too
 		p.charge(c.class)
 	}
@@ -403,11 +403,11 @@
 	r.attemptOver(c)
 	switch e.Outcome {
 	case decide.TimedOut, decide.Cut, decide.Cancelled:
-		c.notBefore = r.now + r.settings.Rules.Guard
+		c.notBefore = r.now + r.settings.Rules.GuardTime
 	}
-	neverRan := e.Outcome == decide.Rejected || e.Outcome == decide.Unreached || e.Outcome == decide.Unsent
+	neverRan := e.Outcome == decide.Rejected || e.Outcome == decide.Unreachable || e.Outcome == decide.NotSent
 	c.mayHaveRun = c.mayHaveRun || !neverRan
-	if e.Final || c.finished {
+	if e.AnswerGiven || c.finished {
 		c.finished = true
 		r.remove(c)
 		r.forward(e)
@@ -416,7 +416,7 @@
 	if r.settings.MaxTries > 0 && c.attempts >= r.settings.MaxTries || !r.payRepeat(c, e.Outcome) {
 		c.finished = true
 		r.remove(c)
-		e.Final = true
+		e.AnswerGiven = true
 		r.forward(e)
 		r.actions = append(r.actions, decide.Action{Kind: decide.Fail, Call: c.id, Wait: r.failureRetryAfter(c.class)})
 		return
@@ -440,14 +440,14 @@
 // storm of repeats.
 const budgetSeconds, budgetCalls = 5, 5
 
-func (r *Router) maxBudget() float64 { return budgetCalls + budgetSeconds*r.cfg.Floor }
+func (r *Router) maxBudget() float64 { return budgetCalls + budgetSeconds*r.cfg.MinRepeatRate }
 
 // payRepeat pays for a further attempt after one with the given outcome. An attempt that never left this machine
 // costs nothing. Guards against repeated attempts that prolong an overload after its cause has gone.
 func (r *Router) payRepeat(c *call, o decide.Outcome) bool {
-	r.budget = min(r.budget+r.cfg.Floor*float64(r.now-r.lastRefill)/1e6, r.maxBudget())
+	r.budget = min(r.budget+r.cfg.MinRepeatRate*float64(r.now-r.lastRefill)/1e6, r.maxBudget())
 	r.lastRefill = r.now
-	if o == decide.Unreached || o == decide.Unsent {
+	if o == decide.Unreachable || o == decide.NotSent {
 		return true
 	}
 	if r.budget < 1 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -22,7 +22,7 @@
 	}
 	var r *Router
 	runScenario := func(name string, make func(decide.Settings) Module) (ps []phase) {
-		set := settings(decide.Free)
+		set := settings(decide.Repeatable)
 		var hosts []*simulatedHost
 		for i := range 5 {
 			hosts = append(hosts, hostAt(fmt.Sprint("h", i), i/3, 20_000)) // 50/s each, 3 in core, 2 in reserve
@@ -87,15 +87,15 @@
 // event.
 func TestRandomSequencesKeepRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		set := settings(decide.Free, decide.Guarded, decide.SingleShot)
+		set := settings(decide.Repeatable, decide.Guarded, decide.SingleShot)
 		set.Classes[1].Scope = decide.ScopeCell
 		cfg := config(set)
 		for i := range cfg.Pools {
-			cfg.Pools[i].Rate = rapid.Float64Range(1, 100).Draw(rt, "rate")
-			cfg.Pools[i].Open = rapid.IntRange(1, 50).Draw(rt, "open")
+			cfg.Pools[i].RateLimit = rapid.Float64Range(1, 100).Draw(rt, "rate")
+			cfg.Pools[i].MaxOpen = rapid.IntRange(1, 50).Draw(rt, "open")
 		}
 		cfg.Classes[2].Pools = []int{1, 0}
-		cfg.Repeats = rapid.Float64Range(0, 1).Draw(rt, "repeats")
+		cfg.RepeatRatio = rapid.Float64Range(0, 1).Draw(rt, "repeats")
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var hosts []*simulatedHost
 		for i := range 4 {
@@ -122,7 +122,7 @@
 				for id, c := range sim.calls { // the caller disconnects
 					if !c.answered && c.outstandingAt == "" {
 						c.answered = true
-						sim.step(decide.Event{Kind: decide.Gone, Call: id})
+						sim.step(decide.Event{Kind: decide.CallerLeft, Call: id})
 						break
 					}
 				}
@@ -133,7 +133,7 @@
 					}
 				}
 			case 7:
-				cfg.Pools[0].Rate = rapid.Float64Range(1, 100).Draw(rt, "new rate")
+				cfg.Pools[0].RateLimit = rapid.Float64Range(1, 100).Draw(rt, "new rate")
 				for _, a := range r.Reload(sim.now, cfg, nil) {
 					sim.handleAction(a)
 				}
@@ -156,9 +156,9 @@
 // A sidecar never exceeds its limit: the rate over any period plus the allowed burst, and the open set-ups at any
 // moment. A class that stays within its share is never refused because of others.
 func TestLimits(t *testing.T) {
-	set := settings(decide.Free, decide.Free)
+	set := settings(decide.Repeatable, decide.Repeatable)
 	cfg := config(set)
-	cfg.Pools[0].Rate, cfg.Pools[1].Rate = 40, 40
+	cfg.Pools[0].RateLimit, cfg.Pools[1].RateLimit = 40, 40
 	cfg.Classes = []Class{{[]int{0}, 0.25}, {[]int{0}, 0.75}}
 	r := routed(t, cfg, set, 3)
 	sim := newSimulation(t, r, set, 3, hostAt("a", 0, 1000), hostAt("b", 0, 1000), hostAt("c", 1, 1000))
@@ -202,10 +202,10 @@
 
 // An idle class's reserve of open set-ups decays, is lent to other classes, and is returned when the class needs it.
 func TestOpenSetUpsAreLent(t *testing.T) {
-	set := settings(decide.Free, decide.Free)
+	set := settings(decide.Repeatable, decide.Repeatable)
 	cfg := config(set)
-	cfg.Pools[0].Open = 40
-	cfg.Pools[0].Rate = 10_000
+	cfg.Pools[0].MaxOpen = 40
+	cfg.Pools[0].RateLimit = 10_000
 	cfg.Classes = []Class{{[]int{0}, 0.5}, {[]int{0}, 0.5}}
 	r := routed(t, cfg, set, 3)
 	p := &r.pools[0]
@@ -249,10 +249,10 @@
 // is given up is answered at once.
 func TestRepeatBudget(t *testing.T) {
 	runScenario := func(repeats float64) results {
-		set := settings(decide.Free)
+		set := settings(decide.Repeatable)
 		set.MaxTries = 6
 		cfg := config(set)
-		cfg.Repeats, cfg.Floor = repeats, 1
+		cfg.RepeatRatio, cfg.MinRepeatRate = repeats, 1
 		r := routed(t, cfg, set, 3)
 		var hosts []*simulatedHost
 		for i := range 4 {
@@ -283,10 +283,10 @@
 // However many sidecars discover a new host at the same time, together they send it less than what overloads it.
 func TestColdHostOfManySidecars(t *testing.T) {
 	const sidecars = 40
-	set := settings(decide.Free)
+	set := settings(decide.Repeatable)
 	cfg := config(set)
 	cfg.Sidecars = sidecars
-	cfg.Pools[0].Whole = 200 // of four hosts: 50 each
+	cfg.Pools[0].TotalRate = 200 // of four hosts: 50 each
 	var simulations []*simulation
 	for i := range sidecars {
 		var hosts []*simulatedHost
@@ -309,17 +309,17 @@
 	}
 	started := fresh[0].Started
 	worst := 0.0
-	for at := int64(0); at < set.Rules.Cold; at += 100_000 {
+	for at := int64(0); at < set.Rules.ColdTime; at += 100_000 {
 		n := 0
 		for _, h := range fresh {
 			for _, s := range h.sends {
-				if s-started >= at && s-started < at+set.Rules.Fall {
+				if s-started >= at && s-started < at+set.Rules.FallTime {
 					n++
 				}
 			}
 		}
-		part := set.Rules.StartCapacity + (1-set.Rules.StartCapacity)*float64(at)/float64(set.Rules.Cold)
-		bound := set.Rules.FallMultiple * part * 50 * float64(set.Rules.Fall) / 1e6
+		part := set.Rules.StartCapacity + (1-set.Rules.StartCapacity)*float64(at)/float64(set.Rules.ColdTime)
+		bound := set.Rules.FallMultiple * part * 50 * float64(set.Rules.FallTime) / 1e6
 		worst = max(worst, float64(n)/bound)
 	}
 	t.Logf("at most %.2f of what overloads it", worst)
@@ -347,58 +347,58 @@
 // A call whose only host becomes unusable moves to the next pool, and its attempts are counted on: the module's first
 // attempt there is its second one. A repeated attempt that is paid for but not made is refunded.
 func TestMoveKeepsAttemptCount(t *testing.T) {
-	set := settings(decide.Free)
+	set := settings(decide.Repeatable)
 	module := &fakeModule{avoided: map[decide.ServerID]bool{}}
 	r, err := New(config(set), set, module, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Step(1, decide.Event{Kind: decide.Start}, nil)
-	r.Step(1, decide.Event{Kind: decide.List, Form: decide.Delta, Servers: []decide.Listed{{ID: "a", Share: 1},
+	r.Step(1, decide.Event{Kind: decide.NodeStarted}, nil)
+	r.Step(1, decide.Event{Kind: decide.ListUpdate, Form: decide.ListDelta, Servers: []decide.Listed{{ID: "a", Share: 1},
 		{ID: "b", Place: 1, Share: 1}}}, nil)
 	module.nextActions = []decide.Action{{Kind: decide.Send, Call: 7, Server: "a"}}
-	r.Step(2, decide.Event{Kind: decide.Order, Call: 7, Deadline: 6 * sec}, nil)
+	r.Step(2, decide.Event{Kind: decide.CallArrived, Call: 7, Deadline: 6 * sec}, nil)
 	budget := r.budget
-	r.Step(3, decide.Event{Kind: decide.Ended, Call: 7, Server: "a", Outcome: decide.Cut}, nil)
+	r.Step(3, decide.Event{Kind: decide.AttemptEnded, Call: 7, Server: "a", Outcome: decide.Cut}, nil)
 	if r.budget >= budget {
 		t.Error("a repeat was not paid for")
 	}
 	module.avoided["a"] = true
 	module.events = nil
-	r.Step(100_000, decide.Event{Kind: decide.Checked}, nil)
+	r.Step(100_000, decide.Event{Kind: decide.ServerReport}, nil)
 	if len(module.events) != 1 {
 		t.Errorf("within the guard time the module received %+v", module.events)
 	}
-	r.Step(300_000, decide.Event{Kind: decide.Checked}, nil)
+	r.Step(300_000, decide.Event{Kind: decide.ServerReport}, nil)
 	var kinds []decide.EventKind
 	for _, e := range module.events {
 		kinds = append(kinds, e.Kind)
 	}
-	if n := len(module.events); n != 4 || module.events[2].Kind != decide.Gone ||
-		module.events[3].Kind != decide.Order || module.events[3].Class != 1 {
+	if n := len(module.events); n != 4 || module.events[2].Kind != decide.CallerLeft ||
+		module.events[3].Kind != decide.CallArrived || module.events[3].Class != 1 {
 		t.Fatalf("after the guard time the module received %v, %+v", kinds, module.events)
 	}
 	module.nextActions = []decide.Action{{Kind: decide.Send, Call: 7, Server: "b"}}
-	r.Step(300_001, decide.Event{Kind: decide.Checked}, nil)
+	r.Step(300_001, decide.Event{Kind: decide.ServerReport}, nil)
 	module.nextActions = []decide.Action{{Kind: decide.Cancel, Call: 7, Attempt: 0}}
-	acts := r.Step(300_002, decide.Event{Kind: decide.Checked}, nil)
+	acts := r.Step(300_002, decide.Event{Kind: decide.ServerReport}, nil)
 	if len(acts) != 1 || acts[0].Kind != decide.Cancel || acts[0].Attempt != 1 {
 		t.Errorf("the cancelled attempt is %+v", acts)
 	}
-	r.Step(300_003, decide.Event{Kind: decide.Ended, Call: 7, Server: "b", Attempt: 1, Outcome: decide.Cancelled}, nil)
+	r.Step(300_003, decide.Event{Kind: decide.AttemptEnded, Call: 7, Server: "b", Attempt: 1, Outcome: decide.Cancelled}, nil)
 	if e := module.events[len(module.events)-1]; e.Attempt != 0 {
 		t.Errorf("the module received attempt %d, want its first at the pool", e.Attempt)
 	}
 	budget = r.budget
 	module.nextActions = []decide.Action{{Kind: decide.Refuse, Call: 7}}
-	acts = r.Step(300_004, decide.Event{Kind: decide.Checked}, nil)
+	acts = r.Step(300_004, decide.Event{Kind: decide.ServerReport}, nil)
 	if len(acts) != 1 || acts[0].Kind != decide.Fail || r.budget != budget+1 {
 		t.Errorf("failed with %+v, budget %v after %v", acts, r.budget, budget)
 	}
 }
 
 func TestBadConfigurations(t *testing.T) {
-	set := settings(decide.Free)
+	set := settings(decide.Repeatable)
 	for _, break_ := range []func(*Config){func(c *Config) { c.Pools = nil }, func(c *Config) { c.Classes = nil },
 		func(c *Config) { c.Classes[0].Pools = nil },
 		func(c *Config) { c.Classes[0].Pools = []int{2} }, func(c *Config) { c.Sidecars = 0 }} {
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -78,13 +78,13 @@
 func newSimulation(t testing.TB, module Module, set decide.Settings, seed uint64, hosts ...*simulatedHost) *simulation {
 	sim := &simulation{t: t, module: module, set: set, rng: rand.New(rand.NewPCG(seed, 9)), now: 1_000_000_000,
 		calls: map[decide.CallID]*simulatedCall{}, hosts: map[decide.ServerID]*simulatedHost{}}
-	sim.step(decide.Event{Kind: decide.Start})
+	sim.step(decide.Event{Kind: decide.NodeStarted})
 	var list []decide.Listed
 	for _, h := range hosts {
 		sim.hosts[h.ID] = h
 		list = append(list, h.Listed)
 	}
-	sim.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: list})
+	sim.step(decide.Event{Kind: decide.ListUpdate, Form: decide.ListDelta, Servers: list})
 	return sim
 }
 
@@ -112,7 +112,7 @@
 func (sim *simulation) updateHost(h *simulatedHost, s decide.State) {
 	h.State = s
 	sim.hosts[h.ID] = h
-	sim.step(decide.Event{Kind: decide.List, Form: decide.Delta, Servers: []decide.Listed{h.Listed}})
+	sim.step(decide.Event{Kind: decide.ListUpdate, Form: decide.ListDelta, Servers: []decide.Listed{h.Listed}})
 }
 
 func (sim *simulation) handleAction(a decide.Action) {
@@ -139,9 +139,9 @@
 		} else if c.outstandingAt != "" {
 			sim.t.Fatalf("call %d: attempt %d is cancelled, but %d is outstanding", a.Call, a.Attempt, c.attempts-1)
 		}
-	case decide.Timer:
+	case decide.StartTimer:
 		token := a.Token
-		sim.after(a.Wait, func() { sim.step(decide.Event{Kind: decide.Fired, Token: token}) })
+		sim.after(a.Wait, func() { sim.step(decide.Event{Kind: decide.TimerFired, Token: token}) })
 	}
 }
 
@@ -190,7 +190,7 @@
 	switch {
 	case h.unresponsive:
 	case h.unreachable:
-		endAfter(networkDelay, decide.Unreached, false)
+		endAfter(networkDelay, decide.Unreachable, false)
 	case max(0, h.idleFrom-sim.now) > h.maxQueue:
 		h.idleFrom += h.serviceTime / 10
 		endAfter(2*networkDelay, decide.Rejected, true)
@@ -213,7 +213,7 @@
 					sim.results.late++
 				}
 			}
-			sim.step(decide.Event{Kind: decide.Begun, Call: a.Call, Server: a.Server, Attempt: n, Took: sim.now - sent})
+			sim.step(decide.Event{Kind: decide.SetUpCompleted, Call: a.Call, Server: a.Server, Attempt: n, Elapsed: sim.now - sent})
 		})
 	}
 }
@@ -221,14 +221,14 @@
 func (sim *simulation) endAttempt(id decide.CallID, s decide.ServerID, n int, o decide.Outcome, full bool) {
 	c := sim.calls[id]
 	c.outstandingAt = ""
-	if !c.mayHaveRun && o != decide.Rejected && o != decide.Unreached && o != decide.Unsent {
+	if !c.mayHaveRun && o != decide.Rejected && o != decide.Unreachable && o != decide.NotSent {
 		c.mayHaveRun, c.ranAtPool = true, sim.hosts[s].Place
 	}
 	if o == decide.TimedOut || o == decide.Cancelled || o == decide.Cut {
-		c.guardUntil = sim.now + sim.set.Rules.Guard
+		c.guardUntil = sim.now + sim.set.Rules.GuardTime
 	}
-	sim.step(decide.Event{Kind: decide.Ended, Call: id, Server: s, Attempt: n, Outcome: o, Full: full,
-		Final: c.answered, Load: decide.NoLoad()})
+	sim.step(decide.Event{Kind: decide.AttemptEnded, Call: id, Server: s, Attempt: n, Outcome: o, ProcessorFull: full,
+		AnswerGiven: c.answered, Load: decide.NoLoad()})
 }
 
 // call adds a call of a class.
@@ -238,8 +238,8 @@
 	cl := sim.set.Classes[class]
 	sim.calls[id] = &simulatedCall{class: class, begun: sim.now, deadline: sim.now + cl.Deadline}
 	sim.results.offered++
-	sim.step(decide.Event{Kind: decide.Order, Call: id, Class: class,
-		Key: fmt.Sprint("k", id), Deadline: sim.now + cl.Deadline, Dest: -1})
+	sim.step(decide.Event{Kind: decide.CallArrived, Call: id, Class: class,
+		Key: fmt.Sprint("k", id), Deadline: sim.now + cl.Deadline, Destination: -1})
 	return id
 }
 
@@ -267,9 +267,9 @@
 
 // settings returns the settings of the platform, with classes that may use two pools.
 func settings(effects ...decide.Effect) decide.Settings {
-	set := decide.Settings{Instances: 1, Resend: 500_000, Quantum: 5_000, MaxTries: 4, MayCancel: true,
-		RetryAdvice: true, MaxRetryAfter: 2_000_000, Home: -1, Rules: decide.Rules{DrainGrace: 1_000_000,
-			StartCapacity: 0.28, Cold: 13_000_000, FallMultiple: 3, Fall: 1_500_000, Guard: 200_000}}
+	set := decide.Settings{Instances: 1, ResendAfter: 500_000, Quantum: 5_000, MaxTries: 4, MayCancel: true,
+		RetryAdvice: true, MaxRetryAfter: 2_000_000, HomePlace: -1, Rules: decide.Rules{DrainGrace: 1_000_000,
+			StartCapacity: 0.28, ColdTime: 13_000_000, FallMultiple: 3, FallTime: 1_500_000, GuardTime: 200_000}}
 	for _, e := range effects {
 		set.Classes = append(set.Classes, decide.Class{Aim: 800_000, Deadline: 6_000_000, Worth: 1, LateWorth: 0.1,
 			Effect: e, Window: 30_000_000, Pools: []int{0, 1}})
@@ -278,7 +278,7 @@
 }
 
 func config(set decide.Settings) Config {
-	cfg := Config{Sidecars: 1, Repeats: 0.2, Floor: 1, Wait: 100_000, Return: 0.05, Least: 0.02,
+	cfg := Config{Sidecars: 1, RepeatRatio: 0.2, MinRepeatRate: 1, MoveAfter: 100_000, ReturnRate: 0.05, MinFlow: 0.02,
 		Pools: []Pool{{"core", 1000, 1000, 1000}, {"reserve", 1000, 1000, 1000}}}
 	for range set.Classes {
 		cfg.Classes = append(cfg.Classes, Class{[]int{0, 1}, 1 / float64(len(set.Classes))})
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -69,7 +69,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running != nil {
-		m.running.agent.Name(book)
+		m.running.agent.SetAddresses(book)
 	}
 	return nil
 }
--- a/internal/scaletest/hollow.go
+++ b/internal/scaletest/hollow.go
@@ -174,7 +174,7 @@
 	mu       sync.Mutex
 	running  *incarnation // nil: it does not run
 	figures  *aggregate.Module
-	lessor   *lease.Part
+	lessor   *lease.Module
 	before   Counters // of earlier incarnations
 }
 
@@ -211,22 +211,22 @@
 	r := &incarnation{net: &mutedNet{Net: opened}, ended: make(chan struct{})}
 	figures := &generator{rng: rand.New(rand.NewPCG(m.fleet.spec.Seed, uint64(m.index)))}
 	r.agent = agent.New(agent.Config{
-		Self:     m.Name,
-		Zone:     m.Zone,
-		Program:  "0123456789ab",
-		Settings: m.settings.Load(),
-		Roster:   ourRoster,
-		Net:      r.net,
-		Views:    &r.board,
-		Make:     m.modules,
-		First:    map[fleet.Kind][]byte{fleet.Stage: stage.First(stage.Target{}, stage.Target{})},
-		Window:   figures.window,
+		Self:         m.Name,
+		Zone:         m.Zone,
+		Program:      "0123456789ab",
+		Settings:     m.settings.Load(),
+		Roster:       ourRoster,
+		Net:          r.net,
+		Views:        &r.board,
+		NewModules:   m.modules,
+		InitialParts: map[fleet.Kind][]byte{fleet.Stage: stage.InitialStatus(stage.Target{}, stage.Target{})},
+		Window:       figures.window,
 	})
 	go func() {
 		defer close(r.ended)
 		r.agent.Run()
 	}()
-	r.agent.State(fleet.Serving)
+	r.agent.SetState(fleet.Serving)
 	m.running = r
 	return nil
 }
@@ -312,7 +312,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running != nil {
-		m.running.agent.Goes(digest, ourRoster)
+		m.running.agent.SetSettingsAndRoster(digest, ourRoster)
 	}
 	return digest
 }
--- a/internal/service/conn.go
+++ b/internal/service/conn.go
@@ -34,8 +34,8 @@
 	return n, nil
 }
 
-// Trust tells that the connection is a usual caller's.
-func (c *conn) Trust() { c.trusted.Store(true) }
+// MarkTrusted tells that the connection is a usual caller's.
+func (c *conn) MarkTrusted() { c.trusted.Store(true) }
 
 // written notes bytes that the system has taken.
 func (c *conn) written(n int) { c.unwritten.Add(-int64(n)) }
@@ -43,9 +43,9 @@
 // Unsent tells whether some of what was written has not left.
 func (c *conn) Unsent() bool { return c.unwritten.Load() > 0 }
 
-// Gone tells whether the peer has ended the connection. Guards against an attempt for a caller who has left while this
+// PeerClosed tells whether the peer has ended the connection. Guards against an attempt for a caller who has left while this
 // process stood still, or while his connection waited to be taken in: his end is read after what he asked for.
-func (c *conn) Gone() bool {
+func (c *conn) PeerClosed() bool {
 	// Where the connection ends at this moment its descriptor may be another's; its end is told next either way.
 	c.poll[0] = unix.PollFd{Fd: int32(c.Hash()), Events: unix.POLLRDHUP}
 	n, err := unix.Poll(c.poll[:], 0)
@@ -60,9 +60,9 @@
 	return err == nil && unread > 0 || c.queue.inHand.Load() == c.Conn || c.queue.holds(c, false)
 }
 
-// Waiting tells whether something has come that the loop has not played, or some that was written has not reached the peer's
+// Pending tells whether something has come that the loop has not played, or some that was written has not reached the peer's
 // system: it is lost if anything more comes on a connection that was closed.
-func (c *conn) Waiting() bool {
+func (c *conn) Pending() bool {
 	if c.Unsent() || c.Unread() || c.queue.holds(c, true) {
 		return true
 	}
--- a/internal/service/conn_test.go
+++ b/internal/service/conn_test.go
@@ -46,25 +46,25 @@
 			t.Fatal(err)
 		}
 	}
-	if own.Waiting() {
+	if own.Pending() {
 		t.Error("nothing has come, and something waits")
 	}
 	say()
 	<-gate // it has been read, and whoever reads is busy with it
-	if own.Waiting() {
+	if own.Pending() {
 		t.Error("all has been read, and something waits")
 	}
 	say()
-	eventually(t, "a byte that nobody reads waits", own.Waiting)
+	eventually(t, "a byte that nobody reads waits", own.Pending)
 	gate <- true
 	<-gate
-	if own.Waiting() {
+	if own.Pending() {
 		t.Error("the second byte has been read, and something waits")
 	}
 	gate <- true
 
 	wrote := 0
-	for ; !own.Waiting(); wrote += 32 << 10 {
+	for ; !own.Pending(); wrote += 32 << 10 {
 		if _, err := own.Write(make([]byte, 32<<10)); err != nil {
 			t.Fatal(err)
 		}
@@ -72,5 +72,5 @@
 	if _, err := io.CopyN(io.Discard, far, int64(wrote)); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "all that was written has been read", func() bool { return !own.Waiting() })
+	eventually(t, "all that was written has been read", func() bool { return !own.Pending() })
 }
--- a/internal/service/gone_test.go
+++ b/internal/service/gone_test.go
@@ -152,9 +152,9 @@
 
 func (d eager) Step(_ int64, e decide.Event, out []decide.Action) []decide.Action {
 	switch {
-	case e.Kind == decide.Order:
+	case e.Kind == decide.CallArrived:
 		out = append(out, decide.Action{Kind: decide.Send, Call: e.Call, Server: d.to})
-	case e.Kind == decide.Ended && !e.Final:
+	case e.Kind == decide.AttemptEnded && !e.AnswerGiven:
 		out = append(out, decide.Action{Kind: decide.Fail, Call: e.Call})
 	}
 	return out
@@ -266,24 +266,24 @@
 	defer engine.Stop()
 	far := call(t, engine.Addrs[0])
 	own := <-opened
-	if own.Waiting() {
+	if own.Pending() {
 		t.Error("nothing has come, and something waits")
 	}
 	if _, err := far.conn.Write([]byte{1}); err != nil {
 		t.Fatal(err)
 	}
 	<-q.wake // it has been read, and nobody has been told
-	if !own.Waiting() || !own.Unread() {
+	if !own.Pending() || !own.Unread() {
 		t.Error("what waits in the queue does not count")
 	}
 	if q.take(nil); own.Unread() {
 		t.Error("the loop has been told, and something is unread")
 	}
-	if own.Gone() {
+	if own.PeerClosed() {
 		t.Error("the peer is there")
 	}
 	_ = far.conn.Close()
-	eventually(t, "the peer has gone", own.Gone)
+	eventually(t, "the peer has gone", own.PeerClosed)
 }
 
 // What a round has for one office is more than the engine keeps for a connection: it goes in pieces, and nothing ends. Guards
--- a/internal/service/network.go
+++ b/internal/service/network.go
@@ -60,7 +60,7 @@
 		if own.ours = ok; ok {
 			a.Kind, a.Dial = session.Dialled, uint64(id)
 		} else if n.control != "" && c.LocalAddr().String() == n.control {
-			a.Kind = session.Asked
+			a.Kind = session.ControlAccepted
 		}
 		q.put(a)
 	})
@@ -85,13 +85,13 @@
 
 // listens keeps what listens for callers.
 func (n *network) listens(l *net.TCPListener) net.Listener {
-	n.callers = &leaving{TCPListener: l, left: func() { n.queue.put(session.Arrival{Kind: session.Left, At: n.now()}) }}
+	n.callers = &leaving{TCPListener: l, left: func() { n.queue.put(session.Arrival{Kind: session.ListenerClosed, At: n.now()}) }}
 	return n.callers
 }
 
-// Leave takes in the callers that wait to be, and listens for no more. Guards against callers that wait at a process which
+// StopAccepting takes in the callers that wait to be, and listens for no more. Guards against callers that wait at a process which
 // has ended, and, where three processes are beside each other for a moment, against the kernel's choice of one that is ending.
-func (n *network) Leave() { n.callers.leave() }
+func (n *network) StopAccepting() { n.callers.leave() }
 
 func (n *network) start() error {
 	if err := n.engine.Start(); err != nil {
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -50,7 +50,7 @@
 
 func newQueue(memoryMB int64, sockets int) *queue {
 	q := &queue{wake: make(chan struct{}, 1), waiting: map[state.Conn]int{}, playing: map[state.Conn]int{}, accepted: map[session.ArrivalKind]int{},
-		taken: session.Taken(sockets), places: session.Taken(sockets),
+		taken: session.AcceptLimit(sockets), places: session.AcceptLimit(sockets),
 		most: max(leastQueue, int(queuePart*float64(memoryMB<<20)))}
 	q.room.L = &q.mu
 	return q
@@ -77,7 +77,7 @@
 		size := len(a.Data) + arrivalSize
 		q.waiting[a.Conn] = waiting + size
 		if waiting+size > most {
-			a.Kind, a.Data = session.Flooded, nil
+			a.Kind, a.Data = session.InputOverflow, nil
 		}
 		q.bytes += size
 		if a.Data != nil {
@@ -87,7 +87,7 @@
 		}
 	case session.Closed:
 		q.waiting[a.Conn] += arrivalSize
-	case session.Accepted, session.Asked: // each alone: callers by hundreds do not keep anyone off the second address
+	case session.Accepted, session.ControlAccepted: // each alone: callers by hundreds do not keep anyone off the second address
 		for q.accepted[a.Kind] >= q.taken || a.Kind == session.Accepted && q.accepted[a.Kind] >= q.places {
 			q.room.Wait()
 		}
--- a/internal/service/races_test.go
+++ b/internal/service/races_test.go
@@ -52,8 +52,8 @@
 	}()
 }
 
-// Leave is the network's.
-func (b *byHand) Leave() { b.network.Leave() }
+// StopAccepting is the network's.
+func (b *byHand) StopAccepting() { b.network.StopAccepting() }
 
 // playByHand starts the program. Its list has one office, at which the test answers.
 func playByHand(t *testing.T, with func(*Config)) *byHand {
@@ -104,10 +104,10 @@
 		} else if a.Kind == session.Closed {
 			b.closed++
 		}
-		b.left = b.left || a.Kind == session.Left
+		b.left = b.left || a.Kind == session.ListenerClosed
 	}
 	b.s.Step(b.clock.Load(), items)
-	b.q.done(b.s.Places(b.q.taken))
+	b.q.done(b.s.AcceptableCallers(b.q.taken))
 }
 
 // stepped lets time pass, in steps in which timers come as they do in service.
@@ -252,25 +252,25 @@
 	b := playByHand(t, nil)
 	p, own := b.dial(net.Dialer{})
 	b.step()
-	eventually(t, "nothing waits", func() bool { return !own.Waiting() })
+	eventually(t, "nothing waits", func() bool { return !own.Pending() })
 	release := b.blocked()
 	p.write(wire.Message{Type: wire.TypeTest})
 	b.inHand(p, own)
-	if !own.Waiting() {
+	if !own.Pending() {
 		t.Error("what the engine has read, and cannot hand on yet, does not wait")
 	}
 	release()
 	b.queued(1)
-	if !own.Waiting() {
+	if !own.Pending() {
 		t.Error("what is queued does not wait")
 	}
 	b.items = b.q.take(b.items)
-	if !own.Waiting() {
+	if !own.Pending() {
 		t.Error("what is being played does not wait")
 	}
 	b.play(b.items)
 	b.step()
-	eventually(t, "nothing waits", func() bool { return !own.Waiting() })
+	eventually(t, "nothing waits", func() bool { return !own.Pending() })
 }
 
 // A caller that was quiet asks for a call in the very round in which a further one comes for whom there is no room: the room
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -78,7 +78,7 @@
 		}
 		return session.Arrival{Kind: session.Reload, Update: cfg.Update(), Err: err}
 	}
-	return session.Arrival{Kind: session.Stop}
+	return session.Arrival{Kind: session.Shutdown}
 }
 
 // limitRuntime keeps the Go runtime within the machine that the configuration describes.
@@ -115,8 +115,8 @@
 		items = q.take(items)
 		began := now()
 		s.Step(began, items)
-		q.done(s.Places(q.taken))
-		s.Spent(now() - began)
+		q.done(s.AcceptableCallers(q.taken))
+		s.RecordStepTime(now() - began)
 	}
 }
 
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -246,7 +246,7 @@
 	for _, a := range items {
 		kinds = append(kinds, a.Kind)
 	}
-	if want := []session.ArrivalKind{session.Data, session.Flooded, session.Data}; !slices.Equal(kinds, want) {
+	if want := []session.ArrivalKind{session.Data, session.InputOverflow, session.Data}; !slices.Equal(kinds, want) {
 		t.Errorf("queued %v, want %v", kinds, want)
 	}
 	office := &conn{ours: true} // many callers' answers come on it
@@ -259,7 +259,7 @@
 		}
 	}
 	usual := &conn{}
-	usual.Trust()
+	usual.MarkTrusted()
 	whole := make(chan bool)
 	go func() { // more than one connection may have waiting; nothing of it is lost
 		for range 10 {
@@ -298,7 +298,7 @@
 		q.put(session.Arrival{Kind: session.Accepted})
 	}
 	for range q.taken { // callers' connections do not count there
-		q.put(session.Arrival{Kind: session.Asked})
+		q.put(session.Arrival{Kind: session.ControlAccepted})
 	}
 	put := make(chan bool)
 	go func() {
--- a/internal/service/shutdown_test.go
+++ b/internal/service/shutdown_test.go
@@ -95,7 +95,7 @@
 			b.stepped(800 * time.Millisecond)
 			_, own := b.dial(net.Dialer{}) // has asked for nothing yet, and is left alone a little longer
 			b.stepped(100 * time.Millisecond)
-			if len(caller.rest()) != 0 || own.Waiting() {
+			if len(caller.rest()) != 0 || own.Pending() {
 				b.t.Fatal("the caller has been told something")
 			}
 			b.tell(server, wire.ReleaseOf(7, wire.CauseNormal))
--- a/internal/session/admission.go
+++ b/internal/session/admission.go
@@ -7,9 +7,9 @@
 	"pewterwheel/internal/wire"
 )
 
-// Spent reports how long the last Step took in microseconds, by the clock of its caller.
-func (s *Session) Spent(took int64) {
-	s.admission.Took(len(s.offeredSetUps)-s.admissionRefusals, s.admissionRefusals, took)
+// RecordStepTime reports how long the last Step took in microseconds, by the clock of its caller.
+func (s *Session) RecordStepTime(took int64) {
+	s.admission.RecordRound(len(s.offeredSetUps)-s.admissionRefusals, s.admissionRefusals, took)
 }
 
 // offeredSetUp is a set-up of the current round and the index of its event.
@@ -25,14 +25,14 @@
 func (s *Session) admitRound() {
 	s.admissionOffers = s.admissionOffers[:0]
 	for _, o := range s.offeredSetUps {
-		offer := admit.Offer{At: o.arrivedAt} // its caller has left meanwhile: a zero deadline
+		offer := admit.Candidate{ReadAt: o.arrivedAt} // its caller has left meanwhile: a zero deadline
 		if call := s.calls[o.id]; call == o.call && !call.Answered {
 			class := &s.settings.Classes[s.classIndex[call.SetUp.Class]]
-			offer = admit.Offer{At: o.arrivedAt, Deadline: call.Deadline, Aim: class.Aim, Worth: class.Worth, LateWorth: class.Late}
+			offer = admit.Candidate{ReadAt: o.arrivedAt, Deadline: call.Deadline, Aim: class.Aim, Worth: class.Worth, LateWorth: class.Late}
 		}
 		s.admissionOffers = append(s.admissionOffers, offer)
 	}
-	admitted := s.admission.Judge(s.now, s.admissionOffers)
+	admitted := s.admission.Select(s.now, s.admissionOffers)
 	orders, refused := s.admittedEvents[:0], s.refusedScratch[:0]
 	for range s.offeredSetUps {
 		refused = append(refused, true)
@@ -44,7 +44,7 @@
 	for i, o := range s.offeredSetUps {
 		if call := s.calls[o.id]; refused[i] && call == o.call && !call.Answered {
 			s.admissionRefusals++
-			s.Counters[state.DoorRefusals]++
+			s.Counters[state.OverloadRefusals]++
 			s.sendFinal(decide.Action{Call: decide.CallID(o.id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
 		}
 	}
--- a/internal/session/admission_test.go
+++ b/internal/session/admission_test.go
@@ -24,9 +24,9 @@
 	p := newPlayer(t)
 	p.s.maxCalls = 1000
 	for range 100 {
-		p.s.admission.Took(100, 0, 10_000_000)
+		p.s.admission.RecordRound(100, 0, 10_000_000)
 	}
-	most := p.s.admission.Most(225)
+	most := p.s.admission.MaxSetUps(225)
 	p.step()
 	conn := func(name, text string) Arrival {
 		p.play("10 " + name + " open")
@@ -39,8 +39,8 @@
 	p.step(as...)
 	out := strings.Join(p.lines, "\n")
 	refused, away := strings.Count(out, "3a[2a]"), strings.Count(out, `3a[2a] 22["1500"]`)
-	if want := 225 - 1 - most; refused != want || away != want || p.s.Counters[state.DoorRefusals] != uint64(want) {
-		t.Errorf("%d were refused, %d with a retry delay, %d counted; %d arrived and a round takes %d", refused, away, p.s.Counters[state.DoorRefusals], 225, most)
+	if want := 225 - 1 - most; refused != want || away != want || p.s.Counters[state.OverloadRefusals] != uint64(want) {
+		t.Errorf("%d were refused, %d with a retry delay, %d counted; %d arrived and a round takes %d", refused, away, p.s.Counters[state.OverloadRefusals], 225, most)
 	}
 	for id := range 200 { // the newest of the less important ones are admitted
 		call := fmt.Sprintf("[0c %016x 3a[2a]", 0x1000+id)
--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -11,16 +11,16 @@
 
 // Kinds of arrival, with the fields of Arrival that each sets.
 const (
-	Accepted ArrivalKind = iota + 1 // a caller connected: Conn
-	Dialled                         // a dial ended: Dial, and Conn or Err
-	Data                            // Conn, Data
-	Closed                          // Conn, Err
-	Stop                            // shut down once every accepted call is answered
-	Report                          // log the counters
-	Reload                          // the configuration was reloaded: Update; or could not be read: Err
-	Asked                           // a client connected to the control address: Conn
-	Flooded                         // Conn sent more than its buffer holds; the excess is discarded
-	Left                            // the callers' listener is closed and its backlog delivered
+	Accepted        ArrivalKind = iota + 1 // a caller connected: Conn
+	Dialled                                // a dial ended: Dial, and Conn or Err
+	Data                                   // Conn, Data
+	Closed                                 // Conn, Err
+	Shutdown                               // shut down once every accepted call is answered
+	Report                                 // log the counters
+	Reload                                 // the configuration was reloaded: Update; or could not be read: Err
+	ControlAccepted                        // a client connected to the control address: Conn
+	InputOverflow                          // Conn sent more than its buffer holds; the excess is discarded
+	ListenerClosed                         // the callers' listener is closed and its backlog delivered
 )
 
 // Arrival is one input from outside, with the time at which it arrived.
@@ -39,7 +39,7 @@
 	switch arrival.Kind {
 	case Accepted:
 		s.callerAccepted(arrival)
-	case Asked:
+	case ControlAccepted:
 		s.controlAccepted(arrival)
 	case Dialled:
 		s.dialFinished(arrival)
@@ -48,28 +48,28 @@
 		s.Counters[state.Copied] += uint64(len(arrival.Data))
 		switch role := s.connOwners[arrival.Conn].(type) {
 		case *state.Caller:
-			if len(role.In) == 0 {
-				role.Part = s.now
+			if len(role.Buffer) == 0 {
+				role.PartialSince = s.now
 			}
-			role.In = s.readMessages(arrival, role.In, func(message wire.Message) {
-				role.Part = s.now
+			role.Buffer = s.readMessages(arrival, role.Buffer, func(message wire.Message) {
+				role.PartialSince = s.now
 				s.handleCallerMessage(role, message, arrival.At)
 			})
 		case *state.OfficeConn:
-			if role.Spoken.Heard = s.now; len(role.In) == 0 {
-				role.Partial = s.now
+			if role.Received.Heard = s.now; len(role.Buffer) == 0 {
+				role.PartialSince = s.now
 			}
-			role.In = s.readMessages(arrival, role.In, func(message wire.Message) {
-				role.Partial = s.now
+			role.Buffer = s.readMessages(arrival, role.Buffer, func(message wire.Message) {
+				role.PartialSince = s.now
 				s.handleOfficeMessage(role, message, arrival.At)
 			})
 		case *journal:
 			s.handleJournalData(arrival.Data)
-		case *state.Asker:
+		case *state.ControlConn:
 			s.handleControlData(role, arrival.Data)
 		}
-	case Flooded:
-		s.Counters[state.BadIn]++
+	case InputOverflow:
+		s.Counters[state.InvalidIn]++
 		if caller, ok := s.connOwners[arrival.Conn].(*state.Caller); ok {
 			s.disconnectCaller(caller, errBufferExceeded)
 		} else if s.connOwners[arrival.Conn] != nil {
@@ -77,14 +77,14 @@
 		}
 	case Closed:
 		s.connClosed(arrival.Conn, arrival.Err)
-	case Stop:
+	case Shutdown:
 		if s.shutdownSince == 0 {
 			s.shutdownSince = s.now
-			s.wheel.Set(s.shutdownSince+acceptAfterShutdown, state.Timer{Kind: state.TimerLeave})
+			s.wheel.Set(s.shutdownSince+acceptAfterShutdown, state.Timer{Kind: state.TimerStopAccepting})
 			s.wheel.Set(s.lastAnswerTime(), state.Timer{Kind: state.TimerShutdownDeadline})
 			s.log.Info("stopping", "open", s.countOpen(), "standing", len(s.established))
 		}
-	case Left:
+	case ListenerClosed:
 		s.listenerClosed = true
 	case Report:
 		s.Report()
@@ -112,7 +112,7 @@
 			s.params = message.Params
 		}
 		if err != nil {
-			s.Counters[state.BadIn]++
+			s.Counters[state.InvalidIn]++
 			s.log.Debug("invalid message on connection", "error", err)
 			if caller, ok := s.connOwners[arrival.Conn].(*state.Caller); ok {
 				s.disconnectCaller(caller, err)
@@ -162,7 +162,7 @@
 		s.officeDisconnected(role, err)
 	case *journal:
 		s.journalDisconnected(err)
-	case *state.Asker:
+	case *state.ControlConn:
 		s.controlDisconnected(role)
 	}
 }
--- a/internal/session/attempts.go
+++ b/internal/session/attempts.go
@@ -15,27 +15,27 @@
 		// cancelled rather than unsent, because after an unsent attempt the module avoids the server for a
 		// while.
 		s.Counters[state.Moot]++
-		s.queueEvent(decide.Event{Kind: decide.Ended, Call: action.Call, Server: action.Server, Outcome: decide.Cancelled, Final: true,
+		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Outcome: decide.Cancelled, AnswerGiven: true,
 			Load: decide.NoLoad()})
 		return
 	}
-	if n := call.Sends; office == nil || call.Answered || call.Attempt != nil || s.maxTries > 0 && n >= s.maxTries ||
+	if n := call.Attempts; office == nil || call.Answered || call.Attempt != nil || s.maxTries > 0 && n >= s.maxTries ||
 		s.now >= call.Deadline {
-		call.Sends++
+		call.Attempts++
 		s.Counters[state.Moot]++
-		s.queueEvent(decide.Event{Kind: decide.Ended, Call: action.Call, Server: action.Server, Attempt: n,
-			Outcome: decide.Unsent, Final: call.Answered, Load: decide.NoLoad()})
+		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Attempt: n,
+			Outcome: decide.NotSent, AnswerGiven: call.Answered, Load: decide.NoLoad()})
 		return
 	}
 	officeConn := &office.OfficeConn
 	if s.pooled.connSelector != nil {
 		officeConn = s.connForSetUp(call, office)
 	}
-	attempt := call.Try(officeConn, s.now)
-	call.Attempt, attempt.Until = attempt, action.Until
-	s.setTimer(call.Deadline, state.Timer{Kind: state.TimerAttempt, ID: call.ID, N: int32(attempt.N)})
-	if action.Until != 0 {
-		s.setTimer(action.Until, state.Timer{Kind: state.TimerAttempt, ID: call.ID, N: int32(attempt.N)})
+	attempt := call.NewAttempt(officeConn, s.now)
+	call.Attempt, attempt.NotAfter = attempt, action.SendBy
+	s.setTimer(call.Deadline, state.Timer{Kind: state.TimerAttempt, ID: call.ID, N: int32(attempt.Number)})
+	if action.SendBy != 0 {
+		s.setTimer(action.SendBy, state.Timer{Kind: state.TimerAttempt, ID: call.ID, N: int32(attempt.Number)})
 	}
 	s.sendOrQueue(attempt)
 }
@@ -43,16 +43,16 @@
 // sendOrQueue writes an attempt's set-up to its connection. It queues the set-up while the connection is not
 // up or the caller's input is still unread.
 func (s *Session) sendOrQueue(attempt *state.Attempt) {
-	officeConn, from := attempt.Conn, attempt.Call.From
+	officeConn, from := attempt.OfficeConn, attempt.Call.From
 	attempt.Queued = true
 	switch {
 	case attempt.Call.Answered: // where attempts may not be cancelled, one outlives its call and caller
 		s.cancelAttempt(attempt, decide.Cancelled)
 		return
-	case from.Conn.Gone():
+	case from.Conn.PeerClosed():
 		s.callerCancelled(attempt.Call) // the end of the connection is reported next
 		return
-	case attempt.Until != 0 && s.now >= attempt.Until:
+	case attempt.NotAfter != 0 && s.now >= attempt.NotAfter:
 		s.cancelAttempt(attempt, decide.TimedOut)
 		return
 	}
@@ -88,10 +88,10 @@
 	attempt.Queued = false
 	// An earlier attempt of the same call may have been cancelled there without acknowledgment. Dropping its
 	// release keeps the end of the new call from being taken for the answer to that release.
-	officeConn := attempt.Conn
-	attempt.Over, attempt.Unheard = officeConn.To.Ended[attempt.Call.ID]
-	delete(officeConn.To.Ended, attempt.Call.ID)
-	officeConn.Out[attempt.Call.ID] = attempt
+	officeConn := attempt.OfficeConn
+	attempt.EarlierRelease, attempt.EarlierReleasePending = officeConn.To.PendingReleases[attempt.Call.ID]
+	delete(officeConn.To.PendingReleases, attempt.Call.ID)
+	officeConn.Outstanding[attempt.Call.ID] = attempt
 	box := s.officeOutbox(officeConn)
 	out, err := attempt.Call.SetUp.AppendOnward(box.Bytes, attempt.Call.ID, attempt.Call.Deadline-s.now)
 	if err != nil {
@@ -99,7 +99,7 @@
 		return
 	}
 	box.Bytes = out
-	box.Sent = append(box.Sent, state.Batched{Call: attempt.Call.ID, N: attempt.N})
+	box.Attempts = append(box.Attempts, state.AttemptRef{Call: attempt.Call.ID, Number: attempt.Number})
 }
 
 // endAttempt removes an attempt from its office and reports the outcome to the module.
@@ -110,15 +110,15 @@
 // endAttemptWith is endAttempt with the office's last message and the time at which it arrived.
 func (s *Session) endAttemptWith(attempt *state.Attempt, outcome decide.Outcome, message wire.Message, arrivedAt int64) {
 	call := attempt.Call
-	delete(attempt.Conn.Out, call.ID)
-	if attempt.Conn.Number != 0 {
-		s.freePooledConn(attempt.Conn, call.ID)
+	delete(attempt.OfficeConn.Outstanding, call.ID)
+	if attempt.OfficeConn.Number != 0 {
+		s.freePooledConn(attempt.OfficeConn, call.ID)
 	}
 	call.Attempt = nil
-	event := decide.Event{Kind: decide.Ended, Call: decide.CallID(call.ID), Server: attempt.Conn.To.ID, Attempt: attempt.N,
-		Took: max(0, arrivedAt-attempt.Since), Outcome: outcome, Final: call.Answered, Full: message.Overload(), Load: message.Load()}
+	event := decide.Event{Kind: decide.AttemptEnded, Call: decide.CallID(call.ID), Server: attempt.OfficeConn.To.ID, Attempt: attempt.Number,
+		Elapsed: max(0, arrivedAt-attempt.Since), Outcome: outcome, AnswerGiven: call.Answered, ProcessorFull: message.Overload(), Load: message.Load()}
 	if outcome == decide.Failed && message.Cause() == wire.CauseBusy {
-		event.Busy, event.Key = true, call.SetUp.Number
+		event.NumberBusy, event.Key = true, call.SetUp.Number
 	}
 	s.queueEvent(event)
 	if call.Answered {
@@ -130,22 +130,22 @@
 // notification is ignored.
 func (s *Session) cancelAttempt(attempt *state.Attempt, outcome decide.Outcome) {
 	if !attempt.Queued {
-		attempt.Conn.To.Liveness.GivenUp(s.now, attempt.Since)
+		attempt.OfficeConn.To.Liveness.SetUpCancelled(s.now, attempt.Since)
 	}
-	if isUnsent(attempt.Conn, attempt) {
-		s.closeConn(attempt.Conn.Conn, errUnsentSetUps) // otherwise the set-up would begin once the office reads again
+	if isUnsent(attempt.OfficeConn, attempt) {
+		s.closeConn(attempt.OfficeConn.Conn, errUnsentSetUps) // otherwise the set-up would begin once the office reads again
 		return
 	}
 	if attempt.Queued {
-		queue := attempt.Conn.Queue
+		queue := attempt.OfficeConn.Queue
 		for i := range queue {
 			if queue[i] == attempt {
-				attempt.Conn.Queue = append(queue[:i:i], queue[i+1:]...)
+				attempt.OfficeConn.Queue = append(queue[:i:i], queue[i+1:]...)
 				break
 			}
 		}
 	} else {
-		s.releaseAtOffice(attempt.Conn, attempt.Call.ID, wire.CauseNormal)
+		s.releaseAtOffice(attempt.OfficeConn, attempt.Call.ID, wire.CauseNormal)
 		s.recordSentTime(attempt)
 	}
 	s.endAttempt(attempt, outcome)
@@ -154,22 +154,22 @@
 // recordSentTime keeps the time at which a cancelled set-up was sent, so that a late answer shows the office's
 // delay.
 func (s *Session) recordSentTime(attempt *state.Attempt) {
-	office := attempt.Conn.To
-	if ending, kept := office.Ended[attempt.Call.ID]; kept {
-		ending.Asked = attempt.Since
-		office.Ended[attempt.Call.ID] = ending
+	office := attempt.OfficeConn.To
+	if ending, kept := office.PendingReleases[attempt.Call.ID]; kept {
+		ending.SetUpSent = attempt.Since
+		office.PendingReleases[attempt.Call.ID] = ending
 	}
 }
 
 // isUnsent reports whether a set-up, or part of it, may still be buffered in this process.
 func isUnsent(officeConn *state.OfficeConn, attempt *state.Attempt) bool {
-	return attempt.Stuck && !attempt.Queued && officeConn.Conn != nil && officeConn.Conn.Unsent()
+	return attempt.PartlySent && !attempt.Queued && officeConn.Conn != nil && officeConn.Conn.Unsent()
 }
 
 // withdrawQueued ensures that no further set-up leaves for an office that takes no new calls.
 func (s *Session) withdrawQueued(officeConn *state.OfficeConn) {
 	s.failQueued(officeConn)
-	for _, attempt := range inKeyOrder(officeConn.Out) {
+	for _, attempt := range inKeyOrder(officeConn.Outstanding) {
 		if isUnsent(officeConn, attempt) {
 			s.closeConn(officeConn.Conn, errUnsentSetUps)
 			return
--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -15,13 +15,13 @@
 
 func (s *Session) callerAccepted(arrival Arrival) {
 	if len(s.callers) >= s.callerLimit() && !s.closeIdleCaller() {
-		s.Counters[state.TurnedOut]++
+		s.Counters[state.CallersClosed]++
 		s.log.Warn("too many callers", "callers", len(s.callers))
 		_ = arrival.Conn.Close() // no set-up was read from it
 		return
 	}
 	s.Counters[state.CallersIn]++
-	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, Quiet: s.now, Unsure: map[uint64]state.Ending{}}
+	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, IdleSince: s.now, PendingReleases: map[uint64]state.PendingRelease{}}
 	s.connOwners[arrival.Conn] = caller
 	s.callers = append(s.callers, caller)
 	if s.pooled.connSelector != nil {
@@ -33,7 +33,7 @@
 // undelivered releases. Connections of the load balancer only carry health tests and must not receive releases:
 // the load balancer would count the test as failed.
 func (s *Session) markActive(caller *state.Caller) {
-	caller.Asked = s.now
+	caller.LastSetUp = s.now
 	if len(s.undeliveredReleases) == 0 {
 		return
 	}
@@ -45,19 +45,19 @@
 }
 
 // mayBeTrusted reports whether a connection has asked for a call or ended one.
-func mayBeTrusted(caller *state.Caller) bool { return caller.Good || caller.Asked != 0 }
+func mayBeTrusted(caller *state.Caller) bool { return caller.Trusted || caller.LastSetUp != 0 }
 
 // trustCaller marks a connection as that of a well-behaved caller and sends it the releases for which there
 // was no such connection.
 func (s *Session) trustCaller(caller *state.Caller) {
-	if caller.Good {
+	if caller.Trusted {
 		return
 	}
-	caller.Good = true
-	caller.Conn.Trust()
+	caller.Trusted = true
+	caller.Conn.MarkTrusted()
 	for id, ending := range inKeyOrder(s.undeliveredReleases) {
 		delete(s.undeliveredReleases, id)
-		if _, alreadySent := caller.Unsure[id]; !alreadySent {
+		if _, alreadySent := caller.PendingReleases[id]; !alreadySent {
 			s.releaseToCaller(id, ending.Cause, caller)
 		}
 	}
@@ -73,17 +73,17 @@
 		switch {
 		case s.now-caller.Since < newCallerGrace:
 			return 2
-		case caller.Good:
+		case caller.Trusted:
 			return 1
 		}
 		return 0
 	}
 	for _, caller := range s.callers {
-		if len(caller.Open) > 0 || idle != nil && cmp.Or(cmp.Compare(rank(idle), rank(caller)), cmp.Compare(idle.Quiet, caller.Quiet)) <= 0 {
+		if len(caller.Open) > 0 || idle != nil && cmp.Or(cmp.Compare(rank(idle), rank(caller)), cmp.Compare(idle.IdleSince, caller.IdleSince)) <= 0 {
 			continue
 		}
 		// A caller that has not read an answer for so long has most likely vanished.
-		if !caller.Conn.Waiting() || s.now-caller.Quiet > callerReleaseTTL && !caller.Conn.Unread() {
+		if !caller.Conn.Pending() || s.now-caller.IdleSince > callerReleaseTTL && !caller.Conn.Unread() {
 			idle = caller
 		}
 	}
@@ -101,11 +101,11 @@
 func (s *Session) checkCallers() {
 	for _, caller := range s.snapshotCallers() {
 		switch {
-		case len(caller.In) > 0 && s.now-caller.Part >= callerMessageTimeout:
-			if !caller.Conn.Waiting() {
+		case len(caller.Buffer) > 0 && s.now-caller.PartialSince >= callerMessageTimeout:
+			if !caller.Conn.Pending() {
 				s.disconnectCaller(caller, errPartialMessage)
 			}
-		case !caller.Told && len(caller.Open) == 0 && s.now-caller.Since >= callerMessageTimeout && !caller.Conn.Waiting():
+		case !caller.Replied && len(caller.Open) == 0 && s.now-caller.Since >= callerMessageTimeout && !caller.Conn.Pending():
 			s.disconnectCaller(caller, errNoRequest)
 		}
 	}
@@ -125,7 +125,7 @@
 	if caller.Conn == nil {
 		return // already disconnected
 	}
-	s.Counters[state.TurnedOut]++
+	s.Counters[state.CallersClosed]++
 	s.log.Debug("disconnecting caller", "open", len(caller.Open), "error", err)
 	for _, call := range inKeyOrder(caller.Open) {
 		s.failCall(call)
@@ -140,7 +140,7 @@
 	}
 	// A release written shortly before the connection closed may not have been read; it is repeated on
 	// another connection.
-	for id, ending := range inKeyOrder(caller.Unsure) {
+	for id, ending := range inKeyOrder(caller.PendingReleases) {
 		if kept, ok := s.undeliveredReleases[id]; ok {
 			kept.Sent = false
 			s.undeliveredReleases[id] = kept
@@ -161,8 +161,8 @@
 	case wire.TypeRelease:
 		s.handleCallerRelease(caller, message)
 	case wire.TypeHeard:
-		if _, ours := caller.Unsure[message.Call]; ours {
-			delete(caller.Unsure, message.Call)
+		if _, ours := caller.PendingReleases[message.Call]; ours {
+			delete(caller.PendingReleases, message.Call)
 			delete(s.undeliveredReleases, message.Call)
 			s.trustCaller(caller)
 		}
@@ -173,12 +173,12 @@
 			passed = 0
 		}
 		if box := s.callerOutbox(caller); box != nil {
-			caller.Told = true
+			caller.Replied = true
 			box.Bytes = wire.AppendTested(box.Bytes, message.Call, passed)
 		}
 	case wire.TypeProgress, wire.TypeGroup, wire.TypeTested:
 	default:
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		s.disconnectCaller(caller, errUnknownType)
 	}
 }
@@ -189,10 +189,10 @@
 	if caller.Conn == nil {
 		return nil
 	}
-	if len(caller.Box.Bytes) > maxOutbox {
+	if len(caller.Outbox.Bytes) > maxOutbox {
 		s.writeCaller(caller)
 	}
-	return s.outbox(caller, &caller.Box)
+	return s.outbox(caller, &caller.Outbox)
 }
 
 // sendAnswer tells a caller that its call is established. It reports false if the answer can't be delivered.
@@ -205,15 +205,15 @@
 	if err != nil {
 		return false
 	}
-	caller.Told, box.Bytes = true, out
-	box.Told = append(box.Told, call)
+	caller.Replied, box.Bytes = true, out
+	box.AnsweredCalls = append(box.AnsweredCalls, call)
 	return true
 }
 
 // sendRelease sends a release to a caller, with the milliseconds to wait before a retry if there are any.
 func (s *Session) sendRelease(caller *state.Caller, call uint64, cause byte, retryAfter int64) {
 	if box := s.callerOutbox(caller); box != nil {
-		caller.Told = true
+		caller.Replied = true
 		box.Bytes = wire.AppendRelease(box.Bytes, call, cause, retryAfter)
 	}
 }
@@ -221,7 +221,7 @@
 // countInvalid counts input that can't be processed. It stops a client that keeps sending such input at full
 // speed, since each answer costs more than the request.
 func (s *Session) countInvalid(caller *state.Caller, weight int) {
-	if caller.Odd += weight; caller.Odd >= maxInvalidPerCaller {
+	if caller.InvalidCount += weight; caller.InvalidCount >= maxInvalidPerCaller {
 		s.disconnectCaller(caller, errTooManyInvalid)
 	}
 }
@@ -232,14 +232,14 @@
 		// The id is already in use. An answer to this set-up could be taken for an answer to the first one, so
 		// it gets none and its connection ends. A first set-up that is open on the same connection fails with
 		// it.
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		if s.pooled.connSelector != nil {
 			s.observeRepeatedSetUp(caller, message.Call)
 		}
 		s.disconnectCaller(caller, errIDInUse)
 		return
 	}
-	call := s.callPool.Call()
+	call := s.callPool.NewCall()
 	setUp, err := wire.ReadSetUp(message, s.classNames, call.SetUp.Description)
 	call.SetUp = setUp
 	class, known := s.classIndex[setUp.Class]
@@ -247,11 +247,11 @@
 		err = s.validateSetUp(setUp, class, known)
 	}
 	if err != nil {
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		s.Counters[state.FailuresOut]++
 		s.log.Debug("invalid set-up", "call", formatCallID(message.Call), "error", err)
 		s.sendRelease(caller, message.Call, wire.CauseMissing, 0)
-		s.callPool.Over(call)
+		s.callPool.ReturnCall(call)
 		s.countInvalid(caller, invalidSetUpWeight)
 		return
 	}
@@ -261,7 +261,7 @@
 		s.Counters[state.RefusalsOut]++
 		s.answerCounts[class].Rejected++
 		s.sendRelease(caller, message.Call, wire.CauseCongestion, 0) // another controller may take it at once
-		s.callPool.Over(call)
+		s.callPool.ReturnCall(call)
 		return
 	}
 	if len(s.calls) >= s.maxCalls || len(caller.Open) >= maxOpenPerCaller || s.callBytes+size > s.maxCallBytes {
@@ -270,7 +270,7 @@
 		s.Counters[state.RefusalsOut]++
 		s.answerCounts[class].Rejected++
 		s.sendRelease(caller, message.Call, wire.CauseCongestion, retryAfterMillis(s.retryAfter(call)))
-		s.callPool.Over(call)
+		s.callPool.ReturnCall(call)
 		return
 	}
 	call.ID, call.From, call.Deadline = message.Call, caller, admit.Deadline(at, setUp.Wait)
@@ -283,8 +283,8 @@
 		s.trackCall(call, class)
 	}
 	s.offeredSetUps = append(s.offeredSetUps, offeredSetUp{call: call, id: call.ID, arrivedAt: at, event: len(s.events)})
-	s.queueEvent(decide.Event{Kind: decide.Order, Call: decide.CallID(call.ID), Class: class, Key: setUp.Number,
-		Deadline: call.Deadline, Dest: setUp.Dest, Again: setUp.Again})
+	s.queueEvent(decide.Event{Kind: decide.CallArrived, Call: decide.CallID(call.ID), Class: class, Key: setUp.Number,
+		Deadline: call.Deadline, Destination: setUp.Dest, AgainAfterCut: setUp.Again})
 }
 
 // validateSetUp checks a set-up against the settings, so that no value out of range reaches the module.
@@ -326,14 +326,14 @@
 		}
 		s.trustCaller(caller)
 		s.endedCalls[message.Call] = s.now
-		s.callDurations.Outlived(established.Class, s.now-established.Since)
+		s.callDurations.EndedByCaller(established.Class, s.now-established.Since)
 		s.endEstablished(established)
-		s.releaseAtOffice(established.Conn, message.Call, cause)
+		s.releaseAtOffice(established.OfficeConn, message.Call, cause)
 	} else if _, known := s.endedCalls[message.Call]; !known {
 		// A call of a previous process: any office may hold it, and the others ignore the release.
 		s.endedCalls[message.Call] = s.now
 		if len(s.earlierReleases) < maxEarlierReleases {
-			s.earlierReleases[message.Call] = state.Ending{Cause: cause, At: s.now}
+			s.earlierReleases[message.Call] = state.PendingRelease{Cause: cause, At: s.now}
 		}
 		for _, office := range s.offices.All() {
 			if office.State != decide.Removed {
@@ -350,7 +350,7 @@
 // callerCancelled ends a call whose caller is gone. No answer is owed, and its attempt is cancelled.
 func (s *Session) callerCancelled(call *state.Call) {
 	s.markAnswered(call)
-	s.queueEvent(decide.Event{Kind: decide.Gone, Call: decide.CallID(call.ID)})
+	s.queueEvent(decide.Event{Kind: decide.CallerLeft, Call: decide.CallID(call.ID)})
 	if call.Attempt != nil {
 		s.cancelAttempt(call.Attempt, decide.Cancelled)
 	} else {
@@ -363,14 +363,14 @@
 	call.Answered = true
 	delete(call.From.Open, call.ID)
 	if len(call.From.Open) == 0 {
-		call.From.Quiet = s.now
+		call.From.IdleSince = s.now
 	}
 }
 
 func (s *Session) forgetCall(call *state.Call) {
 	if s.calls[call.ID] == call {
 		s.callBytes -= callOverhead + int64(len(call.SetUp.Description))
-		s.callPool.Over(call)
+		s.callPool.ReturnCall(call)
 	}
 	delete(s.calls, call.ID)
 	s.endedCalls[call.ID] = s.now
@@ -409,23 +409,23 @@
 	if caller == nil || caller.Conn == nil {
 		caller = nil
 		for _, c := range slices.Backward(s.callers) { // the newest is the least likely to be closing
-			if c.Good {
+			if c.Trusted {
 				caller = c
 				break
 			}
-			if caller == nil && c.Asked != 0 {
+			if caller == nil && c.LastSetUp != 0 {
 				caller = c // may be the first connection of a well-behaved caller
 			}
 		}
-		if caller == nil || !caller.Good {
-			s.undeliveredReleases[call] = state.Ending{Cause: cause, At: s.now, Sent: caller != nil}
+		if caller == nil || !caller.Trusted {
+			s.undeliveredReleases[call] = state.PendingRelease{Cause: cause, At: s.now, Sent: caller != nil}
 		}
 		if caller == nil {
 			return
 		}
 	}
 	s.Counters[state.ReleasesOut]++
-	caller.Unsure[call] = state.Ending{Cause: cause, At: s.now}
+	caller.PendingReleases[call] = state.PendingRelease{Cause: cause, At: s.now}
 	s.sendRelease(caller, call, cause, 0)
 }
 
--- a/internal/session/conn_releases.go
+++ b/internal/session/conn_releases.go
@@ -21,7 +21,7 @@
 		return
 	}
 	tracked.releaseConn = nil
-	s.observe(pooling.EndHeard, call, 0, nil)
+	s.observe(pooling.EndAcknowledged, call, 0, nil)
 	if tracked.over {
 		s.untrackCall(call, tracked)
 	}
@@ -40,9 +40,9 @@
 		}
 		officeConn := tracked.releaseConn
 		tracked.releaseConn = nil
-		if officeConn.Conn != nil && officeConn.Spoken.Opened <= release.sentAt && officeConn.To.State != decide.Removed {
-			s.observe(pooling.EndUnheard, release.call, 0, nil)
-			if ending, kept := officeConn.To.Ended[release.call]; kept && tracked.repeats < maxReleaseRepeats && !pooled.observeOnly {
+		if officeConn.Conn != nil && officeConn.Received.Opened <= release.sentAt && officeConn.To.State != decide.Removed {
+			s.observe(pooling.EndUnacknowledged, release.call, 0, nil)
+			if ending, kept := officeConn.To.PendingReleases[release.call]; kept && tracked.repeats < maxReleaseRepeats && !pooled.observeOnly {
 				tracked.repeats++
 				s.releaseAtOffice(officeConn, release.call, ending.Cause)
 			}
@@ -65,7 +65,7 @@
 	if tracked != nil && !pooled.observeOnly {
 		// A cancellation must follow its set-up on the same connection. If it overtook the set-up on another
 		// connection, the office would ignore it and then work on a call that has been retried elsewhere.
-		if tracked.established && pooled.connSelector.Lane(s.now, &tracked.call, pooling.End) == pooling.Any || !tracked.established && pooled.disabled.cancelInOrder {
+		if tracked.established && pooled.connSelector.Select(s.now, &tracked.call, pooling.End) == pooling.AnyConnection || !tracked.established && pooled.disabled.cancelInOrder {
 			officeConn = anotherConn(officeConn)
 		}
 	}
@@ -83,20 +83,20 @@
 // arrived, or the one that holds the call.
 func (s *Session) connForAck(officeConn *state.OfficeConn, call uint64) *state.OfficeConn {
 	established, tracked := s.established[call], s.pooled.tracked[call]
-	if established == nil || tracked == nil || s.pooled.observeOnly || established.Conn == officeConn || established.Conn.To != officeConn.To || established.Conn.Conn == nil ||
-		s.pooled.connSelector.Lane(s.now, &tracked.call, pooling.Heard) != pooling.Held {
+	if established == nil || tracked == nil || s.pooled.observeOnly || established.OfficeConn == officeConn || established.OfficeConn.To != officeConn.To || established.OfficeConn.Conn == nil ||
+		s.pooled.connSelector.Select(s.now, &tracked.call, pooling.ReleaseAck) != pooling.SetUpConnection {
 		return officeConn
 	}
-	return established.Conn
+	return established.OfficeConn
 }
 
 // outstandingAttempt returns the attempt that a message of an office refers to. In most cases it is on the
 // connection on which the message arrived.
 func (s *Session) outstandingAttempt(officeConn *state.OfficeConn, call uint64) *state.Attempt {
-	if attempt := officeConn.Out[call]; attempt != nil || len(officeConn.To.Pooled) == 0 {
+	if attempt := officeConn.Outstanding[call]; attempt != nil || len(officeConn.To.Pooled) == 0 {
 		return attempt
 	}
-	if c := s.calls[call]; c != nil && c.Attempt != nil && c.Attempt.Conn.To == officeConn.To && !c.Attempt.Queued {
+	if c := s.calls[call]; c != nil && c.Attempt != nil && c.Attempt.OfficeConn.To == officeConn.To && !c.Attempt.Queued {
 		return c.Attempt
 	}
 	return nil
@@ -106,13 +106,13 @@
 // except those sent on a pooled connection that is still open.
 func (s *Session) repeatPendingReleases(officeConn *state.OfficeConn) {
 	office := officeConn.To
-	for call, ending := range inKeyOrder(office.Ended) {
+	for call, ending := range inKeyOrder(office.PendingReleases) {
 		if ending.ConnNumber != 0 {
 			if slices.ContainsFunc(office.Pooled, func(c *state.OfficeConn) bool { return c.Number == ending.ConnNumber && c.Conn != nil }) {
 				continue
 			}
 			ending.ConnNumber = 0
-			office.Ended[call] = ending
+			office.PendingReleases[call] = ending
 		}
 		s.sendOfficeRelease(officeConn, call, ending.Cause)
 	}
@@ -122,10 +122,10 @@
 // on the main connection.
 func (s *Session) officeConnLost(officeConn *state.OfficeConn) {
 	office := officeConn.To
-	if officeConn.Stands > 0 {
-		for id, established := range inKeyOrder(office.Standing) {
-			if established.Conn == officeConn {
-				s.observe(pooling.LaneLost, id, 0, nil)
+	if officeConn.EstablishedCount > 0 {
+		for id, established := range inKeyOrder(office.Established) {
+			if established.OfficeConn == officeConn {
+				s.observe(pooling.ConnectionLost, id, 0, nil)
 			}
 		}
 	}
@@ -136,10 +136,10 @@
 	if s.pooled.disabled.repeatLost {
 		return
 	}
-	for call, ending := range inKeyOrder(office.Ended) {
+	for call, ending := range inKeyOrder(office.PendingReleases) {
 		if ending.ConnNumber == officeConn.Number {
 			ending.ConnNumber = 0
-			office.Ended[call] = ending
+			office.PendingReleases[call] = ending
 			s.sendOfficeRelease(&office.OfficeConn, call, ending.Cause)
 		}
 	}
@@ -159,7 +159,7 @@
 	if officeConn.Owner != nil {
 		delete(office.CallerConns, officeConn.Owner.Session)
 	}
-	officeConn.Holder = 0
+	officeConn.HeldByCall = 0
 	s.pooled.count--
 	s.pooled.connAvailable = true
 }
--- a/internal/session/conn_selection.go
+++ b/internal/session/conn_selection.go
@@ -18,13 +18,13 @@
 		pooled.lastSerial++
 		office.Serial = pooled.lastSerial
 	}
-	verdict := pooling.Own
+	verdict := pooling.OwnConnection
 	if tracked != nil {
 		tracked.call.Office = office.Serial
 		if pooled.observeOnly {
-			tracked.call.Lane = pooling.Any
+			tracked.call.Connection = pooling.AnyConnection
 		} else {
-			tracked.verdict = pooled.connSelector.Lane(s.now, &tracked.call, pooling.SetUp)
+			tracked.verdict = pooled.connSelector.Select(s.now, &tracked.call, pooling.SetUp)
 			verdict = tracked.verdict
 		}
 	}
@@ -46,18 +46,18 @@
 
 // findConn returns the connection for a call's set-up by the verdict. If there is none, it creates a pooled one if
 // create is set, and otherwise, or if the limits do not allow one, returns nil.
-func (s *Session) findConn(verdict pooling.Lane, call *state.Call, office *state.Office, create bool) *state.OfficeConn {
+func (s *Session) findConn(verdict pooling.ConnectionKind, call *state.Call, office *state.Office, create bool) *state.OfficeConn {
 	switch verdict {
-	case pooling.Any:
+	case pooling.AnyConnection:
 		return &office.OfficeConn
-	case pooling.Taken:
+	case pooling.ExclusiveConnection:
 		if s.pooled.disabled.exclusiveConn && len(office.Pooled) > 0 {
 			return office.Pooled[0]
 		}
 		if k := len(office.FreeConns); k > 0 {
 			officeConn := office.FreeConns[k-1]
 			office.FreeConns = office.FreeConns[:k-1]
-			officeConn.Holder = call.ID
+			officeConn.HeldByCall = call.ID
 			return officeConn
 		}
 		if !create {
@@ -65,7 +65,7 @@
 		}
 		created := s.newPooledConn(office)
 		if created != nil {
-			created.Holder = call.ID
+			created.HeldByCall = call.ID
 		}
 		return created
 	}
@@ -95,7 +95,7 @@
 	pooled.lastNumber++
 	pooled.count++
 	pooled.opened++
-	officeConn := &state.OfficeConn{To: office, Number: pooled.lastNumber, Out: map[uint64]*state.Attempt{}, Idle: s.now}
+	officeConn := &state.OfficeConn{To: office, Number: pooled.lastNumber, Outstanding: map[uint64]*state.Attempt{}, IdleSince: s.now}
 	office.Pooled = append(office.Pooled, officeConn)
 	return officeConn
 }
@@ -107,7 +107,7 @@
 	var idle *state.OfficeConn
 	consider := func(o *state.Office) {
 		for _, officeConn := range o.Pooled {
-			if (officeConn.Loose() || s.pooled.disabled.keepOwned && officeConn.Quiet()) && officeConn.Conn != nil && (idle == nil || officeConn.Idle < idle.Idle) {
+			if (officeConn.IsUnused() || s.pooled.disabled.keepOwned && officeConn.IsIdle()) && officeConn.Conn != nil && (idle == nil || officeConn.IdleSince < idle.IdleSince) {
 				idle = officeConn
 			}
 		}
@@ -119,7 +119,7 @@
 			consider(o)
 		}
 	}
-	if idle == nil || idle.Conn.Waiting() {
+	if idle == nil || idle.Conn.Pending() {
 		return false
 	}
 	s.pooled.evicted++
@@ -133,19 +133,19 @@
 	call := attempt.Call
 	s.pooled.waited++
 	until := min(call.Deadline, call.Deadline-call.SetUp.Wait+s.settings.Classes[s.classIndex[call.SetUp.Class]].Aim)
-	if until <= s.now || len(attempt.Conn.Queue) > maxWaiting {
-		s.refuseWaiting(call.ID, attempt.N)
+	if until <= s.now || len(attempt.OfficeConn.Queue) > maxWaiting {
+		s.refuseWaiting(call.ID, attempt.Number)
 		return
 	}
 	if !s.pooled.disabled.waitLimit {
-		s.setTimer(until, state.Timer{Kind: state.TimerConnWait, ID: call.ID, N: int32(attempt.N)})
+		s.setTimer(until, state.Timer{Kind: state.TimerConnWait, ID: call.ID, N: int32(attempt.Number)})
 	}
 }
 
 // refuseWaiting refuses a call whose attempt still waits for a pooled connection.
 func (s *Session) refuseWaiting(id uint64, n int) {
 	call := s.calls[id]
-	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.N != n || call.Attempt.Conn.Number != waitingNumber {
+	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.Number != n || call.Attempt.OfficeConn.Number != waitingNumber {
 		return
 	}
 	s.pooled.refused++
@@ -166,7 +166,7 @@
 		waiting := office.Overflow.Queue
 		kept, create := waiting[:0:0], true
 		for _, attempt := range waiting {
-			verdict := pooling.Own
+			verdict := pooling.OwnConnection
 			if tracked := pooled.tracked[attempt.Call.ID]; tracked != nil {
 				verdict = tracked.verdict
 			}
@@ -175,7 +175,7 @@
 				kept, create = append(kept, attempt), false
 				continue
 			}
-			attempt.Conn, attempt.Since = officeConn, s.now
+			attempt.OfficeConn, attempt.Since = officeConn, s.now
 			s.sendOrQueue(attempt)
 		}
 		office.Overflow.Queue = kept
@@ -187,8 +187,8 @@
 	if officeConn.Number == 0 {
 		return
 	}
-	if officeConn.Idle = s.now; officeConn.Holder == call && !s.pooled.disabled.returnConn {
-		officeConn.Holder = 0
+	if officeConn.IdleSince = s.now; officeConn.HeldByCall == call && !s.pooled.disabled.returnConn {
+		officeConn.HeldByCall = 0
 		officeConn.To.FreeConns = append(officeConn.To.FreeConns, officeConn)
 	}
 	s.pooled.connAvailable = true
--- a/internal/session/control.go
+++ b/internal/session/control.go
@@ -27,13 +27,13 @@
 	if len(s.controlConns) >= s.maxControlConns {
 		s.closeConn(s.controlConns[0].Conn, errControlTimeout)
 	}
-	asker := &state.Asker{Conn: arrival.Conn, Since: s.now}
+	asker := &state.ControlConn{Conn: arrival.Conn, Since: s.now}
 	s.controlConns = append(s.controlConns, asker)
 	s.connOwners[arrival.Conn] = asker
 }
 
-func (s *Session) controlDisconnected(asker *state.Asker) {
-	s.controlConns = slices.DeleteFunc(s.controlConns, func(a *state.Asker) bool { return a == asker })
+func (s *Session) controlDisconnected(asker *state.ControlConn) {
+	s.controlConns = slices.DeleteFunc(s.controlConns, func(a *state.ControlConn) bool { return a == asker })
 }
 
 // checkControlConns closes control connections that do not complete a request line in time.
@@ -44,11 +44,11 @@
 }
 
 // handleControlData answers the single request of a control connection and closes it.
-func (s *Session) handleControlData(asker *state.Asker, data []byte) {
-	asker.In = append(asker.In, data...)
-	line, whole, err := wire.NextAsk(asker.In)
+func (s *Session) handleControlData(asker *state.ControlConn, data []byte) {
+	asker.Buffer = append(asker.Buffer, data...)
+	line, whole, err := wire.NextAsk(asker.Buffer)
 	if err != nil {
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		_, _ = asker.Conn.Write(wire.Told(s.controlReply[:0], false, err.Error())) // unread replies are asked for again
 		s.closeConn(asker.Conn, err)
 		return
@@ -56,7 +56,7 @@
 	if !whole {
 		return
 	}
-	s.Counters[state.AskedIn]++
+	s.Counters[state.ControlLinesIn]++
 	s.controlReply = s.appendControlReply(line, s.controlReply[:0])
 	_, _ = asker.Conn.Write(s.controlReply) // unread replies are asked for again
 	s.closeConn(asker.Conn, nil)
@@ -87,7 +87,7 @@
 		}
 		return wire.Told(b, true, "taking callers")
 	}
-	s.Counters[state.BadIn]++
+	s.Counters[state.InvalidIn]++
 	return wire.Told(b, false, "unknown call")
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		members++
-		if office.State != decide.Up || office.Unreached || s.decider.Avoids(office.ID) {
+		if office.State != decide.Up || office.ConnectFailed || s.decider.Avoids(office.ID) {
 			avoided++
 		}
 	}
--- a/internal/session/descriptors.go
+++ b/internal/session/descriptors.go
@@ -19,9 +19,9 @@
 	maxPendingAccepts = 16
 )
 
-// Taken returns how many new connections of one address may wait for the loop, given the number of
+// AcceptLimit returns how many new connections of one address may wait for the loop, given the number of
 // descriptors. Further ones wait in the listener's backlog, where they use no descriptor.
-func Taken(sockets int) int { return min(maxPendingAccepts, max(1, sockets/32)) }
+func AcceptLimit(sockets int) int { return min(maxPendingAccepts, max(1, sockets/32)) }
 
 func controlConnLimit(sockets int) int { return min(maxControlConns, max(2, sockets/16)) }
 
@@ -29,7 +29,7 @@
 // as many connections as may wait for the loop may also be in processing by it, one more waits to be queued,
 // and one descriptor is being duplicated.
 func reservedDescriptors(sockets int) int {
-	return baseDescriptors + listenerCount*(2*Taken(sockets)+2) + controlConnLimit(sockets)
+	return baseDescriptors + listenerCount*(2*AcceptLimit(sockets)+2) + controlConnLimit(sockets)
 }
 
 // callerLimit is the maximum number of callers' connections at present.
@@ -44,10 +44,10 @@
 // unreadCallerGrace is how long callers with unread input may keep new ones from being accepted.
 const unreadCallerGrace = 500_000
 
-// Places returns how many of want new callers may be accepted, counting the connections that can be closed to
+// AcceptableCallers returns how many of want new callers may be accepted, counting the connections that can be closed to
 // make room. After unreadCallerGrace all are accepted and the excess is closed. Without that grace, dozens of
 // new callers would be closed because the input of those just accepted is still unread.
-func (s *Session) Places(want int) int {
+func (s *Session) AcceptableCallers(want int) int {
 	places, unread := s.callerLimit()-len(s.callers), false
 	for _, caller := range s.callers {
 		if places >= want {
@@ -56,7 +56,7 @@
 		if len(caller.Open) > 0 {
 			continue
 		}
-		if caller.Conn.Waiting() {
+		if caller.Conn.Pending() {
 			unread = true
 			continue
 		}
--- a/internal/session/descriptors_test.go
+++ b/internal/session/descriptors_test.go
@@ -33,15 +33,15 @@
 	for _, line := range []string{"10 a open", "10 b open", "10 a waiting", "10 b waiting"} {
 		p.play(line)
 	}
-	if n := p.s.Places(4); n != 0 {
+	if n := p.s.AcceptableCallers(4); n != 0 {
 		t.Errorf("%d places while both callers have unread input", n)
 	}
 	p.until(600_000)
-	if n := p.s.Places(4); n != 4 {
+	if n := p.s.AcceptableCallers(4); n != 4 {
 		t.Errorf("%d places after the grace period, want 4", n)
 	}
 	p.play("610 b idle")
-	if n := p.s.Places(4); n != 1 {
+	if n := p.s.AcceptableCallers(4); n != 1 {
 		t.Errorf("%d places while one caller is idle", n)
 	}
 	p.play(`620 a idle`)
--- a/internal/session/drain.go
+++ b/internal/session/drain.go
@@ -54,9 +54,9 @@
 	}
 	for _, caller := range slices.Clone(s.callers) {
 		switch {
-		case len(caller.Open) == 0 && (caller.Stands == 0 || s.shutdownSince != 0) && (caller.Told || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Waiting():
+		case len(caller.Open) == 0 && (caller.EstablishedCount == 0 || s.shutdownSince != 0) && (caller.Replied || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Pending():
 			s.closeConn(caller.Conn, errDrained)
-		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter && caller.Asked > s.drainingSince+drainRefuseAfter:
+		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter && caller.LastSetUp > s.drainingSince+drainRefuseAfter:
 			s.closeDrained(caller)
 		}
 	}
@@ -75,6 +75,6 @@
 // office no longer exists.
 func (s *Session) releasesPending() bool {
 	return s.now < s.lastAnswerTime() && slices.ContainsFunc(s.offices.All(), func(office *state.Office) bool {
-		return office.Dialling != 0 && len(office.Ended) > 0 && !office.Unreached
+		return office.DialID != 0 && len(office.PendingReleases) > 0 && !office.ConnectFailed
 	})
 }
--- a/internal/session/exchange_test.go
+++ b/internal/session/exchange_test.go
@@ -85,15 +85,15 @@
 	peerClosed, unsent, blocksWrites bool
 }
 
-func (c *fakeConn) Waiting() bool { return c.waiting || c.unsent }
+func (c *fakeConn) Pending() bool { return c.waiting || c.unsent }
 
 func (c *fakeConn) Unread() bool { return c.waiting }
 
 func (c *fakeConn) Unsent() bool { return c.unsent }
 
-func (c *fakeConn) Gone() bool { return c.peerClosed }
+func (c *fakeConn) PeerClosed() bool { return c.peerClosed }
 
-func (c *fakeConn) Trust() {}
+func (c *fakeConn) MarkTrusted() {}
 
 func (c *fakeConn) Write(b []byte) (int, error) {
 	if c.closed {
@@ -151,10 +151,10 @@
 	}
 }
 
-// Leave reports a closed listener in the next round, or leaves that to the test.
-func (p *player) Leave() {
+// StopAccepting reports a closed listener in the next round, or leaves that to the test.
+func (p *player) StopAccepting() {
 	if p.listenerClosing = true; !p.holdsListenerClosed {
-		p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: Left, At: p.now})
+		p.pendingArrivals = append(p.pendingArrivals, Arrival{Kind: ListenerClosed, At: p.now})
 	}
 }
 
@@ -194,7 +194,7 @@
 	p.until(ms * 1000)
 	p.lines = append(p.lines, line)
 	if words[1] == "term" {
-		p.step(Arrival{Kind: Stop, At: p.now})
+		p.step(Arrival{Kind: Shutdown, At: p.now})
 		return
 	}
 	if words[1] == "hup" {
@@ -215,7 +215,7 @@
 		}
 		kind := Accepted
 		if name[0] == 'q' {
-			kind = Asked
+			kind = ControlAccepted
 		}
 		p.step(Arrival{Kind: kind, At: p.now, Conn: conn})
 	case "reset":
@@ -561,8 +561,8 @@
 		t.Errorf("%d timers, %d connections, %d offices are left", timers, roles, len(s.offices.All()))
 	}
 	for _, o := range s.offices.All() {
-		if len(o.Out)+len(o.Queue)+len(o.Standing)+len(o.Ended) != 0 {
-			t.Errorf("%s is left with %d %d %d %d", o.ID, len(o.Out), len(o.Queue), len(o.Standing), len(o.Ended))
+		if len(o.Outstanding)+len(o.Queue)+len(o.Established)+len(o.PendingReleases) != 0 {
+			t.Errorf("%s is left with %d %d %d %d", o.ID, len(o.Outstanding), len(o.Queue), len(o.Established), len(o.PendingReleases))
 		}
 	}
 	if c := s.Counters; c[state.SetUpsIn] != rounds || c[state.AnswersOut] == 0 || c[state.JournalEvents] != 2*rounds {
@@ -606,7 +606,7 @@
 	}
 	p.play("1500 a open")
 	p.play(`1500 a > [01 00000000000000a1 10["balance-check"] 13["3000"] 1c["n/1"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`)
-	p.step(Arrival{Kind: Left, At: p.now})
+	p.step(Arrival{Kind: ListenerClosed, At: p.now})
 	if p.ended {
 		t.Error("exited with an open call")
 	}
--- a/internal/session/hung_parts_test.go
+++ b/internal/session/hung_parts_test.go
@@ -601,9 +601,9 @@
 		sim := newOfficeSim(t, scenario, seed)
 		standing := 0
 		sim.after(hangAt-sim.now, func() {
-			standing = len(sim.s.offices.Get("s-00000001").Standing)
+			standing = len(sim.s.offices.Get("s-00000001").Established)
 			if scenario.bothOffices {
-				standing = min(standing, len(sim.s.offices.Get("s-00000002").Standing))
+				standing = min(standing, len(sim.s.offices.Get("s-00000002").Established))
 			}
 		})
 		sim.run()
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -35,7 +35,7 @@
 	journal := &s.journal
 	journal.dialID, journal.conn, journal.ready = 0, conn, true
 	s.connOwners[conn] = journal
-	if _, err := conn.Write(s.source.Ask(s.now)); err != nil {
+	if _, err := conn.Write(s.source.Request(s.now)); err != nil {
 		s.closeConn(conn, err)
 	}
 }
@@ -44,7 +44,7 @@
 	journal := &s.journal
 	journal.lostAt = s.now
 	s.Counters[state.JournalLost]++
-	s.log.Warn("journal connection lost", "last", s.source.Last(), "error", err)
+	s.log.Warn("journal connection lost", "last", s.source.LastNumber(), "error", err)
 	journal.conn, journal.dialID = nil, 0
 	if s.now-journal.dialledAt >= journalCheckInterval { // otherwise checkJournal dials
 		s.dialJournal()
@@ -64,9 +64,9 @@
 		return
 	}
 	s.Counters[state.Reloads]++
-	s.log.Info("configuration reloaded", "journal", arrival.Update.Address, "last", s.source.Last(), "known", arrival.Update.Known.Last)
-	if r, ok := s.decider.(Reloader); ok && arrival.Update.Part != nil {
-		s.actions = r.Reload(s.now, arrival.Update.Part, s.actions[:0])
+	s.log.Info("configuration reloaded", "journal", arrival.Update.Address, "last", s.source.LastNumber(), "known", arrival.Update.Known.Last)
+	if r, ok := s.decider.(Reloader); ok && arrival.Update.Other != nil {
+		s.actions = r.Reload(s.now, arrival.Update.Other, s.actions[:0])
 		for _, act := range s.actions {
 			s.execute(act)
 		}
@@ -89,7 +89,7 @@
 	journal := &s.journal
 	s.source.Tick(s.now, s.callsInProgress, s.applyChange)
 	switch {
-	case journal.conn != nil && s.now-s.source.Heard() > journalSilenceTimeout:
+	case journal.conn != nil && s.now-s.source.LastFrame() > journalSilenceTimeout:
 		s.closeConn(journal.conn, errJournalSilent)
 	case journal.conn == nil && journal.dialID == 0:
 		s.dialJournal()
@@ -102,9 +102,9 @@
 	if office == nil {
 		return 0
 	}
-	n := len(office.Standing) + len(office.Out) + len(office.Ended)
+	n := len(office.Established) + len(office.Outstanding) + len(office.PendingReleases)
 	for _, officeConn := range office.Pooled {
-		n += len(officeConn.Out)
+		n += len(officeConn.Outstanding)
 	}
 	return n
 }
@@ -120,7 +120,7 @@
 		s.log.Warn("journal skipped events", "last", skipped.Last, "number", skipped.Number)
 		s.closeConn(s.journal.conn, nil) // changes depend on all earlier ones: subscribe again
 	case err != nil:
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		s.closeConn(s.journal.conn, err) // a new connection resumes after the last valid event
 	}
 }
@@ -131,12 +131,12 @@
 	gone := s.offices.Apply(change)
 	for _, office := range newOffices {
 		if office.Started < s.startedAt { // calls of a previous process may be established there
-			maps.Copy(s.offices.Get(office.ID).Ended, s.earlierReleases)
+			maps.Copy(s.offices.Get(office.ID).PendingReleases, s.earlierReleases)
 		}
 	}
-	event := decide.Event{Kind: decide.List, Form: decide.Delta}
+	event := decide.Event{Kind: decide.ListUpdate, Form: decide.ListDelta}
 	if change.Whole {
-		event.Form = decide.Whole
+		event.Form = decide.ListFull
 	}
 	for _, office := range change.Offices {
 		event.Servers = append(event.Servers, office.Listed)
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -16,31 +16,31 @@
 )
 
 func (s *Session) connect(officeConn *state.OfficeConn) {
-	if officeConn.Conn == nil && officeConn.Dialling == 0 {
-		officeConn.Dialling = s.dial(officeConn.To.Address.String(), officeConn)
+	if officeConn.Conn == nil && officeConn.DialID == 0 {
+		officeConn.DialID = s.dial(officeConn.To.Address.String(), officeConn)
 	}
 }
 
 // connectReplacement opens a connection that replaces the present one once it is open.
 func (s *Session) connectReplacement(office *state.Office) {
-	if office.Dialling == 0 && s.now >= office.NotUntil {
-		office.Dialling = s.dial(office.Address.String(), &office.OfficeConn)
+	if office.DialID == 0 && s.now >= office.NextDial {
+		office.DialID = s.dial(office.Address.String(), &office.OfficeConn)
 	}
 }
 
 func (s *Session) officeConnected(officeConn *state.OfficeConn, conn state.Conn) {
 	office := officeConn.To
 	if officeConn.Conn != nil {
-		if len(officeConn.Out) > 0 { // closing the present connection would reset its outstanding attempts
-			officeConn.Dialling = 0
+		if len(officeConn.Outstanding) > 0 { // closing the present connection would reset its outstanding attempts
+			officeConn.DialID = 0
 			_ = conn.Close() // nothing was written to it
 			return
 		}
 		s.closeConn(officeConn.Conn, errOfficeSilent)
 	}
-	if officeConn.Dialling, officeConn.In = 0, nil; officeConn.Number == 0 {
+	if officeConn.DialID, officeConn.Buffer = 0, nil; officeConn.Number == 0 {
 		// The backoff continues until a connection has lasted.
-		office.Unreached = false
+		office.ConnectFailed = false
 		office.Liveness.Connected()
 	}
 	if office.State == decide.Removed {
@@ -50,7 +50,7 @@
 		return
 	}
 	officeConn.Conn = conn
-	officeConn.Spoken.Up(s.now)
+	officeConn.Received.Begin(s.now)
 	s.connOwners[conn] = officeConn
 	if officeConn.Number == 0 {
 		s.repeatPendingReleases(officeConn)
@@ -60,7 +60,7 @@
 
 func (s *Session) officeDialFailed(officeConn *state.OfficeConn, err error) {
 	office := officeConn.To
-	officeConn.Dialling = 0
+	officeConn.DialID = 0
 	s.officeConnLogger(officeConn).Warn("office unreached", "office", office.ID, "error", err)
 	if officeConn.Conn != nil {
 		s.scheduleRedial(office, maxRedialDelay)
@@ -71,7 +71,7 @@
 		s.removePooledConn(officeConn)
 		return
 	}
-	office.Unreached = true
+	office.ConnectFailed = true
 	office.Liveness.ConnectFailed(s.now, refusedByPeer(err))
 	s.judgeOffice(office)
 	s.scheduleRedial(office, maxRedialDelay)
@@ -87,8 +87,8 @@
 	queue := officeConn.Queue
 	officeConn.Queue = nil
 	for _, attempt := range queue {
-		s.Counters[state.Unreached]++
-		s.endAttempt(attempt, decide.Unreached)
+		s.Counters[state.ConnectFailures]++
+		s.endAttempt(attempt, decide.Unreachable)
 	}
 }
 
@@ -97,28 +97,28 @@
 func (s *Session) officeDisconnected(officeConn *state.OfficeConn, err error) {
 	office, unsent := officeConn.To, errors.Is(err, errUnsentSetUps) || officeConn.Conn.Unsent()
 	unanswered := s.unansweredSetUps(officeConn)
-	officeConn.Conn, officeConn.In = nil, nil
+	officeConn.Conn, officeConn.Buffer = nil, nil
 	s.writeOffice(officeConn) // discards the outbox and marks its attempts as not sent
 	level := slog.LevelWarn
 	if errors.Is(err, errIdle) {
 		level = slog.LevelDebug
 	}
-	s.officeConnLogger(officeConn).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(officeConn.Out), "standing", len(office.Standing),
-		"silent_ms", millisSince(s.now, office.Liveness.Spoke()), "served_ms", millisSince(s.now, office.Liveness.Served()), "error", err)
-	for _, attempt := range inKeyOrder(officeConn.Out) {
+	s.officeConnLogger(officeConn).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(officeConn.Outstanding), "standing", len(office.Established),
+		"silent_ms", millisSince(s.now, office.Liveness.LastMessage()), "served_ms", millisSince(s.now, office.Liveness.LastService()), "error", err)
+	for _, attempt := range inKeyOrder(officeConn.Outstanding) {
 		if attempt.Failed {
-			s.Counters[state.Unreached]++
-			if attempt.Unheard { // the call of the earlier attempt may be established there all the same
-				office.Ended[attempt.Call.ID] = attempt.Over
+			s.Counters[state.ConnectFailures]++
+			if attempt.EarlierReleasePending { // the call of the earlier attempt may be established there all the same
+				office.PendingReleases[attempt.Call.ID] = attempt.EarlierRelease
 			}
-			s.endAttempt(attempt, decide.Unreached)
+			s.endAttempt(attempt, decide.Unreachable)
 			continue
 		}
 		s.Counters[state.Resets]++
-		office.Liveness.Cut(s.now, attempt.Since)
-		office.Ended[attempt.Call.ID] = state.Ending{Cause: wire.CauseNormal, At: s.now, ConnNumber: officeConn.Number}
+		office.Liveness.SetUpCut(s.now, attempt.Since)
+		office.PendingReleases[attempt.Call.ID] = state.PendingRelease{Cause: wire.CauseNormal, At: s.now, ConnNumber: officeConn.Number}
 		if s.pooled.connSelector != nil {
-			s.observe(pooling.LaneLost, attempt.Call.ID, 0, nil)
+			s.observe(pooling.ConnectionLost, attempt.Call.ID, 0, nil)
 		}
 		s.endAttempt(attempt, decide.Cut)
 	}
@@ -129,9 +129,9 @@
 		s.officeConnLost(officeConn)
 	}
 	if officeConn.Number == 0 {
-		office.Liveness.ConnectionLost(s.now, liveness.Lost{Opened: officeConn.Spoken.Opened, Unanswered: unanswered})
+		office.Liveness.ConnectionLost(s.now, liveness.LostConnection{Opened: officeConn.Received.Opened, Unanswered: unanswered})
 	}
-	switch short := s.now-officeConn.Spoken.Opened < maxRedialDelay; {
+	switch short := s.now-officeConn.Received.Opened < maxRedialDelay; {
 	case officeConn.Number != 0: // a pooled connection says nothing about the main connection
 	case short && office.Backoff != 0: // else a connect per round trip where each is closed at once
 		s.scheduleRedial(office, maxReopenDelay)
@@ -157,10 +157,10 @@
 // cancelled before. The release of the latter may be lost although its set-up was sent.
 func (s *Session) scheduleReleaseRepeats(officeConn *state.OfficeConn) {
 	office := officeConn.To
-	for call, ending := range office.Ended {
-		if ending.ConnNumber == officeConn.Number && ending.Again == 0 {
-			ending.Again = s.now + releaseRepeatDelay
-			office.Ended[call] = ending
+	for call, ending := range office.PendingReleases {
+		if ending.ConnNumber == officeConn.Number && ending.RepeatAt == 0 {
+			ending.RepeatAt = s.now + releaseRepeatDelay
+			office.PendingReleases[call] = ending
 		}
 	}
 }
@@ -169,10 +169,10 @@
 // ended connection only after it has read the call's release on the next one; the call would then stay
 // established without a caller.
 func (s *Session) repeatDueReleases(office *state.Office) {
-	for call, ending := range inKeyOrder(office.Ended) {
-		if ending.Again != 0 && s.now >= ending.Again && office.Conn != nil {
-			ending.Again = 0
-			office.Ended[call] = ending
+	for call, ending := range inKeyOrder(office.PendingReleases) {
+		if ending.RepeatAt != 0 && s.now >= ending.RepeatAt && office.Conn != nil {
+			ending.RepeatAt = 0
+			office.PendingReleases[call] = ending
 			s.sendOfficeRelease(&office.OfficeConn, call, ending.Cause)
 		}
 	}
@@ -181,8 +181,8 @@
 // redialIfNeeded reconnects if calls are established at an office, also those of a previous process, or
 // releases are pending. Otherwise the next set-up does.
 func (s *Session) redialIfNeeded(office *state.Office) {
-	needed := len(office.Standing) > 0 || len(office.Ended) > 0 || s.mayHaveEarlierCalls(office)
-	if office.State != decide.Removed && needed && s.now >= office.NotUntil {
+	needed := len(office.Established) > 0 || len(office.PendingReleases) > 0 || s.mayHaveEarlierCalls(office)
+	if office.State != decide.Removed && needed && s.now >= office.NextDial {
 		s.connect(&office.OfficeConn)
 	}
 }
@@ -195,15 +195,15 @@
 // scheduleRedial reconnects after a delay that doubles each time, up to a maximum.
 func (s *Session) scheduleRedial(office *state.Office, maxDelay int64) {
 	office.Backoff = min(max(2*office.Backoff, minRedialDelay), maxDelay)
-	office.NotUntil = s.now + office.Backoff
+	office.NextDial = s.now + office.Backoff
 	s.lastDialID++
 	s.pendingRedials[s.lastDialID] = office
-	s.wheel.Set(office.NotUntil, state.Timer{Kind: state.TimerRedial, ID: s.lastDialID})
+	s.wheel.Set(office.NextDial, state.Timer{Kind: state.TimerRedial, ID: s.lastDialID})
 }
 
 // endOffice ends an office or one incarnation of it when the list reports its end. The list is late, so calls
 // that a restarted server has accepted since, on a connection opened since, are kept.
-func (s *Session) endOffice(gone state.Gone) {
+func (s *Session) endOffice(gone state.EndedOffice) {
 	office, startedBefore := gone.Office, int64(math.MaxInt64)
 	if gone.Removed {
 		office.Liveness = liveness.Office{}
@@ -219,7 +219,7 @@
 
 // endOfficeConn closes a connection to an office, or to one incarnation of it, that has ended.
 func (s *Session) endOfficeConn(officeConn *state.OfficeConn, openedBefore int64) {
-	if officeConn.Conn != nil && officeConn.Spoken.Opened >= openedBefore {
+	if officeConn.Conn != nil && officeConn.Received.Opened >= openedBefore {
 		return
 	}
 	if officeConn.Conn != nil {
@@ -228,16 +228,16 @@
 		_ = officeConn.Conn.Close() // the connection is being abandoned
 		officeConn.Conn = nil
 	}
-	for _, attempt := range inKeyOrder(officeConn.Out) {
+	for _, attempt := range inKeyOrder(officeConn.Outstanding) {
 		s.Counters[state.Resets]++
 		s.endAttempt(attempt, decide.Cut)
 	}
 	if officeConn.Number == 0 {
-		clear(officeConn.To.Ended)
+		clear(officeConn.To.PendingReleases)
 	}
-	if officeConn.Dialling != 0 { // it may lead to the old address
-		delete(s.dials, officeConn.Dialling)
-		officeConn.Dialling = 0
+	if officeConn.DialID != 0 { // it may lead to the old address
+		delete(s.dials, officeConn.DialID)
+		officeConn.DialID = 0
 	}
 	s.failQueued(officeConn)
 	s.removePooledConn(officeConn)
