--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -61,8 +61,8 @@
 	// silence.
 	paused := s.livenessClock.advance(s.now)
 	for _, office := range s.offices.All() {
-		s.checkOfficeConn(&office.OfficeConn, len(office.Standing), paused)
-		if len(office.Standing) == 0 || paused && office.Liveness.CanWait(s.now, minSettleTime) {
+		s.checkOfficeConn(&office.OfficeConn, len(office.Established), paused)
+		if len(office.Established) == 0 || paused && office.Liveness.CanWait(s.now, minSettleTime) {
 			continue
 		}
 		s.probeOffice(office)
@@ -83,12 +83,12 @@
 	}
 	switch {
 	case officeConn.Conn == nil:
-	case len(officeConn.In) > 0 && s.now-officeConn.Partial >= officeMessageTimeout:
+	case len(officeConn.Buffer) > 0 && s.now-officeConn.PartialSince >= officeMessageTimeout:
 		if !officeConn.Conn.Unread() {
-			s.Counters[state.BadIn]++
+			s.Counters[state.InvalidIn]++
 			s.closeConn(officeConn.Conn, errPartialMessage)
 		}
-	case len(officeConn.Out)+established > 0 && !paused && officeConn.Spoken.Mute(s.now, s.reportRhythm) && !officeConn.Conn.Unread():
+	case len(officeConn.Outstanding)+established > 0 && !paused && officeConn.Received.IsSilent(s.now, s.reportRhythm) && !officeConn.Conn.Unread():
 		s.closeConn(officeConn.Conn, errOfficeSilent)
 	}
 }
@@ -97,19 +97,19 @@
 // office still responds. The present connection stays until the new one is open: if nothing passes to the
 // office, its messages may still arrive.
 func (s *Session) probeOffice(office *state.Office) {
-	if office.Conn == nil || len(office.Out) > 0 || office.Conn.Unread() {
+	if office.Conn == nil || len(office.Outstanding) > 0 || office.Conn.Unread() {
 		return
 	}
-	if office.Liveness.Inspect(s.now, office.Spoken.Opened) {
+	if office.Liveness.NeedsProbe(s.now, office.Received.Opened) {
 		s.connectReplacement(office)
 	}
 }
 
 // recordOfficeMessage records a complete message of an office.
 func (s *Session) recordOfficeMessage(officeConn *state.OfficeConn, message wire.Message, at int64) {
-	record := liveness.Message{At: s.earliestWriteTime(at), Word: s.messageKind(officeConn, message), Main: officeConn.Number == 0, Opened: officeConn.Spoken.Opened}
-	if record.Word == liveness.Answer {
-		record.Asked = s.setUpSentAt(officeConn, message.Call)
+	record := liveness.Message{At: s.earliestWriteTime(at), Kind: s.messageKind(officeConn, message), OnMain: officeConn.Number == 0, Opened: officeConn.Received.Opened}
+	if record.Kind == liveness.Answer {
+		record.SetUpSent = s.setUpSentAt(officeConn, message.Call)
 	}
 	if transition, changed := officeConn.To.Liveness.Heard(record); changed {
 		s.applyTransition(officeConn.To, transition)
@@ -117,7 +117,7 @@
 }
 
 // messageKind returns the kind of an office's message.
-func (s *Session) messageKind(officeConn *state.OfficeConn, message wire.Message) liveness.Word {
+func (s *Session) messageKind(officeConn *state.OfficeConn, message wire.Message) liveness.MessageKind {
 	switch {
 	case message.Type == wire.TypeGroup:
 		return liveness.Report
@@ -139,7 +139,7 @@
 	if attempt := s.outstandingAttempt(officeConn, call); attempt != nil {
 		return attempt.Since
 	}
-	return officeConn.To.Ended[call].Asked
+	return officeConn.To.PendingReleases[call].SetUpSent
 }
 
 // earliestWriteTime returns the earliest time at which an office may have written a message that was read at
@@ -155,14 +155,14 @@
 
 // judgeOffice releases the calls established at an office if it can't end them any more.
 func (s *Session) judgeOffice(office *state.Office) {
-	if len(office.Standing) == 0 || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
+	if len(office.Established) == 0 || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
 	}
 	if transition, changed := office.Liveness.Judge(s.now, s.overdueSetUps(office)); changed {
 		s.applyTransition(office, transition)
 	}
 	if office.Liveness.WantsTrial(s.now) {
-		s.queueEvent(decide.Event{Kind: decide.Trial, Server: office.ID})
+		s.queueEvent(decide.Event{Kind: decide.TrialRequested, Server: office.ID})
 	}
 	if s.nearDeparture() {
 		s.judgeDeparting(office)
@@ -177,8 +177,8 @@
 
 // judgeDeparting releases the calls at a doubtful office while their callers are still connected.
 func (s *Session) judgeDeparting(office *state.Office) {
-	observation := liveness.LastObservation{Usual: max(s.reportRhythm, office.Spoken.Rhythm), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.OfficeConn)}
-	if transition, changed := office.Liveness.JudgeDeparting(s.now, observation); changed && len(office.Standing) > 0 {
+	observation := liveness.ShutdownObservation{ReportInterval: max(s.reportRhythm, office.Received.ReportInterval), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.OfficeConn)}
+	if transition, changed := office.Liveness.JudgeDeparting(s.now, observation); changed && len(office.Established) > 0 {
 		s.applyTransition(office, transition)
 	}
 }
@@ -196,7 +196,7 @@
 
 // transitionCounters counts offices by their new liveness state.
 var transitionCounters = [...]state.Counter{
-	liveness.Responsive:   state.OfficesBack,
+	liveness.Responsive:   state.OfficesRecovered,
 	liveness.Suspected:    state.OfficesSuspected,
 	liveness.Unresponsive: state.OfficesUnresponsive,
 }
@@ -213,10 +213,10 @@
 // livenessFields returns the log fields of an office that is judged: the age of its latest messages, how long
 // set-ups have waited there, what is outstanding, and how late this process reads.
 func (s *Session) livenessFields(office *state.Office) []any {
-	ago := func(word liveness.Word) int64 { return millisSince(s.now, office.Liveness.Last(word)) }
-	return []any{"silent_ms", millisSince(s.now, office.Liveness.Spoke()), "answered_ms", ago(liveness.Answer), "refused_ms", ago(liveness.Refusal),
-		"ended_ms", ago(liveness.End), "lag_ms", office.Liveness.Lag() / 1000, "unanswered", s.overdueSetUps(office).Count, "connected", office.Conn != nil,
-		"out", len(office.Out), "standing", len(office.Standing), "read_late_ms", s.readDelay / 1000}
+	ago := func(word liveness.MessageKind) int64 { return millisSince(s.now, office.Liveness.LastOfKind(word)) }
+	return []any{"silent_ms", millisSince(s.now, office.Liveness.LastMessage()), "answered_ms", ago(liveness.Answer), "refused_ms", ago(liveness.Refusal),
+		"ended_ms", ago(liveness.End), "lag_ms", office.Liveness.QueueDelay() / 1000, "unanswered", s.overdueSetUps(office).Count, "connected", office.Conn != nil,
+		"out", len(office.Outstanding), "standing", len(office.Established), "read_late_ms", s.readDelay / 1000}
 }
 
 // releaseCounters counts released calls by the reason.
@@ -234,7 +234,7 @@
 // connected to, those on a pooled connection that is still open are kept.
 func (s *Session) releaseEstablished(office *state.Office, reason liveness.Reason) {
 	unconnected := reason == liveness.Refused || reason == liveness.Unreachable
-	for _, established := range inKeyOrder(office.Standing) {
+	for _, established := range inKeyOrder(office.Established) {
 		if !unconnected || !s.onOpenConn(established) {
 			s.releaseForOffice(office, established, reason)
 		}
@@ -249,17 +249,17 @@
 	if !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
 	}
-	list := liveness.List{Heard: s.source.Heard(), Lost: s.journal.lostAt}
+	list := liveness.ListReception{LastReceived: s.source.LastFrame(), LastUnreachable: s.journal.lostAt}
 	if s.journal.conn == nil {
-		list.Lost = s.now
+		list.LastUnreachable = s.now
 	}
 	restart, ended := office.Liveness.Restarted(s.now, list, countEstablished(office), s.nearDeparture())
 	if !ended {
 		return
 	}
-	s.log.Warn("office restarted", "office", office.ID, "evidence", restart.Evidence.String(), "last_word_ms", (s.now-restart.Spoke)/1000,
-		"lost_ms", (s.now-restart.Before)/1000, "standing", len(office.Standing), "of_before", countEstablished(office)(0, restart.Before))
-	for _, established := range inKeyOrder(office.Standing) {
+	s.log.Warn("office restarted", "office", office.ID, "evidence", restart.Evidence.String(), "last_word_ms", (s.now-restart.LastMessage)/1000,
+		"lost_ms", (s.now-restart.Before)/1000, "standing", len(office.Established), "of_before", countEstablished(office)(0, restart.Before))
+	for _, established := range inKeyOrder(office.Established) {
 		if established.Since < restart.Before {
 			s.releaseForOffice(office, established, liveness.Restarted)
 		}
@@ -269,17 +269,17 @@
 // judgeUnended releases the calls that have been established for long at an office at which calls no longer
 // end.
 func (s *Session) judgeUnended(office *state.Office) {
-	if !office.Liveness.UnendedDue(s.now) || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
+	if !office.Liveness.MissingEndsCheckDue(s.now) || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
 	}
-	before, ended := office.Liveness.Unended(s.now, callsAtOffice(office), s.callDurations.Rates(s.observedOffices()))
+	before, ended := office.Liveness.CheckMissingEnds(s.now, callsAtOffice(office), s.callDurations.Rates(s.observedOffices()))
 	if !ended {
 		return
 	}
 	if countEstablished(office)(0, before) > 0 {
 		s.log.Warn("calls no longer end at office", append([]any{"office", office.ID}, s.livenessFields(office)...)...)
 	}
-	for _, established := range inKeyOrder(office.Standing) {
+	for _, established := range inKeyOrder(office.Established) {
 		if established.Since < before {
 			s.releaseForOffice(office, established, liveness.NoneEnded)
 		}
@@ -288,14 +288,14 @@
 
 // observedOffices yields the calls established at each office, and until when none of them is known to have
 // ended.
-func (s *Session) observedOffices() iter.Seq[liveness.Observed] {
-	return func(yield func(liveness.Observed) bool) {
+func (s *Session) observedOffices() iter.Seq[liveness.OfficeCalls] {
+	return func(yield func(liveness.OfficeCalls) bool) {
 		for _, office := range s.offices.All() {
 			until := office.Liveness.LastEnd()
 			if until == 0 {
 				until = s.now
 			}
-			if !yield(liveness.Observed{Until: until, Calls: callsAtOffice(office)}) {
+			if !yield(liveness.OfficeCalls{Until: until, Calls: callsAtOffice(office)}) {
 				return
 			}
 		}
@@ -305,7 +305,7 @@
 // callsAtOffice yields the calls established at an office.
 func callsAtOffice(office *state.Office) iter.Seq[liveness.Call] {
 	return func(yield func(liveness.Call) bool) {
-		for _, established := range office.Standing {
+		for _, established := range office.Established {
 			if !yield(liveness.Call{Since: established.Since, Class: established.Class}) {
 				return
 			}
@@ -316,22 +316,22 @@
 // overdueSetUps returns the set-ups that have been outstanding at an office long enough to have been
 // answered.
 func (s *Session) overdueSetUps(office *state.Office) (waiting liveness.Unanswered) {
-	for _, attempt := range office.Out {
-		waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
+	for _, attempt := range office.Outstanding {
+		waiting.Add(s.now, office.Liveness.OutstandingFor(s.now, attempt.Since))
 	}
 	for _, officeConn := range office.Pooled {
-		for _, attempt := range officeConn.Out {
-			waiting.Add(s.now, office.Liveness.Waited(s.now, attempt.Since))
+		for _, attempt := range officeConn.Outstanding {
+			waiting.Add(s.now, office.Liveness.OutstandingFor(s.now, attempt.Since))
 		}
 	}
 	return waiting
 }
 
 // countEstablished returns a function that counts the calls at an office that were established in [from, to).
-func countEstablished(office *state.Office) liveness.Standing {
+func countEstablished(office *state.Office) liveness.CountEstablished {
 	return func(from, to int64) int {
 		n := 0
-		for _, established := range office.Standing {
+		for _, established := range office.Established {
 			if established.Since >= from && established.Since < to {
 				n++
 			}
@@ -344,8 +344,8 @@
 // answered.
 func (s *Session) unansweredSetUps(officeConn *state.OfficeConn) int {
 	n := 0
-	for _, attempt := range officeConn.Out {
-		if s.now-attempt.Since >= liveness.LeastWait && officeConn.To.Liveness.Served() <= attempt.Since {
+	for _, attempt := range officeConn.Outstanding {
+		if s.now-attempt.Since >= liveness.MinWait && officeConn.To.Liveness.LastService() <= attempt.Since {
 			n++
 		}
 	}
@@ -353,8 +353,8 @@
 }
 
 // releaseForOffice releases a call to its caller and, if the office is connected, at the office.
-func (s *Session) releaseForOffice(office *state.Office, established *state.Standing, reason liveness.Reason) {
-	call, officeConn := established.ID, established.Conn
+func (s *Session) releaseForOffice(office *state.Office, established *state.EstablishedCall, reason liveness.Reason) {
+	call, officeConn := established.ID, established.OfficeConn
 	s.log.Info("releasing call because its office cannot end it", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
 		"stood_ms", (s.now-established.Since)/1000)
 	s.Counters[releaseCounters[reason]]++
@@ -362,7 +362,7 @@
 	if office.Conn != nil || officeConn.Conn != nil {
 		s.releaseAtOffice(officeConn, call, wire.CauseCut)
 	}
-	if len(office.Ended) < maxPendingReleases {
-		office.Ended[call] = state.Ending{Cause: wire.CauseCut, At: s.now, ConnNumber: officeConn.Number, Unresponsive: true}
+	if len(office.PendingReleases) < maxPendingReleases {
+		office.PendingReleases[call] = state.PendingRelease{Cause: wire.CauseCut, At: s.now, ConnNumber: officeConn.Number, Unresponsive: true}
 	}
 }
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -26,25 +26,25 @@
 	errUnsentSetUps   = errors.New("cancelled or withdrawn set-ups are still unsent")
 )
 
-// EndHearer is a Decider that may need to be told of the end of each established call by an event of kind
+// EndObserver is a Decider that may need to be told of the end of each established call by an event of kind
 // decide.Over. A Decider that wraps others forwards it. A Decider that does not need ends gets no such events.
-type EndHearer interface {
+type EndObserver interface {
 	HearsEnds() bool
 }
 
 // reportCallOver tells the decider that an established call has ended, if it needs to know.
 func (s *Session) reportCallOver(call uint64) {
 	if s.endHearer != nil && s.endHearer.HearsEnds() {
-		s.queueEvent(decide.Event{Kind: decide.Over, Call: decide.CallID(call)})
+		s.queueEvent(decide.Event{Kind: decide.CallEnded, Call: decide.CallID(call)})
 	}
 }
 
 // officeOutbox returns the buffer for messages to an office.
 func (s *Session) officeOutbox(officeConn *state.OfficeConn) *state.Outbox {
-	if len(officeConn.Box.Bytes) > maxOutbox {
+	if len(officeConn.Outbox.Bytes) > maxOutbox {
 		s.writeOffice(officeConn)
 	}
-	return s.outbox(officeConn, &officeConn.Box)
+	return s.outbox(officeConn, &officeConn.Outbox)
 }
 
 // sendOfficeRelease sends a release to an office if it is connected.
@@ -64,8 +64,8 @@
 	if s.pooled.connSelector != nil {
 		officeConn = s.connForRelease(officeConn, call)
 	}
-	if len(office.Ended) < maxPendingReleases {
-		office.Ended[call] = state.Ending{Cause: cause, At: s.now, ConnNumber: officeConn.Number}
+	if len(office.PendingReleases) < maxPendingReleases {
+		office.PendingReleases[call] = state.PendingRelease{Cause: cause, At: s.now, ConnNumber: officeConn.Number}
 	}
 	if officeConn.Conn != nil {
 		s.sendOfficeRelease(officeConn, call, cause)
@@ -77,7 +77,7 @@
 func (s *Session) handleOfficeMessage(officeConn *state.OfficeConn, message wire.Message, at int64) {
 	if message.Bad {
 		// After an invalid parameter nothing further on this connection can be relied on.
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		s.closeConn(officeConn.Conn, errMalformed)
 		return
 	}
@@ -88,35 +88,35 @@
 	case wire.TypeRelease:
 		s.handleOfficeRelease(officeConn, message, at)
 	case wire.TypeHeard:
-		if officeConn.To.Ended[message.Call].Again != 0 {
+		if officeConn.To.PendingReleases[message.Call].RepeatAt != 0 {
 			break // the release has to be repeated first
 		}
-		delete(officeConn.To.Ended, message.Call)
+		delete(officeConn.To.PendingReleases, message.Call)
 		if s.pooled.connSelector != nil {
 			s.releaseAcknowledged(officeConn, message.Call)
 		}
 	case wire.TypeGroup:
 		// Arrives unrequested at regular intervals; the module weights its choice by the free lines.
-		officeConn.Spoken.Report(at, &s.reportRhythm)
+		officeConn.Received.Report(at, &s.reportRhythm)
 		if officeConn.Number != 0 && officeConn.To.Conn != nil {
 			break // the report also arrives on the main connection
 		}
 		if lines, reported := message.LinesInUse(); reported {
 			officeConn.To.Liveness.LinesInUse(at, lines, countEstablished(officeConn.To))
 		}
-		s.queueEvent(decide.Event{Kind: decide.Checked, Server: officeConn.To.ID, Outcome: decide.OK, Load: message.Load()})
+		s.queueEvent(decide.Event{Kind: decide.ServerReport, Server: officeConn.To.ID, Outcome: decide.OK, Load: message.Load()})
 	case wire.TypeProgress, wire.TypeTested:
 	default:
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 	}
 }
 
 func (s *Session) handleOfficeAnswer(officeConn *state.OfficeConn, message wire.Message, arrivedAt int64) {
 	office, attempt := officeConn.To, s.outstandingAttempt(officeConn, message.Call)
 	if attempt == nil {
-		_, ended := office.Ended[message.Call]
-		if established := s.established[message.Call]; !ended && (established == nil || established.Conn.To != office) {
-			s.Counters[state.BadIn]++
+		_, ended := office.PendingReleases[message.Call]
+		if established := s.established[message.Call]; !ended && (established == nil || established.OfficeConn.To != office) {
+			s.Counters[state.InvalidIn]++
 			s.releaseAtOffice(officeConn, message.Call, wire.CauseNormal) // it is established there without a caller
 		}
 		return
@@ -125,16 +125,16 @@
 	if len(description) == 0 {
 		// The call is established there, but without a usable description. Passing it on would report a call
 		// as served that no office set up. officeDisconnected releases it on the next connection.
-		s.Counters[state.BadIn]++
+		s.Counters[state.InvalidIn]++
 		s.closeConn(officeConn.Conn, errMalformed)
 		return
 	}
-	s.Counters[state.AnswersBack]++
-	call, officeConn := attempt.Call, attempt.Conn
-	delete(officeConn.Out, call.ID)
+	s.Counters[state.AnswersReceived]++
+	call, officeConn := attempt.Call, attempt.OfficeConn
+	delete(officeConn.Outstanding, call.ID)
 	call.Attempt = nil
-	s.queueEvent(decide.Event{Kind: decide.Begun, Call: decide.CallID(call.ID), Server: office.ID, Attempt: attempt.N,
-		Took: max(0, arrivedAt-attempt.Since)})
+	s.queueEvent(decide.Event{Kind: decide.SetUpCompleted, Call: decide.CallID(call.ID), Server: office.ID, Attempt: attempt.Number,
+		Elapsed: max(0, arrivedAt-attempt.Since)})
 	if call.Answered {
 		s.forgetCall(call)
 		s.reportCallOver(call.ID)
@@ -154,10 +154,10 @@
 	s.answerCounts[s.classIndex[call.SetUp.Class]].Completed++
 	s.trustCaller(call.From)
 	delete(s.endedCalls, call.ID)
-	st := s.callPool.Standing()
-	*st = state.Standing{ID: call.ID, Conn: officeConn, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
-	s.established[call.ID], office.Standing[call.ID] = st, st
-	call.From.Stands++
+	st := s.callPool.NewEstablished()
+	*st = state.EstablishedCall{ID: call.ID, OfficeConn: officeConn, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
+	s.established[call.ID], office.Established[call.ID] = st, st
+	call.From.EstablishedCount++
 	if s.pooled.connSelector != nil {
 		s.markEstablished(officeConn, call.ID, description)
 	}
@@ -167,7 +167,7 @@
 func (s *Session) answerUndelivered(call uint64) {
 	if established := s.established[call]; established != nil {
 		s.Counters[state.AnswersOut]--
-		officeConn := established.Conn
+		officeConn := established.OfficeConn
 		s.endedCalls[call] = s.now
 		s.endEstablished(established)
 		s.releaseAtOffice(officeConn, call, wire.CauseNormal)
@@ -179,7 +179,7 @@
 var releaseOutcomes = map[byte]struct {
 	outcome decide.Outcome
 	counter state.Counter
-}{wire.CauseFull: {decide.Rejected, state.FullBack}, wire.CauseMoot: {decide.Unsent, state.Moot},
+}{wire.CauseFull: {decide.Rejected, state.FullReceived}, wire.CauseMoot: {decide.NotSent, state.Moot},
 
 	wire.CauseCut: {decide.Cut, state.Resets}}
 
@@ -188,7 +188,7 @@
 	// If no caller is connected that could be told of the call's end, the release is not acknowledged, so that
 	// the office repeats it on its next connection. This process may have exited by then, and what it has
 	// received would be lost.
-	if _, ended := office.Ended[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
+	if _, ended := office.PendingReleases[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
 		ackOn := officeConn
 		if s.pooled.connSelector != nil {
 			ackOn = s.connForAck(officeConn, message.Call)
@@ -199,40 +199,40 @@
 	if attempt := s.outstandingAttempt(officeConn, message.Call); attempt != nil {
 		ended, ok := releaseOutcomes[cause]
 		if !ok {
-			ended.outcome, ended.counter = decide.Failed, state.ErrorsBack
+			ended.outcome, ended.counter = decide.Failed, state.ErrorsReceived
 		}
 		s.Counters[ended.counter]++
 		if s.pooled.connSelector != nil {
-			s.observe(pooling.Failed, message.Call, cause, nil)
+			s.observe(pooling.SetUpRefused, message.Call, cause, nil)
 		}
 		s.endAttemptWith(attempt, ended.outcome, message, arrivedAt)
 		return
 	}
-	if pending, isPending := office.Ended[message.Call]; isPending {
+	if pending, isPending := office.PendingReleases[message.Call]; isPending {
 		if pending.Unresponsive {
 			s.Counters[state.ReleasedEarly]++
-			office.Liveness.EndSeen(arrivedAt)
+			office.Liveness.ReleasedCallEnded(arrivedAt)
 		}
-		delete(office.Ended, message.Call) // it crossed this side's release
+		delete(office.PendingReleases, message.Call) // it crossed this side's release
 		if s.pooled.connSelector != nil {
 			s.releaseAcknowledged(officeConn, message.Call)
 		}
 		return
 	}
 	if established := s.established[message.Call]; established != nil {
-		if established.Conn.To != office {
+		if established.OfficeConn.To != office {
 			return // it was cancelled here and is established elsewhere; only its end there counts
 		}
-		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, officeConn.Spoken.Opened)
-		s.callDurations.Ended(established.Class, s.now-established.Since)
+		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, officeConn.Received.Opened)
+		s.callDurations.EndedByOffice(established.Class, s.now-established.Since)
 		if s.pooled.connSelector != nil {
-			s.observe(pooling.EndedThere, message.Call, cause, nil)
+			s.observe(pooling.EndedByOffice, message.Call, cause, nil)
 		}
 		s.endEstablished(established)
 		s.releaseToCaller(message.Call, cause, established.From)
 	} else if _, known := s.endedCalls[message.Call]; !known && s.calls[message.Call] == nil {
-		if office.Strays++; office.Strays > maxPendingReleases { // bounds memory; no office has so many at once
-			s.Counters[state.BadIn]++
+		if office.UnknownReleases++; office.UnknownReleases > maxPendingReleases { // bounds memory; no office has so many at once
+			s.Counters[state.InvalidIn]++
 			return
 		}
 		s.earlierCallSeen = s.now
@@ -241,21 +241,21 @@
 	s.endedCalls[message.Call] = s.now
 }
 
-func (s *Session) endEstablished(established *state.Standing) {
+func (s *Session) endEstablished(established *state.EstablishedCall) {
 	s.reportCallOver(established.ID)
 	delete(s.established, established.ID)
-	established.From.Stands--
-	delete(established.Conn.To.Standing, established.ID)
+	established.From.EstablishedCount--
+	delete(established.OfficeConn.To.Established, established.ID)
 	if s.pooled.connSelector != nil {
 		s.markEnded(established)
 	}
-	s.callPool.Ended(established)
+	s.callPool.ReturnEstablished(established)
 }
 
 // cutEstablishedBefore releases to their callers the calls established before a given time at an office that
 // no longer exists.
 func (s *Session) cutEstablishedBefore(office *state.Office, before int64) {
-	for _, established := range inKeyOrder(office.Standing) {
+	for _, established := range inKeyOrder(office.Established) {
 		if established.Since < before {
 			s.cutEstablished(established)
 		}
@@ -263,7 +263,7 @@
 }
 
 // cutEstablished releases a call to its caller with cause cut.
-func (s *Session) cutEstablished(established *state.Standing) {
+func (s *Session) cutEstablished(established *state.EstablishedCall) {
 	call, from := established.ID, established.From
 	s.endedCalls[call] = s.now
 	s.endEstablished(established)
--- a/internal/session/outbox.go
+++ b/internal/session/outbox.go
@@ -36,29 +36,29 @@
 // writeCaller writes a caller's pending messages. If that fails, the calls whose answers were among them are
 // ended.
 func (s *Session) writeCaller(caller *state.Caller) {
-	if !s.writeBox(caller.Conn, &caller.Box) {
-		for _, call := range caller.Box.Told {
+	if !s.writeBox(caller.Conn, &caller.Outbox) {
+		for _, call := range caller.Outbox.AnsweredCalls {
 			s.answerUndelivered(call)
 		}
 	}
-	caller.Box.Clear()
+	caller.Outbox.Clear()
 }
 
 // writeOffice writes the pending messages of an office connection. A failed write, for instance on a connection
 // that was reset while idle, proves that the office received nothing of them. The end of the connection is
 // reported next and ends the attempts.
 func (s *Session) writeOffice(officeConn *state.OfficeConn) {
-	sent := s.writeBox(officeConn.Conn, &officeConn.Box)
-	stuck := sent && len(officeConn.Box.Sent) > 0 && officeConn.Conn.Unsent()
-	for _, b := range officeConn.Box.Sent {
+	sent := s.writeBox(officeConn.Conn, &officeConn.Outbox)
+	stuck := sent && len(officeConn.Outbox.Attempts) > 0 && officeConn.Conn.Unsent()
+	for _, b := range officeConn.Outbox.Attempts {
 		if sent {
 			s.Counters[state.AttemptsOut]++
 		}
-		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.N == b.N && call.Attempt.Conn == officeConn {
-			call.Attempt.Failed, call.Attempt.Stuck = !sent, stuck
+		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.Number == b.Number && call.Attempt.OfficeConn == officeConn {
+			call.Attempt.Failed, call.Attempt.PartlySent = !sent, stuck
 		}
 	}
-	officeConn.Box.Clear()
+	officeConn.Outbox.Clear()
 }
 
 // writeBox writes an outbox. It reports false if the connection is closed.
--- a/internal/session/pooled_conns.go
+++ b/internal/session/pooled_conns.go
@@ -33,8 +33,8 @@
 
 // pooledConns is the state kept if calls are assigned to pooled connections.
 type pooledConns struct {
-	connSelector pooling.Laner // nil: all calls use the main connections, and nothing here is used
-	observeOnly  bool          // connSelector is informed but not asked
+	connSelector pooling.ConnectionSelector // nil: all calls use the main connections, and nothing here is used
+	observeOnly  bool                       // connSelector is informed but not asked
 	application  string
 	sockets      int
 
@@ -76,7 +76,7 @@
 // trackedCall is what is kept of a call for pooling until its last observation is reported.
 type trackedCall struct {
 	call        pooling.Call
-	verdict     pooling.Lane // of its latest attempt
+	verdict     pooling.ConnectionKind // of its latest attempt
 	established bool
 	over        bool
 	releaseConn *state.OfficeConn // office connection of its pending release
@@ -85,7 +85,7 @@
 }
 
 func (p *pooledConns) init(cfg Config) {
-	p.connSelector, p.observeOnly, p.application, p.sockets = cfg.Laner, cfg.Watch, cfg.Application, cfg.Sockets
+	p.connSelector, p.observeOnly, p.application, p.sockets = cfg.ConnSelector, cfg.ObserveOnly, cfg.Application, cfg.Sockets
 	if p.connSelector != nil {
 		p.tracked = map[uint64]*trackedCall{}
 	}
@@ -117,9 +117,9 @@
 	}
 	effect := s.settings.Classes[class].Effect
 	tracked.call = pooling.Call{ID: call.ID, Client: pooling.ClientID(call.From.Client), Session: pooling.SessionID(call.From.Session),
-		Free: effect == "" || effect == "free"}
+		Repeatable: effect == "" || effect == "free"}
 	pooled.tracked[call.ID] = tracked
-	s.observe(pooling.CameSetUp, call.ID, 0, call.SetUp.Description)
+	s.observe(pooling.SetUpReceived, call.ID, 0, call.SetUp.Description)
 }
 
 // untrackCall stops tracking a call whose observations are all reported.
@@ -132,16 +132,16 @@
 }
 
 // observe reports an observation of a call if it is tracked.
-func (s *Session) observe(happening pooling.Happening, call uint64, cause byte, text []byte) {
+func (s *Session) observe(happening pooling.EventKind, call uint64, cause byte, text []byte) {
 	if tracked := s.pooled.tracked[call]; tracked != nil {
-		s.pooled.connSelector.Observe(s.now, pooling.Observation{What: happening, Call: &tracked.call, Cause: cause, Text: text})
+		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: happening, Call: &tracked.call, Cause: cause, Text: text})
 	}
 }
 
 // observeCallerRelease reports the connection that brought a release or cancellation of a call.
 func (s *Session) observeCallerRelease(caller *state.Caller, call uint64) {
 	if tracked := s.pooled.tracked[call]; tracked != nil {
-		s.pooled.connSelector.Observe(s.now, pooling.Observation{What: pooling.CameEnd, Call: &tracked.call, On: pooling.SessionID(caller.Session)})
+		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.EndReceived, Call: &tracked.call, Session: pooling.SessionID(caller.Session)})
 	}
 }
 
@@ -153,22 +153,22 @@
 	if tracked := pooled.tracked[call]; tracked != nil {
 		c = &tracked.call
 	}
-	pooled.connSelector.Observe(s.now, pooling.Observation{What: pooling.CameAgain, Call: c, On: pooling.SessionID(caller.Session)})
+	pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.IDReused, Call: c, Session: pooling.SessionID(caller.Session)})
 }
 
 // markEstablished notes that a call is established on an office connection.
 func (s *Session) markEstablished(officeConn *state.OfficeConn, call uint64, description []byte) {
-	officeConn.Stands++
+	officeConn.EstablishedCount++
 	if tracked := s.pooled.tracked[call]; tracked != nil {
 		tracked.established = true
-		s.observe(pooling.Answered, call, 0, description)
+		s.observe(pooling.SetUpAnswered, call, 0, description)
 	}
 }
 
 // markEnded notes that an established call has ended.
-func (s *Session) markEnded(established *state.Standing) {
-	established.Conn.Stands--
-	s.freePooledConn(established.Conn, established.ID)
+func (s *Session) markEnded(established *state.EstablishedCall) {
+	established.OfficeConn.EstablishedCount--
+	s.freePooledConn(established.OfficeConn, established.ID)
 	s.pooled.maybeOver = append(s.pooled.maybeOver, established.ID)
 }
 
@@ -185,18 +185,18 @@
 			continue
 		}
 		tracked.over = true
-		s.observe(pooling.Over, id, 0, nil)
+		s.observe(pooling.CallOver, id, 0, nil)
 		if tracked.releaseConn == nil {
 			s.untrackCall(id, tracked)
 		}
 	}
 	pooled.maybeOver = pooled.maybeOver[:0]
-	pooled.connSelector.Round(s.now)
+	pooled.connSelector.EndRound(s.now)
 }
 
 // onOpenConn reports whether a call is established on a connection that is open.
-func (s *Session) onOpenConn(established *state.Standing) bool {
-	return established.Conn.Conn != nil && !s.pooled.disabled.keepOnOpenConn
+func (s *Session) onOpenConn(established *state.EstablishedCall) bool {
+	return established.OfficeConn.Conn != nil && !s.pooled.disabled.keepOnOpenConn
 }
 
 // checkPooledConns ends pooled connections that bring no complete message or nothing any more, and those that
@@ -209,12 +209,12 @@
 		}
 		pooled.scratch = append(pooled.scratch[:0], office.Pooled...)
 		for _, officeConn := range pooled.scratch {
-			s.checkOfficeConn(officeConn, officeConn.Stands, paused)
+			s.checkOfficeConn(officeConn, officeConn.EstablishedCount, paused)
 			within := int64(pooledConnIdleTimeout)
 			if officeConn.Owner != nil {
 				within = ownedConnLinger
 			}
-			if officeConn.Conn != nil && officeConn.Loose() && s.now-officeConn.Idle >= within && !officeConn.Conn.Waiting() {
+			if officeConn.Conn != nil && officeConn.IsUnused() && s.now-officeConn.IdleSince >= within && !officeConn.Conn.Pending() {
 				s.closeConn(officeConn.Conn, errIdle)
 			}
 		}
@@ -233,8 +233,8 @@
 		pooled.scratch = append(pooled.scratch[:0], office.Pooled...)
 		for _, officeConn := range pooled.scratch {
 			caller := officeConn.Owner
-			if caller != nil && caller.Conn != nil && officeConn.Conn != nil && officeConn.Quiet() && s.now-officeConn.Idle >= pooledConnIdleTimeout &&
-				!pooled.connSelector.Keep(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session)) && !officeConn.Conn.Waiting() {
+			if caller != nil && caller.Conn != nil && officeConn.Conn != nil && officeConn.IsIdle() && s.now-officeConn.IdleSince >= pooledConnIdleTimeout &&
+				!pooled.connSelector.KeepOwn(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session)) && !officeConn.Conn.Pending() {
 				s.closeConn(officeConn.Conn, errIdle)
 			}
 		}
--- a/internal/session/pooled_conns_bench_test.go
+++ b/internal/session/pooled_conns_bench_test.go
@@ -12,10 +12,10 @@
 func BenchmarkCallOnPooledConns(b *testing.B) {
 	for _, how := range []string{"off", "watch", "any", "own", "taken"} {
 		b.Run(how, func(b *testing.B) {
-			cfg := Config{Sockets: 1024, Seed: 7, Watch: how == "watch"}
+			cfg := Config{Sockets: 1024, Seed: 7, ObserveOnly: how == "watch"}
 			connSelector := &fakeConnSelector{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a", silent: true}
 			if how != "off" {
-				cfg.Laner = connSelector
+				cfg.ConnSelector = connSelector
 			}
 			p := newPlayerOf(b, cfg)
 			connSelector.picks, connSelector.p, connSelector.callers = nil, p, nil
--- a/internal/session/pooled_conns_sim_test.go
+++ b/internal/session/pooled_conns_sim_test.go
@@ -46,7 +46,7 @@
 
 type simCall struct {
 	caller           *simCaller
-	pick             pooling.Lane
+	pick             pooling.ConnectionKind
 	sentOn           *fakeConn // where a set-up is outstanding, as the process sees it
 	guardUntil       int64
 	offices          [2]officeSide
@@ -108,14 +108,14 @@
 	_, number, _ := strings.Cut(conn.name, ".")
 	w.seen["set-up "+connKindNames[call.pick]]++
 	switch owner, owned := w.ownerSession[conn]; {
-	case (number == "") != (call.pick == pooling.Any):
+	case (number == "") != (call.pick == pooling.AnyConnection):
 		w.fault("set-up %x is to go on %s but went on %s", id, connKindNames[call.pick], conn.name)
-	case call.pick == pooling.Own:
+	case call.pick == pooling.OwnConnection:
 		if owned && owner != call.caller.session || w.shared[conn] {
 			w.fault("set-up %x of session %d on %s, which is not its own", id, call.caller.session, conn.name)
 		}
 		w.ownerSession[conn] = call.caller.session
-	case call.pick == pooling.Taken:
+	case call.pick == pooling.ExclusiveConnection:
 		if w.holder[conn] != 0 || owned {
 			w.fault("set-up %x on %s, which %x holds", id, conn.name, w.holder[conn])
 		}
@@ -140,7 +140,7 @@
 		}
 		call.sentOn, call.guardUntil = nil, w.now+200_000
 		w.seen["cancelled"]++
-	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed && call.pick != pooling.Any {
+	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed && call.pick != pooling.AnyConnection {
 		w.fault("the release of %x on %s, not on %s", id, conn.name, s.name)
 	}
 }
@@ -434,7 +434,7 @@
 			left += len(office.Overflow.Queue)
 		}
 		for _, officeConn := range append([]*state.OfficeConn{&office.OfficeConn}, office.Pooled...) {
-			left += len(officeConn.Out) + len(officeConn.Queue) + officeConn.Stands
+			left += len(officeConn.Outstanding) + len(officeConn.Queue) + officeConn.EstablishedCount
 		}
 	}
 	if left != 0 {
--- a/internal/session/pooled_conns_sockets_test.go
+++ b/internal/session/pooled_conns_sockets_test.go
@@ -24,7 +24,7 @@
 	mode pooling.Mode
 	next pooling.ClientID
 	from map[string]int // callers by application and source address
-	saw  map[pooling.Happening]int
+	saw  map[pooling.EventKind]int
 }
 
 func (l *fixed) Open(_ int64, _ pooling.SessionID, application, source string) pooling.ClientID {
@@ -34,24 +34,24 @@
 	l.next++
 	return l.next
 }
-func (l *fixed) Closed(int64, pooling.ClientID, pooling.SessionID)    {}
-func (l *fixed) Keep(int64, pooling.ClientID, pooling.SessionID) bool { return true }
-func (l *fixed) Lane(_ int64, c *pooling.Call, k pooling.Kind) pooling.Lane {
+func (l *fixed) Closed(int64, pooling.ClientID, pooling.SessionID)       {}
+func (l *fixed) KeepOwn(int64, pooling.ClientID, pooling.SessionID) bool { return true }
+func (l *fixed) Select(_ int64, c *pooling.Call, k pooling.MessageKind) pooling.ConnectionKind {
 	switch {
 	case k == pooling.End && l.mode == pooling.ByMessage:
-		return pooling.Any
+		return pooling.AnyConnection
 	case k != pooling.SetUp:
-		return pooling.Held
+		return pooling.SetUpConnection
 	}
-	c.Lane = pooling.Lane(l.mode) // both types have the same order
-	return c.Lane
+	c.Connection = pooling.ConnectionKind(l.mode) // both types have the same order
+	return c.Connection
 }
 func (l *fixed) Observe(_ int64, o pooling.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.saw[o.What]++
+	l.saw[o.Event]++
 }
-func (l *fixed) Round(int64) {}
+func (l *fixed) EndRound(int64) {}
 
 // serving is a log handler that signals when the program logs that it is serving.
 type serving chan struct{}
@@ -69,7 +69,7 @@
 var starting sync.Mutex
 
 // serve runs the program until the test ends or stop is called.
-func serve(t *testing.T, l pooling.Laner, sockets int, offices ...string) (address string, stop func()) {
+func serve(t *testing.T, l pooling.ConnectionSelector, sockets int, offices ...string) (address string, stop func()) {
 	t.Helper()
 	address = fmt.Sprintf("127.0.0.1:%d", standin.FreePort())
 	cfg := service.Config{Name: "s", Listen: address, Seed: "8c1f30d27a5be964", Laner: l, Application: "app"}
@@ -115,7 +115,7 @@
 					standin.Script{Work: time.Millisecond, Bound: wire.CauseMissing})
 				must(t, err)
 				t.Cleanup(o.Close)
-				l := &fixed{mode: mode, from: map[string]int{}, saw: map[pooling.Happening]int{}}
+				l := &fixed{mode: mode, from: map[string]int{}, saw: map[pooling.EventKind]int{}}
 				address, stop := serve(t, l, 256, o.Address)
 				var clients []*standin.Client
 				for i := range 3 {
@@ -147,8 +147,8 @@
 					is(t, "harm", sums.Harmed > 0, sums)
 				}
 				is(t, "one source", len(l.from) == 1 && l.from["app 127.0.0.1"] > 0, l.from)
-				is(t, "each call told of, and its end", l.saw[pooling.CameSetUp] == sums.Offered && l.saw[pooling.Over] == sums.Offered, l.saw)
-				is(t, "used ids told", (habit == standin.ReusesIDs) == (l.saw[pooling.CameAgain] > 0), l.saw)
+				is(t, "each call told of, and its end", l.saw[pooling.SetUpReceived] == sums.Offered && l.saw[pooling.CallOver] == sums.Offered, l.saw)
+				is(t, "used ids told", (habit == standin.ReusesIDs) == (l.saw[pooling.IDReused] > 0), l.saw)
 			})
 		}
 	}
@@ -170,7 +170,7 @@
 				t.Cleanup(o.Close)
 				offices, addresses = append(offices, o), append(addresses, o.Address)
 			}
-			l := &fixed{mode: mode, from: map[string]int{}, saw: map[pooling.Happening]int{}}
+			l := &fixed{mode: mode, from: map[string]int{}, saw: map[pooling.EventKind]int{}}
 			address, stop := serve(t, l, 68, addresses...)
 			var clients []*standin.Client
 			for i := range 3 {
@@ -203,7 +203,7 @@
 			book.Settle()
 			sums := book.Sums()
 			is(t, "rules kept", len(book.Broken()) == 0, book.Broken())
-			is(t, "connections lost under set-ups", l.saw[pooling.LaneLost] > 0, l.saw)
+			is(t, "connections lost under set-ups", l.saw[pooling.ConnectionLost] > 0, l.saw)
 			is(t, "some answered", sums.Answered > 0, sums)
 			t.Logf("%+v; %v", sums, l.saw)
 		})
--- a/internal/session/pooled_conns_test.go
+++ b/internal/session/pooled_conns_test.go
@@ -14,15 +14,15 @@
 	nextCaller string            // the caller that connects next
 	modes      map[string]string // by caller: own, taken or any
 	callers    []string          // by session, from 1
-	picks      map[uint64]pooling.Lane
+	picks      map[uint64]pooling.ConnectionKind
 	silent     bool
 }
 
-var connKindNames = map[pooling.Lane]string{0: "none", pooling.Own: "own", pooling.Taken: "taken", pooling.Any: "any"}
+var connKindNames = map[pooling.ConnectionKind]string{0: "none", pooling.OwnConnection: "own", pooling.ExclusiveConnection: "taken", pooling.AnyConnection: "any"}
 
-var observationNames = map[pooling.Happening]string{pooling.CameSetUp: "came", pooling.CameAgain: "again", pooling.CameEnd: "end",
-	pooling.Answered: "answered", pooling.Failed: "failed", pooling.EndHeard: "heard", pooling.EndUnheard: "unheard",
-	pooling.EndedThere: "ended", pooling.Over: "over", pooling.LaneLost: "lost"}
+var observationNames = map[pooling.EventKind]string{pooling.SetUpReceived: "came", pooling.IDReused: "again", pooling.EndReceived: "end",
+	pooling.SetUpAnswered: "answered", pooling.SetUpRefused: "failed", pooling.EndAcknowledged: "heard", pooling.EndUnacknowledged: "unheard",
+	pooling.EndedByOffice: "ended", pooling.CallOver: "over", pooling.ConnectionLost: "lost"}
 
 func (l *fakeConnSelector) Open(_ int64, s pooling.SessionID, _, _ string) pooling.ClientID {
 	l.callers = append(l.callers, l.nextCaller)
@@ -31,42 +31,42 @@
 
 func (l *fakeConnSelector) Closed(int64, pooling.ClientID, pooling.SessionID) {}
 
-func (l *fakeConnSelector) Keep(_ int64, _ pooling.ClientID, s pooling.SessionID) bool {
+func (l *fakeConnSelector) KeepOwn(_ int64, _ pooling.ClientID, s pooling.SessionID) bool {
 	return l.modes[l.callers[s-1]] != "taken"
 }
 
-func (l *fakeConnSelector) Lane(_ int64, call *pooling.Call, kind pooling.Kind) pooling.Lane {
+func (l *fakeConnSelector) Select(_ int64, call *pooling.Call, kind pooling.MessageKind) pooling.ConnectionKind {
 	mode := l.modes[l.callers[call.Session-1]]
 	if kind != pooling.SetUp {
-		if kind == pooling.End && call.Lane == pooling.Any && mode == "any" {
-			return pooling.Any
+		if kind == pooling.End && call.Connection == pooling.AnyConnection && mode == "any" {
+			return pooling.AnyConnection
 		}
-		return pooling.Held
+		return pooling.SetUpConnection
 	}
-	call.Lane = pooling.Own
+	call.Connection = pooling.OwnConnection
 	switch {
-	case call.Memo != 0: // it was refused on a connection that is not its own
+	case call.Flags != 0: // it was refused on a connection that is not its own
 	case mode == "taken":
-		call.Lane = pooling.Taken
+		call.Connection = pooling.ExclusiveConnection
 	case mode == "any":
-		call.Lane = pooling.Any
+		call.Connection = pooling.AnyConnection
 	}
 	if l.picks != nil {
-		l.picks[call.ID] = call.Lane
+		l.picks[call.ID] = call.Connection
 	}
-	return call.Lane
+	return call.Connection
 }
 
 func (l *fakeConnSelector) Observe(_ int64, observation pooling.Observation) {
-	if observation.What == pooling.Failed && observation.Call.Lane != pooling.Own {
-		observation.Call.Memo = 1
+	if observation.Event == pooling.SetUpRefused && observation.Call.Connection != pooling.OwnConnection {
+		observation.Call.Flags = 1
 	}
 	if l.silent {
 		return
 	}
 	by := l.callers[observation.Call.Session-1]
-	if observation.On != 0 && observation.On != observation.Call.Session {
-		by += " by " + l.callers[observation.On-1]
+	if observation.Session != 0 && observation.Session != observation.Call.Session {
+		by += " by " + l.callers[observation.Session-1]
 	}
 	text := ""
 	if observation.Cause != 0 {
@@ -75,14 +75,14 @@
 	if observation.Text != nil {
 		text += fmt.Sprintf(" %q", observation.Text)
 	}
-	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.What], observation.Call.ID, by, connKindNames[observation.Call.Lane], text))
+	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.Event], observation.Call.ID, by, connKindNames[observation.Call.Connection], text))
 }
 
-func (l *fakeConnSelector) Round(int64) {}
+func (l *fakeConnSelector) EndRound(int64) {}
 
 func newPooledConnPlayer(t *testing.T, sockets int) *player {
-	connSelector := &fakeConnSelector{modes: map[string]string{}, picks: map[uint64]pooling.Lane{}}
-	p := newPlayerOf(t, Config{Sockets: sockets, Seed: 7, Laner: connSelector})
+	connSelector := &fakeConnSelector{modes: map[string]string{}, picks: map[uint64]pooling.ConnectionKind{}}
+	p := newPlayerOf(t, Config{Sockets: sockets, Seed: 7, ConnSelector: connSelector})
 	connSelector.p, p.connSelector = p, connSelector
 	return p
 }
--- a/internal/session/pooling_world_test.go
+++ b/internal/session/pooling_world_test.go
@@ -50,11 +50,11 @@
 		long = int64(*hours * 3.6e9)
 	}
 	loop := pooling.NewLoop(1)
-	part, err := pooling.New(pooling.Config{Self: "a", Seed: 1, Loop: loop, Unsafe: 0.01})
+	part, err := pooling.New(pooling.Config{Self: "a", Seed: 1, Loop: loop, MaxUnsafeRate: 0.01})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Laner: loop, Application: "app"})
+	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, ConnSelector: loop, Application: "app"})
 	var out fleet.Out
 	part.Start(0, &out)
 	part.View(0, &fleet.View{Number: 1, Self: "a", Members: []fleet.Member{{Entry: fleet.Entry{Name: "a", Incarnation: 1, State: fleet.Serving}}}}, &out)
--- a/internal/session/reload_test.go
+++ b/internal/session/reload_test.go
@@ -89,7 +89,7 @@
 		if n := p.s.Counters; !slices.Equal(asked, c.asked) || n[state.Reloads] != c.reloads || n[state.ReloadErrors] != c.errors {
 			t.Errorf("%s: asked %q, want %q; %d reloads, %d errors", c.name, asked, c.asked, n[state.Reloads], n[state.ReloadErrors])
 		}
-		if c.reloads == 0 && (len(p.s.offices.All()) != 2 || p.s.offices.All()[0].State != 0 || p.s.source.Last() != 1) {
+		if c.reloads == 0 && (len(p.s.offices.All()) != 2 || p.s.offices.All()[0].State != 0 || p.s.source.LastNumber() != 1) {
 			t.Errorf("%s: the list has changed", c.name)
 		}
 	}
--- a/internal/session/replaced_office_test.go
+++ b/internal/session/replaced_office_test.go
@@ -181,7 +181,7 @@
 				p.play(line)
 			}
 			p.until(int64(lost+8050) * 1000)
-			for _, established := range p.s.offices.Get("s-00000001").Standing {
+			for _, established := range p.s.offices.Get("s-00000001").Established {
 				if established.Since < lost*1000 {
 					t.Errorf("call %d is still established 8.05 s after its process ended", established.ID)
 				}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -36,9 +36,9 @@
 // Network opens connections; the result is delivered as an Arrival of kind Dialled.
 type Network interface {
 	Dial(address string, id uint64)
-	// Leave accepts the callers that wait in the listener's backlog and closes the listener; then an Arrival
+	// StopAccepting accepts the callers that wait in the listener's backlog and closes the listener; then an Arrival
 	// of kind Left follows.
-	Leave()
+	StopAccepting()
 }
 
 // Fixed times in microseconds; configurable ones come with the settings.
@@ -118,13 +118,13 @@
 	Sockets  int
 	Memory   int64 // bytes; 0: unlimited
 	Seed     uint64
-	// Node creates the decider; nil: the decision module alone.
-	Node func(decide.Settings, uint64) (Decider, error)
-	// Laner selects the connection to an office for each message; nil: each office has a single connection,
+	// NewDecider creates the decider; nil: the decision module alone.
+	NewDecider func(decide.Settings, uint64) (Decider, error)
+	// ConnSelector selects the connection to an office for each message; nil: each office has a single connection,
 	// and no state is kept for pooled connections.
-	Laner pooling.Laner
-	// Watch: Laner is informed but not asked, and calls are routed as without it.
-	Watch bool
+	ConnSelector pooling.ConnectionSelector
+	// ObserveOnly: Laner is informed but not asked, and calls are routed as without it.
+	ObserveOnly bool
 	// Application is the name of the application of the callers, for Laner.
 	Application string
 }
@@ -135,7 +135,7 @@
 
 	net               Network
 	decider           Decider
-	endHearer         EndHearer // the decider, if it implements EndHearer
+	endHearer         EndObserver // the decider, if it implements EndHearer
 	log               *slog.Logger
 	source            membership.Source
 	journal           journal
@@ -152,11 +152,11 @@
 	controlReply      []byte
 	params            []wire.Param // of the message being read
 	pendingWrites     []any        // *state.Caller and *state.OfficeConn with messages to write
-	callPool          state.Calls
+	callPool          state.FreeList
 	callerScratch     []*state.Caller
-	admission         admit.Door
+	admission         admit.RoundLimiter
 	offeredSetUps     []offeredSetUp // set-ups of this round
-	admissionOffers   []admit.Offer
+	admissionOffers   []admit.Candidate
 	admittedEvents    []decide.Event // scratch space for the events of admitted set-ups
 	refusedScratch    []bool
 	admissionRefusals int // set-ups of this round refused by admission control
@@ -176,18 +176,18 @@
 	dialTimeout     int64
 	maxDeadline     int64 // the longest deadline of a class
 
-	reportRhythm        liveness.Rhythm    // of all offices' reports
-	callDurations       *liveness.Holding  // distribution of call durations
-	livenessClock       checkClock         // state of the office checks
-	connOwners          map[state.Conn]any // *state.Caller, *state.OfficeConn, *state.Asker or *journal
-	callers             []*state.Caller    // in order of arrival
-	controlConns        []*state.Asker     // in order of arrival
-	answerCounts        []state.Ends       // by class
+	reportRhythm        liveness.ReportInterval // of all offices' reports
+	callDurations       *liveness.HoldingTimes  // distribution of call durations
+	livenessClock       checkClock              // state of the office checks
+	connOwners          map[state.Conn]any      // *state.Caller, *state.OfficeConn, *state.Asker or *journal
+	callers             []*state.Caller         // in order of arrival
+	controlConns        []*state.ControlConn    // in order of arrival
+	answerCounts        []state.FinalAnswers    // by class
 	calls               map[uint64]*state.Call
-	established         map[uint64]*state.Standing
-	undeliveredReleases map[uint64]state.Ending // releases for callers that were not sent to a trusted one
-	earlierReleases     map[uint64]state.Ending // callers' releases of a previous process's calls, for later offices
-	endedCalls          map[uint64]int64        // ids of ended calls, and when they ended
+	established         map[uint64]*state.EstablishedCall
+	undeliveredReleases map[uint64]state.PendingRelease // releases for callers that were not sent to a trusted one
+	earlierReleases     map[uint64]state.PendingRelease // callers' releases of a previous process's calls, for later offices
+	endedCalls          map[uint64]int64                // ids of ended calls, and when they ended
 	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
 	offices                                    state.Offices
@@ -208,18 +208,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if cfg.Node == nil {
-		cfg.Node = func(set decide.Settings, seed uint64) (Decider, error) { return decide.New(set, seed) }
+	if cfg.NewDecider == nil {
+		cfg.NewDecider = func(set decide.Settings, seed uint64) (Decider, error) { return decide.New(set, seed) }
 	}
-	node, err := cfg.Node(set, cfg.Seed)
+	node, err := cfg.NewDecider(set, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Session{net: net, decider: node, log: log, now: now, lastStep: now, wheel: state.NewWheel(wheelTick, now),
-		startedAt: now, earlierCallSeen: now, answerCounts: make([]state.Ends, len(cfg.Settings.Classes)), settings: cfg.Settings, classIndex: map[string]int{}, classNames: map[string]string{}, maxTries: set.MaxTries, maxCalls: cfg.Settings.Limits.MaxHeld,
+		startedAt: now, earlierCallSeen: now, answerCounts: make([]state.FinalAnswers, len(cfg.Settings.Classes)), settings: cfg.Settings, classIndex: map[string]int{}, classNames: map[string]string{}, maxTries: set.MaxTries, maxCalls: cfg.Settings.Limits.MaxHeld,
 		maxCallers: max(minCallers, cfg.Sockets/2), maxControlConns: controlConnLimit(cfg.Sockets), descriptorLimit: cfg.Sockets - reservedDescriptors(cfg.Sockets), maxCallBytes: math.MaxInt64, dialTimeout: cfg.Settings.DialLimit().Microseconds(),
 		connOwners: map[state.Conn]any{}, calls: map[uint64]*state.Call{},
-		established: map[uint64]*state.Standing{}, undeliveredReleases: map[uint64]state.Ending{}, earlierReleases: map[uint64]state.Ending{}, endedCalls: map[uint64]int64{},
+		established: map[uint64]*state.EstablishedCall{}, undeliveredReleases: map[uint64]state.PendingRelease{}, earlierReleases: map[uint64]state.PendingRelease{}, endedCalls: map[uint64]int64{},
 		dials: map[uint64]*state.OfficeConn{}, pendingRedials: map[uint64]*state.Office{}}
 	s.maxEagerOffices = min(maxEagerOffices, max(1, s.descriptorLimit-cfg.Sockets/callerReserveDivisor))
 	s.pooled.init(cfg)
@@ -229,19 +229,19 @@
 	if s.maxCalls <= 0 {
 		s.maxCalls = 20_000
 	}
-	s.callDurations = liveness.NewHolding(len(cfg.Settings.Classes))
-	s.endHearer, _ = node.(EndHearer)
+	s.callDurations = liveness.NewHoldingTimes(len(cfg.Settings.Classes))
+	s.endHearer, _ = node.(EndObserver)
 	for i, c := range cfg.Settings.Classes {
 		s.classIndex[c.Name], s.classNames[c.Name] = i, c.Name
 		s.maxDeadline = max(s.maxDeadline, c.Deadline)
 	}
-	s.queueEvent(decide.Event{Kind: decide.Start})
+	s.queueEvent(decide.Event{Kind: decide.NodeStarted})
 	s.source = cfg.Source
 	if err := s.source.Start(now, s.applyChange); err != nil {
 		return nil, err
 	}
 	s.dialJournal()
-	s.wheel.Set(now+watchInterval, state.Timer{Kind: state.TimerPartial})
+	s.wheel.Set(now+watchInterval, state.Timer{Kind: state.TimerIncomplete})
 	s.wheel.Set(now+sweepInterval, state.Timer{Kind: state.TimerSweep})
 	s.wheel.Set(now+journalCheckInterval, state.Timer{Kind: state.TimerJournal})
 	return s, nil
@@ -274,7 +274,7 @@
 		s.handleArrival(arrival)
 	}
 	s.admissionRefusals = 0
-	if n := len(s.offeredSetUps); n > s.admission.Most(n) {
+	if n := len(s.offeredSetUps); n > s.admission.MaxSetUps(n) {
 		s.admitRound()
 	}
 	s.dueTimers = s.wheel.Advance(s.now, s.dueTimers[:0])
@@ -302,7 +302,7 @@
 		s.finishConnRound()
 	}
 	s.flush()
-	s.callPool.Settle()
+	s.callPool.Recycle()
 }
 
 // wasPaused reports whether this round comes long after the last one, or delivers input that arrived long ago.
@@ -341,7 +341,7 @@
 
 func (s *Session) finishCall(call *state.Call, action decide.Action, cause byte, counter state.Counter) {
 	s.sendFinal(action, cause, counter)
-	s.queueEvent(decide.Event{Kind: decide.Gone, Call: decide.CallID(call.ID)})
+	s.queueEvent(decide.Event{Kind: decide.CallerLeft, Call: decide.CallID(call.ID)})
 	if call.Attempt != nil {
 		s.cancelAttempt(call.Attempt, decide.Cancelled)
 	}
@@ -375,13 +375,13 @@
 	case decide.Fail:
 		s.sendFinal(action, wire.CauseCut, state.FailuresOut)
 	case decide.Cancel:
-		if call := s.calls[uint64(action.Call)]; call != nil && call.Attempt != nil && call.Attempt.N == action.Attempt {
+		if call := s.calls[uint64(action.Call)]; call != nil && call.Attempt != nil && call.Attempt.Number == action.Attempt {
 			s.Counters[state.CancelsOut]++
 			s.cancelAttempt(call.Attempt, decide.Cancelled)
 		}
-	case decide.Timer:
+	case decide.StartTimer:
 		s.setTimer(s.now+action.Wait, state.Timer{Kind: state.TimerModule, ID: action.Token})
-	case decide.Watch: // the journal is always subscribed to
+	case decide.SubscribeList: // the journal is always subscribed to
 	case decide.Log:
 		s.log.Info("decided", "text", action.Text)
 	}
--- a/internal/session/silent_office_test.go
+++ b/internal/session/silent_office_test.go
@@ -279,13 +279,13 @@
 		p.play(fmt.Sprintf(`%d o1 > [09 %s 3d["d"]]`, at+1, id(i)))
 		p.play(fmt.Sprintf(`%d o1 > [2b 0000000000000000 2b["free:9;size:9"]]`, at+2))
 	}
-	if n := len(p.s.offices.Get("s-00000001").Standing); n < calls*9/10 {
+	if n := len(p.s.offices.Get("s-00000001").Established); n < calls*9/10 {
 		t.Fatalf("%d calls are established, want %d", n, calls-1)
 	}
 	p.conns["a"].closed = true
 	p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, "[09 "+id(calls)+` 3d["d"]]`)},
 		Arrival{Kind: Data, At: p.now, Conn: p.conns["j"], Data: parse(t, "{0000000000000002 02 00000001 7f000001 03e9 02 00 00 0000 000003e8 0000000000000000}")})
-	if n := len(p.s.offices.Get("s-00000001").Standing); n != 0 {
+	if n := len(p.s.offices.Get("s-00000001").Established); n != 0 {
 		t.Errorf("%d calls are established at a removed office", n)
 	}
 }
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -18,9 +18,9 @@
 func (s *Session) handleTimer(timer state.Timer) {
 	switch timer.Kind {
 	case state.TimerModule:
-		s.queueEvent(decide.Event{Kind: decide.Fired, Token: timer.ID})
+		s.queueEvent(decide.Event{Kind: decide.TimerFired, Token: timer.ID})
 	case state.TimerAttempt:
-		if call := s.calls[timer.ID]; call != nil && call.Attempt != nil && call.Attempt.N == int(timer.N) && (call.Attempt.Queued || s.now >= call.Deadline) {
+		if call := s.calls[timer.ID]; call != nil && call.Attempt != nil && call.Attempt.Number == int(timer.N) && (call.Attempt.Queued || s.now >= call.Deadline) {
 			s.Counters[state.TimeOuts]++
 			s.cancelAttempt(call.Attempt, decide.TimedOut)
 		}
@@ -41,7 +41,7 @@
 	case state.TimerJournal:
 		s.checkJournal()
 		s.wheel.Set(s.now+journalCheckInterval, timer)
-	case state.TimerPartial:
+	case state.TimerIncomplete:
 		s.checkOffices()
 		s.checkCallers()
 		s.checkControlConns()
@@ -49,8 +49,8 @@
 		s.wheel.Set(s.now+watchInterval, timer)
 	case state.TimerConnWait:
 		s.refuseWaiting(timer.ID, int(timer.N))
-	case state.TimerLeave:
-		s.net.Leave()
+	case state.TimerStopAccepting:
+		s.net.StopAccepting()
 	case state.TimerShutdownDeadline:
 		s.failOpenCalls()
 	case state.TimerSweep:
@@ -74,21 +74,21 @@
 	s.established = shrinkMap(s.established, &s.mostEstablished)
 	s.pooled.mostTracked = max(s.pooled.mostTracked, len(s.pooled.tracked))
 	s.pooled.tracked = shrinkMap(s.pooled.tracked, &s.pooled.mostTracked)
-	expired := func(_ uint64, ending state.Ending) bool { return s.now-ending.At > endedCallTTL }
+	expired := func(_ uint64, ending state.PendingRelease) bool { return s.now-ending.At > endedCallTTL }
 	maps.DeleteFunc(s.undeliveredReleases, expired)
 	maps.DeleteFunc(s.earlierReleases, expired)
 	for _, caller := range s.callers {
-		maps.DeleteFunc(caller.Unsure, func(_ uint64, ending state.Ending) bool { return s.now-ending.At > callerReleaseTTL })
+		maps.DeleteFunc(caller.PendingReleases, func(_ uint64, ending state.PendingRelease) bool { return s.now-ending.At > callerReleaseTTL })
 	}
 	for _, office := range s.offices.All() {
-		maps.DeleteFunc(office.Ended, expired)
+		maps.DeleteFunc(office.PendingReleases, expired)
 		s.repeatDueReleases(office)
-		office.Strays = 0
+		office.UnknownReleases = 0
 	}
 	if s.pooled.connSelector != nil {
 		s.closeIdleOwnedConns()
 	}
-	s.offices.Forget()
+	s.offices.Prune()
 }
 
 // shrinkMap reallocates a map that has far fewer entries than it had at most, since a map never shrinks by
--- a/internal/session/unsent_set_ups_test.go
+++ b/internal/session/unsent_set_ups_test.go
@@ -110,7 +110,7 @@
 			}
 			conn := &fakeConn{p: p, name: fmt.Sprintf("o%d", i+1)}
 			p.conns[conn.name] = conn
-			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: officeConn.Dialling, Conn: conn})
+			up = append(up, Arrival{Kind: Dialled, At: p.now, Dial: officeConn.DialID, Conn: conn})
 		}
 		p.step(up...)
 		if how == "not heard yet" {
@@ -229,13 +229,13 @@
 
 func (d *singleOfficeDecider) Step(now int64, event decide.Event, out []decide.Action) []decide.Action {
 	switch event.Kind {
-	case decide.Order:
+	case decide.CallArrived:
 		until := int64(0)
 		if d.until != 0 {
 			until = now + d.until
 		}
-		out = append(out, decide.Action{Kind: decide.Send, Call: event.Call, Server: d.office, Until: until})
-	case decide.Ended:
+		out = append(out, decide.Action{Kind: decide.Send, Call: event.Call, Server: d.office, SendBy: until})
+	case decide.AttemptEnded:
 		d.ended = append(d.ended, event)
 		out = append(out, decide.Action{Kind: decide.Fail, Call: event.Call})
 	}
@@ -249,7 +249,7 @@
 func TestSetUpIsSentWithinItsTimeLimit(t *testing.T) {
 	for _, up := range []int64{250, 299, 301, 400} {
 		decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
@@ -258,7 +258,7 @@
 		p.until(up * 1000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
-		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").Dialling, Conn: conn})
+		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").DialID, Conn: conn})
 		p.until(900_000)
 		if left := p.wroteMessage("o1", 1, 1); left != (up < 300) || left != (len(decider.ended) == 0) {
 			t.Errorf("connected at %d: sent: %t; ended: %v", up, left, decider.ended)
@@ -275,7 +275,7 @@
 func TestNoAttemptForAnsweredCall(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		decider := &singleOfficeDecider{office: "s-00000001"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
@@ -289,7 +289,7 @@
 		p.until(200_000)
 		conn := &fakeConn{p: p, name: "o1"}
 		p.conns["o1"] = conn
-		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").Dialling, Conn: conn})
+		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").DialID, Conn: conn})
 		p.until(900_000)
 		if p.wroteMessage("o1", 1, 1) || len(decider.ended) != 1 || len(p.s.calls) != 0 {
 			t.Errorf("caller disconnects: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
@@ -301,7 +301,7 @@
 // can't end the office connection that all callers share.
 func TestLongSetUpsDoNotEndTheConnection(t *testing.T) {
 	decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
-	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 	p.step()
 	p.play("5 a open")
 	p.conns["o1"].blocksWrites = true
@@ -321,7 +321,7 @@
 	if wrote == 0 || most > 64<<10 {
 		t.Errorf("%d writes, one of %d bytes", wrote, most)
 	}
-	if out, queue := len(p.mainConn("s-00000001").Out), len(p.mainConn("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
+	if out, queue := len(p.mainConn("s-00000001").Outstanding), len(p.mainConn("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
 		t.Errorf("%d set-ups are outstanding, %d wait", out, queue)
 	}
 }
@@ -342,7 +342,7 @@
 		t.Errorf("the release was repeated %d times:\n%s", n, strings.Join(p.lines, "\n"))
 	}
 	p.play("3600 o2 > [10 0000000000000002]")
-	if n := len(p.s.offices.Get("s-00000002").Ended); n != 0 {
+	if n := len(p.s.offices.Get("s-00000002").PendingReleases); n != 0 {
 		t.Errorf("%d releases are still pending after the second acknowledgment", n)
 	}
 }
@@ -353,7 +353,7 @@
 func TestReleaseLostWithConnectionIsRepeated(t *testing.T) {
 	for _, stuck := range []bool{true, false} {
 		decider := &singleOfficeDecider{office: "s-00000002"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, Node: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		p.play("5 b open")
 		p.play("10 b > " + setUpMessage(1, 1)) // it is sent
@@ -379,7 +379,7 @@
 		}
 		p.play("3600 o2 > [10 0000000000000001]")
 		p.play("3600 o2 > [10 0000000000000002]")
-		if n := len(p.s.offices.Get("s-00000002").Ended); n != 0 {
+		if n := len(p.s.offices.Get("s-00000002").PendingReleases); n != 0 {
 			t.Errorf("stuck: %t; %d releases are still pending after the second acknowledgment", stuck, n)
 		}
 	}
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -52,15 +52,15 @@
 	}
 	return len(b), nil
 }
-func (*fakeConn) Waiting() bool  { return false }
-func (*fakeConn) Unread() bool   { return false }
-func (*fakeConn) Unsent() bool   { return false }
-func (*fakeConn) Gone() bool     { return false }
-func (*fakeConn) Trust()         {}
-func (c *fakeConn) Close() error { return nil }
+func (*fakeConn) Pending() bool    { return false }
+func (*fakeConn) Unread() bool     { return false }
+func (*fakeConn) Unsent() bool     { return false }
+func (*fakeConn) PeerClosed() bool { return false }
+func (*fakeConn) MarkTrusted()     {}
+func (c *fakeConn) Close() error   { return nil }
 
 // Dial answers with an office that sets up every call at once.
-func (n *fakeNet) Leave() {}
+func (n *fakeNet) StopAccepting() {}
 
 func (n *fakeNet) Dial(_ string, id uint64) {
 	c := &fakeConn{}
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if node != nil {
-		sc.Node = node
+		sc.NewDecider = node
 	}
 	w := &worldOf{net: &fakeNet{}, caller: &fakeConn{}, now: 1_000_000}
 	if w.s, err = session.New(sc, w.net, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})), w.now); err != nil {
--- a/internal/sidecar/fuzz_test.go
+++ b/internal/sidecar/fuzz_test.go
@@ -17,7 +17,7 @@
 type nowhere struct{}
 
 func (nowhere) Dial(string, uint64) {}
-func (nowhere) Leave()              {}
+func (nowhere) StopAccepting()      {}
 
 // Whatever a file holds, the checker ends, and says it in findings; and of what it accepts as a sidecar's file, the
 // sidecar makes a session that starts.
--- a/internal/sidecar/isolation_test.go
+++ b/internal/sidecar/isolation_test.go
@@ -120,8 +120,8 @@
 		if !ok {
 			want = first.rates[pool.Name]
 		}
-		if pool.Name != first.pools[i] || pool.Whole != float64(want) {
-			t.Errorf("pool %d is %s with %g/s; it was %s, and its file says %d/s", i, pool.Name, pool.Whole, first.pools[i], want)
+		if pool.Name != first.pools[i] || pool.TotalRate != float64(want) {
+			t.Errorf("pool %d is %s with %g/s; it was %s, and its file says %d/s", i, pool.Name, pool.TotalRate, first.pools[i], want)
 		}
 	}
 	known := func(pool string) bool { return slices.Contains(first.pools, pool) }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -203,11 +203,11 @@
 	}
 	c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = s.Machine.Cores, s.Machine.Memory>>20, s.Machine.Descriptors
 	places := map[string]int{}
-	routes := route.Config{Sidecars: s.Sidecars, Repeats: s.Application.Repeats, Floor: s.Application.RepeatsFloor,
-		Wait: s.Application.SpillWait, Return: s.Application.SpillReturn, Least: s.Application.SpillLeast}
+	routes := route.Config{Sidecars: s.Sidecars, RepeatRatio: s.Application.Repeats, MinRepeatRate: s.Application.RepeatsFloor,
+		MoveAfter: s.Application.SpillWait, ReturnRate: s.Application.SpillReturn, MinFlow: s.Application.SpillLeast}
 	for i, p := range s.Pools {
 		places[p.Name] = i
-		routes.Pools = append(routes.Pools, route.Pool{Name: p.Name, Rate: p.LimitRate, Open: p.LimitOpen, Whole: p.Rate})
+		routes.Pools = append(routes.Pools, route.Pool{Name: p.Name, RateLimit: p.LimitRate, MaxOpen: p.LimitOpen, TotalRate: p.Rate})
 	}
 	set := &c.Settings
 	set.Balancers, set.Quantum = s.Sidecars, s.Rules.Quantum
--- a/internal/stage/api.go
+++ b/internal/stage/api.go
@@ -75,7 +75,7 @@
 type Config struct {
 	Name  string // name of this process
 	Zone  string
-	Lease lease.Lessor
+	Lease lease.Client
 	// Running is the target that this process runs with. In a successor that was started by a change it differs
 	// from Concluded in its Change.
 	Running Target
@@ -106,11 +106,11 @@
 }
 
 // New returns the Part of one process. It does nothing until Start.
-func New(c Config) *Part { return newPart(c) }
+func New(c Config) *Module { return newPart(c) }
 
 // Propose starts a change in the process that received it by SIGHUP. It returns an error at once if the target is
 // invalid (*TargetError), if its number is not higher than that of every change that is over (*NumberError), or if
 // a change is known to be running (*RunningError). If it returns nil, this process claims the lease of the
 // conductor. The outcome is reported as a note: "opened", or "refused" if the record of the lease shows a running
 // change or the lease is not granted within Rules.Ask.
-func (p *Part) Propose(now int64, t Target, out *fleet.Out) error { return p.propose(now, t, out) }
+func (p *Module) Propose(now int64, t Target, out *fleet.Out) error { return p.propose(now, t, out) }
--- a/internal/stage/comparison.go
+++ b/internal/stage/comparison.go
@@ -298,11 +298,11 @@
 	}
 	// Long windows take longer to give enough slots.
 	minTime := (minStageSlots + 1) * e.requestedSlot()
-	maxTime := max(e.rules.Most, minTime)
+	maxTime := max(e.rules.MaxEvaluation, minTime)
 	timeLimit := maxTime
 	if e.stage == One {
 		// One process shows crashes and gross faults; the next stage shows the rest.
-		timeLimit = min(timeLimit, max(2*e.rules.Look, minTime))
+		timeLimit = min(timeLimit, max(2*e.rules.MinEvaluation, minTime))
 	}
 	f := worst
 	switch {
@@ -311,7 +311,7 @@
 		if now-e.stageSince >= maxTime {
 			f.verdict, f.measure, f.text = verdictHarmful, -1, "no calls on the new side in time to judge it"
 		}
-	case now-e.stageSince < e.rules.Look:
+	case now-e.stageSince < e.rules.MinEvaluation:
 		f.verdict, f.text = verdictUndecided, "not judged for long enough yet"
 	case overall == verdictHarmless:
 		f.verdict, f.text = verdictHarmless, "no measure is worse by its margin"
--- a/internal/stage/completion.go
+++ b/internal/stage/completion.go
@@ -6,13 +6,13 @@
 
 // judgeStage compares old and new processes once a slot, as soon as all processes of the stage have been new for
 // the warm-up time.
-func (p *Part) judgeStage(now int64, out *fleet.Out) {
+func (p *Module) judgeStage(now int64, out *fleet.Out) {
 	c := &p.conductor
 	e := c.evidence
 	if e == nil {
 		return
 	}
-	if now-c.stageFilledAt < p.config.Rules.Warm {
+	if now-c.stageFilledAt < p.config.Rules.WarmUp {
 		return
 	}
 	if e.stage < c.record.Stage {
@@ -44,12 +44,12 @@
 }
 
 // evaluateStage evaluates the evidence of a stage that has all its processes.
-func (p *Part) evaluateStage(now int64) finding {
+func (p *Module) evaluateStage(now int64) finding {
 	c := &p.conductor
 	if c.record.Stage == All {
 		// No unchanged processes are left to compare with; the change only waits to see that no process dies.
 		result := c.evidence.evaluate(now)
-		if result.verdict != verdictHarmful && now-c.stageFilledAt >= p.config.Rules.Warm+p.config.Rules.Look {
+		if result.verdict != verdictHarmful && now-c.stageFilledAt >= p.config.Rules.WarmUp+p.config.Rules.MinEvaluation {
 			result.verdict, result.text = verdictHarmless, "all have changed"
 		} else if result.verdict == verdictHarmless {
 			result.verdict = verdictUndecided
@@ -60,7 +60,7 @@
 }
 
 // passStage opens the next stage, or starts to conclude the change.
-func (p *Part) passStage(now int64, out *fleet.Out) {
+func (p *Module) passStage(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.record
 	rec.Wave = nil
@@ -77,7 +77,7 @@
 }
 
 // rollBack rolls the changed processes back, a few at a time.
-func (p *Part) rollBack(now int64, out *fleet.Out) {
+func (p *Module) rollBack(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if len(c.wave) > 0 {
 		p.superviseWave(now, Back, out)
@@ -89,7 +89,7 @@
 	}
 	// A halted change must end even if there is never spare capacity: then one process at a time goes back, and
 	// the next one once it serves again.
-	plan.forced = now-c.rollbackBlockedSince >= p.config.Rules.Patience
+	plan.forced = now-c.rollbackBlockedSince >= p.config.Rules.ApplyTimeout
 	wave, why := plan.nextWave()
 	if len(wave) > 0 {
 		c.rollbackBlockedSince = 0
@@ -110,9 +110,9 @@
 
 // conclude has all reachable processes store the new target. A process that died during the change and restarted
 // with the previous target is changed as well: one at a time, and skipped if it does not change in time.
-func (p *Part) conclude(now int64, out *fleet.Out) {
+func (p *Module) conclude(now int64, out *fleet.Out) {
 	c := &p.conductor
-	resend := c.ordersSentAt == 0 || now-c.ordersSentAt >= p.config.Rules.Repeat
+	resend := c.ordersSentAt == 0 || now-c.ordersSentAt >= p.config.Rules.ResendInterval
 	if resend {
 		c.ordersSentAt = now
 	}
@@ -133,7 +133,7 @@
 		if since, ok := c.reachableSince[leftBehind]; !ok {
 			c.reachableSince[leftBehind] = now
 			p.addNote(out, "takes along", c.grant.Fence, int64(c.record.Target.Change), leftBehind)
-		} else if now-since > p.config.Rules.Patience {
+		} else if now-since > p.config.Rules.ApplyTimeout {
 			c.answerDetails[leftBehind] = "left behind"
 			p.addNote(out, "left behind", c.grant.Fence, int64(c.record.Target.Change), leftBehind)
 		}
@@ -151,7 +151,7 @@
 
 // finish notes that a change is over and releases the lease once the others know. If a process that was cut off
 // comes back later and is still in the change, whoever then holds the lease finishes it.
-func (p *Part) finish(now int64, out *fleet.Out) {
+func (p *Module) finish(now int64, out *fleet.Out) {
 	c := &p.conductor
 	change := c.record.Target.Change
 	if running := p.peers.runningChange(); running > change && p.hasView {
@@ -188,7 +188,7 @@
 			known = false
 		}
 	}
-	if known || now-c.ordersSentAt >= p.config.Rules.Ask {
+	if known || now-c.ordersSentAt >= p.config.Rules.LeaseTimeout {
 		p.releaseLease(now, out)
 	}
 }
--- a/internal/stage/conductor.go
+++ b/internal/stage/conductor.go
@@ -87,7 +87,7 @@
 }
 
 // conduct does the work of the holder of the lease, and claims the lease if this process should.
-func (p *Part) conduct(now int64, out *fleet.Out) {
+func (p *Module) conduct(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if p.config.Lease == nil {
 		return
@@ -96,7 +96,7 @@
 		p.releaseLease(now, out)
 		return
 	}
-	if c.proposal.Change != 0 && now-c.proposedAt > p.config.Rules.Ask && !c.holdsLease {
+	if c.proposal.Change != 0 && now-c.proposedAt > p.config.Rules.LeaseTimeout && !c.holdsLease {
 		p.addNote(out, "refused", 0, int64(c.proposal.Change), "the lease of the change was not granted in time")
 		c.proposal = Target{}
 	}
@@ -134,7 +134,7 @@
 	p.advance(now, out)
 }
 
-func (p *Part) releaseLease(now int64, out *fleet.Out) {
+func (p *Module) releaseLease(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if c.leaseClaimed {
 		c.leaseClaimed, c.holdsLease, c.writePending, c.wave = false, false, false, nil
@@ -143,7 +143,7 @@
 }
 
 // adoptRecord continues from the record that the previous holder of the lease stored.
-func (p *Part) adoptRecord(now int64, g lease.Grant, out *fleet.Out) bool {
+func (p *Module) adoptRecord(now int64, g lease.Grant, out *fleet.Out) bool {
 	c := &p.conductor
 	rec, err := decodeRecord(g.Value)
 	if err != nil {
@@ -195,7 +195,7 @@
 )
 
 // storeRecord writes a record. Its consequences follow once a majority of the electors has stored it.
-func (p *Part) storeRecord(now int64, rec record, then recordEvent, out *fleet.Out) {
+func (p *Module) storeRecord(now int64, rec record, then recordEvent, out *fleet.Out) {
 	c := &p.conductor
 	rec.Fence = c.grant.Fence
 	write, err := p.config.Lease.Write(now, Thing, rec.encode(), out)
@@ -211,7 +211,7 @@
 }
 
 // recordStored acts on a record that has been stored.
-func (p *Part) recordStored(now int64, out *fleet.Out) {
+func (p *Module) recordStored(now int64, out *fleet.Out) {
 	c := &p.conductor
 	change := c.record.Target.Change
 	then := c.onStored
@@ -251,7 +251,7 @@
 }
 
 // advance takes the next step that the stored record calls for.
-func (p *Part) advance(now int64, out *fleet.Out) {
+func (p *Module) advance(now int64, out *fleet.Out) {
 	c := &p.conductor
 	if c.writePending {
 		return
@@ -273,7 +273,7 @@
 }
 
 // openChange starts the proposed change if the record permits it.
-func (p *Part) openChange(now int64, out *fleet.Out) {
+func (p *Module) openChange(now int64, out *fleet.Out) {
 	c := &p.conductor
 	proposal := c.proposal
 	var err error
@@ -295,14 +295,14 @@
 	p.storeRecord(now, rec, changeOpened, out)
 }
 
-func (p *Part) noteStage(out *fleet.Out) {
+func (p *Module) noteStage(out *fleet.Out) {
 	c := &p.conductor
 	p.addNote(out, "stage", c.grant.Fence, int64(c.record.Stage),
 		fmt.Sprintf("change %d, stage %s", c.record.Target.Change, stageNames[c.record.Stage]))
 }
 
 // noteWaiting notes what the conductor is waiting for when that changes, and otherwise once a minute.
-func (p *Part) noteWaiting(now int64, why string, out *fleet.Out) {
+func (p *Module) noteWaiting(now int64, why string, out *fleet.Out) {
 	c := &p.conductor
 	if why != c.waitingFor || now-c.waitNotedAt >= 60*second {
 		c.waitingFor, c.waitNotedAt = why, now
@@ -314,7 +314,7 @@
 
 // halt stops a change. The processes that are being ordered stay in the wave and are rolled back first, because
 // the order to change may still be on its way to them.
-func (p *Part) halt(now int64, reason string, out *fleet.Out) {
+func (p *Module) halt(now int64, reason string, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.record
 	rec.Phase, rec.Reason = goingBack, truncate(reason, maxReason)
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -130,10 +130,10 @@
 func newEvidence(rules Rules, change uint64, now int64, faults failpoints) *evidence {
 	return &evidence{
 		rules:      rules,
-		slotLength: rules.Slot,
+		slotLength: rules.SlotLength,
 		change:     change,
 		beganAt:    now,
-		slotEnd:    now + rules.Slot,
+		slotEnd:    now + rules.SlotLength,
 		processes:  map[string]*processEvidence{},
 		stage:      -1,
 		failpoints: faults,
@@ -206,7 +206,7 @@
 	}
 	if side != s.side {
 		if side == sideNew {
-			s.warmAt = now + e.rules.Warm
+			s.warmAt = now + e.rules.WarmUp
 		}
 		s.side, s.excluded, s.classSlots = side, true, nil
 	}
--- a/internal/stage/figures.go
+++ b/internal/stage/figures.go
@@ -6,7 +6,7 @@
 
 // gatherFigures reads the figures of all processes if this process conducts the change or would take over as
 // conductor, and requests them meanwhile.
-func (p *Part) gatherFigures(now int64, v *fleet.View, out *fleet.Out) {
+func (p *Module) gatherFigures(now int64, v *fleet.View, out *fleet.Out) {
 	c := &p.conductor
 	change := p.peers.runningChange()
 	if c.holdsLease && c.record.Phase == running {
@@ -48,7 +48,7 @@
 }
 
 // requestFigures says whether this process needs the figures of the others.
-func (p *Part) requestFigures(now int64, wanted bool, out *fleet.Out) {
+func (p *Module) requestFigures(now int64, wanted bool, out *fleet.Out) {
 	if p.config.Figures != nil {
 		p.config.Figures.Want(now, wanted, out)
 	}
@@ -57,9 +57,9 @@
 // slotLength returns the length of the intervals over which old and new are compared. It leaves room for the
 // windows of each process to arrive a little late, because a process without figures in half of the slots is not
 // compared.
-func (p *Part) slotLength() int64 {
+func (p *Module) slotLength() int64 {
 	if p.config.Figures == nil {
-		return p.config.Rules.Slot
+		return p.config.Rules.SlotLength
 	}
-	return max(p.config.Rules.Slot, p.config.Figures.Length()/4*5)
+	return max(p.config.Rules.SlotLength, p.config.Figures.Length()/4*5)
 }
--- a/internal/stage/figures_test.go
+++ b/internal/stage/figures_test.go
@@ -24,7 +24,7 @@
 
 // gatherer is a Part that conducts a change, with a view of itself and three other processes.
 type gatherer struct {
-	*Part
+	*Module
 	subscriber *fakeSubscriber
 	view       fleet.View
 }
@@ -32,7 +32,7 @@
 func newGatherer(length int64) *gatherer {
 	subscriber := &fakeSubscriber{length: length}
 	p := New(Config{Name: "a", Lease: processLease{&fakeLease{}, "a"}, Figures: subscriber})
-	g := &gatherer{Part: p, subscriber: subscriber}
+	g := &gatherer{Module: p, subscriber: subscriber}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		e := fleet.Entry{Name: name, Incarnation: 1, Version: 1, Zone: "z", State: fleet.Serving}
 		g.view.Members = append(g.view.Members, fleet.Member{Entry: e})
--- a/internal/stage/lease_test.go
+++ b/internal/stage/lease_test.go
@@ -17,8 +17,8 @@
 func TestChangeOverLeases(t *testing.T) {
 	const n, tick = 7, second / 20
 	type process struct {
-		lease        *lease.Part
-		stage        *Part
+		lease        *lease.Module
+		stage        *Module
 		entry        fleet.Entry
 		concluded    Target
 		cut          int64 // cut off until then
@@ -97,7 +97,7 @@
 			p.stage = New(Config{Name: names[i], Zone: "z", Lease: p.lease, Running: p.concluded,
 				Concluded: p.concluded,
 				oracle:    func(s int) bool { return s == worse },
-				Rules: Rules{Baseline: second, Warm: 1, Slot: 1, Look: 1, Patience: 20 * second, Lost: 5 * second,
+				Rules: Rules{Baseline: second, WarmUp: 1, SlotLength: 1, MinEvaluation: 1, ApplyTimeout: 20 * second, SuspectTimeout: 5 * second,
 					MaxUnreachable: 1}})
 			call(i, func(p *process, out *fleet.Out) { p.lease.Start(now, out); p.stage.Start(now, out) })
 		}
--- a/internal/stage/model_check_test.go
+++ b/internal/stage/model_check_test.go
@@ -71,7 +71,7 @@
 type modelState struct {
 	now            int64
 	lease          *fakeLease
-	parts          []*Part
+	parts          []*Module
 	entries        []fleet.Entry
 	acts           [][]fleet.Act
 	concluded      []uint64 // change of the target in the file of the concluded target, by process
@@ -94,17 +94,17 @@
 }
 
 func (w *modelState) config(i int, running, concluded Target) Config {
-	tiny := Rules{Baseline: 1, Warm: 1, Slot: 1, Look: 1, Most: 1, Patience: 1 << 50, Lost: 1 << 50, Ask: 3 * second,
-		Repeat: 1, MaxUnreachable: 1}
+	tiny := Rules{Baseline: 1, WarmUp: 1, SlotLength: 1, MinEvaluation: 1, MaxEvaluation: 1, ApplyTimeout: 1 << 50, SuspectTimeout: 1 << 50, LeaseTimeout: 3 * second,
+		ResendInterval: 1, MaxUnreachable: 1}
 	if w.dropsLeft == 0 && w.deathsLeft == 0 && w.deathCount == 0 && !w.lossy {
-		tiny.Repeat = 1 << 50 // orders are not repeated where none is lost, for a smaller search
+		tiny.ResendInterval = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
 	return Config{Name: w.entries[i].Name, Zone: "z", Lease: processLease{w.lease, w.entries[i].Name}, Running: running,
 		Concluded: concluded, Rules: tiny, failpoints: w.failpoints, oracle: func(s int) bool { return s == w.harmfulStage }}
 }
 
 func newModelState(n int, faults failpoints) *modelState {
-	w := &modelState{lease: &fakeLease{}, parts: make([]*Part, n), entries: make([]fleet.Entry, n),
+	w := &modelState{lease: &fakeLease{}, parts: make([]*Module, n), entries: make([]fleet.Entry, n),
 		acts: make([][]fleet.Act, n), concluded: make([]uint64, n),
 		highestOrder: make([][2]uint64, n), harmfulStage: -1, failpoints: faults}
 	for i := range n {
@@ -119,7 +119,7 @@
 	f := *w.lease
 	f.claims = slices.Clone(f.claims)
 	v.lease = &f
-	v.parts, v.entries, v.acts = make([]*Part, len(w.parts)), slices.Clone(w.entries), slices.Clone(w.acts)
+	v.parts, v.entries, v.acts = make([]*Module, len(w.parts)), slices.Clone(w.entries), slices.Clone(w.acts)
 	v.concluded, v.messages, v.highestOrder =
 		slices.Clone(w.concluded), slices.Clone(w.messages), slices.Clone(w.highestOrder)
 	for i, p := range w.parts {
@@ -178,7 +178,7 @@
 func processIndex(name string) int { return int(name[0] - 'a') }
 
 // call calls a Part, collects its output and checks the invariants.
-func (w *modelState) call(i int, f func(p *Part, out *fleet.Out)) error {
+func (w *modelState) call(i int, f func(p *Module, out *fleet.Out)) error {
 	var out fleet.Out
 	f(w.parts[i], &out)
 	stored, err := decodeRecord(w.lease.value)
@@ -257,7 +257,7 @@
 	w.acts[i] = nil
 	w.lease.release(w.entries[i].Name)
 	w.parts[i] = New(w.config(i, t(running), t(w.concluded[i])))
-	return w.call(i, func(p *Part, out *fleet.Out) { p.Start(w.now, out) })
+	return w.call(i, func(p *Module, out *fleet.Out) { p.Start(w.now, out) })
 }
 
 func (w *modelState) target() Target {
@@ -306,7 +306,7 @@
 	for _, c := range f.claims {
 		i := processIndex(c)
 		add("tick "+c, func(w *modelState) error {
-			return w.call(i, func(p *Part, out *fleet.Out) { p.Tick(w.now, out) })
+			return w.call(i, func(p *Module, out *fleet.Out) { p.Tick(w.now, out) })
 		})
 	}
 	seen := w.entriesText()
@@ -324,7 +324,7 @@
 				if !w.sharedView && slices.Contains(w.lease.claims, w.entries[i].Name) != (k == 0) {
 					continue
 				}
-				if err := w.call(i, func(p *Part, out *fleet.Out) { p.View(w.now, v, out) }); err != nil {
+				if err := w.call(i, func(p *Module, out *fleet.Out) { p.View(w.now, v, out) }); err != nil {
 					return err
 				}
 			}
@@ -333,7 +333,7 @@
 	}
 	for k, m := range w.messages {
 		deliver := func(w *modelState) error {
-			return w.call(processIndex(m.To), func(p *Part, out *fleet.Out) { p.Message(w.now, m, out) })
+			return w.call(processIndex(m.To), func(p *Module, out *fleet.Out) { p.Message(w.now, m, out) })
 		}
 		add("deliver to "+m.To, func(w *modelState) error {
 			w.messages = slices.Delete(w.messages, k, k+1)
@@ -357,7 +357,7 @@
 				if err == nil && a.What == Conclude {
 					w.concluded[i] = change
 				}
-				if e := w.call(i, func(p *Part, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil ||
+				if e := w.call(i, func(p *Module, out *fleet.Out) { p.Done(w.now, a, err, out) }); e != nil ||
 					err != nil || !w.program || a.What == Conclude {
 					return e
 				}
@@ -480,7 +480,7 @@
 		w.parts[i] = New(w.config(i, Target{}, Target{}))
 	}
 	for i := range w.parts {
-		if err := w.call(i, func(p *Part, out *fleet.Out) { p.Start(0, out) }); err != nil {
+		if err := w.call(i, func(p *Module, out *fleet.Out) { p.Start(0, out) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -492,7 +492,7 @@
 			}
 		}
 	}
-	if err := w.call(0, func(p *Part, out *fleet.Out) {
+	if err := w.call(0, func(p *Module, out *fleet.Out) {
 		if err := p.Propose(0, w.target(), out); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/stage/queries.go
+++ b/internal/stage/queries.go
@@ -1,9 +1,9 @@
 package stage
 
-// Soon reports whether a process is changing or is among the next to change. Meanwhile it should not be given
+// ChangesSoon reports whether a process is changing or is among the next to change. Meanwhile it should not be given
 // anything to own. The answer is based on the entries that this process has received and may be wrong, so nothing
 // that needs mutual exclusion may depend on it.
-func (p *Part) Soon(name string) bool {
+func (p *Module) ChangesSoon(name string) bool {
 	peer := p.peers.byName[name]
 	if peer == nil {
 		return false
@@ -32,14 +32,14 @@
 	return ahead < max(1, min(p.config.Rules.WaveSize, remaining/10))
 }
 
-// First returns the status for the entry of a process until its Part publishes one. It tells the target that the
+// InitialStatus returns the status for the entry of a process until its Part publishes one. It tells the target that the
 // process runs with, so that a process that has just started is not taken for one that left the change.
-func First(running, concluded Target) []byte {
+func InitialStatus(running, concluded Target) []byte {
 	p := newPart(Config{Running: running, Concluded: concluded})
 	return encode(processStatus{Change: p.change, State: p.state, RunningChange: p.running.Change})
 }
 
 // needsSuccessor reports whether a successor must be started here to run with a target.
-func (p *Part) needsSuccessor(t Target) bool {
+func (p *Module) needsSuccessor(t Target) bool {
 	return t.Program != p.running.Program || t.ProgramDigest != p.running.ProgramDigest
 }
--- a/internal/stage/rollout.go
+++ b/internal/stage/rollout.go
@@ -8,7 +8,7 @@
 
 // advanceRunning advances a running change: it checks for reasons to halt, then orders further processes or judges
 // the stage.
-func (p *Part) advanceRunning(now int64, out *fleet.Out) {
+func (p *Module) advanceRunning(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.record
 	change := rec.Target.Change
@@ -43,7 +43,7 @@
 
 // superviseWave repeats the order until all processes of a wave have carried it out, and drops those that are cut
 // off.
-func (p *Part) superviseWave(now int64, verb string, out *fleet.Out) {
+func (p *Module) superviseWave(now int64, verb string, out *fleet.Out) {
 	c := &p.conductor
 	change := c.record.Target.Change
 	pending := c.wave[:0:0]
@@ -79,14 +79,14 @@
 			if q != nil {
 				since = max(since, q.suspectChangedAt)
 			}
-			if now-since >= p.config.Rules.Lost {
+			if now-since >= p.config.Rules.SuspectTimeout {
 				p.addNote(out, "cut off", c.grant.Fence, int64(change), name)
 				continue
 			}
 			delete(c.reachableSince, name)
 		} else if reachableSince, ok := c.reachableSince[name]; !ok {
 			c.reachableSince[name] = now
-		} else if now-reachableSince >= p.config.Rules.Patience {
+		} else if now-reachableSince >= p.config.Rules.ApplyTimeout {
 			if verb == Apply {
 				p.halt(now, name+" was ordered to change and has not changed in time", out)
 				return
@@ -97,7 +97,7 @@
 		pending = append(pending, name)
 	}
 	c.wave = pending
-	if len(pending) == 0 || c.ordersSentAt != 0 && now-c.ordersSentAt < p.config.Rules.Repeat {
+	if len(pending) == 0 || c.ordersSentAt != 0 && now-c.ordersSentAt < p.config.Rules.ResendInterval {
 		return
 	}
 	c.ordersSentAt = now
@@ -107,7 +107,7 @@
 }
 
 // sendOrder sends an order to one process, with the fencing number of the lease.
-func (p *Part) sendOrder(now int64, to, verb string, out *fleet.Out) {
+func (p *Module) sendOrder(now int64, to, verb string, out *fleet.Out) {
 	c := &p.conductor
 	s := message{Order: true, Change: c.record.Target.Change, Fence: c.grant.Fence, Write: c.grant.Write, Verb: verb,
 		Target: c.record.Target}
@@ -119,7 +119,7 @@
 }
 
 // recordAnswer records the answer of a process to an order.
-func (p *Part) recordAnswer(_ int64, from string, s message) {
+func (p *Module) recordAnswer(_ int64, from string, s message) {
 	c := &p.conductor
 	// Ignores answers to an earlier conductor or from before this record.
 	if !c.holdsLease || s.Change != c.record.Target.Change || s.Fence != c.grant.Fence || s.Write != c.grant.Write ||
@@ -130,7 +130,7 @@
 }
 
 // fillStage orders the next processes of the stage to change, or records that the stage has all of them.
-func (p *Part) fillStage(now int64, out *fleet.Out) {
+func (p *Module) fillStage(now int64, out *fleet.Out) {
 	c := &p.conductor
 	rec := c.record
 	e := c.evidence
@@ -166,15 +166,15 @@
 }
 
 // yieldLease releases the lease because the conductor itself is the only process that is left.
-func (p *Part) yieldLease(now int64, out *fleet.Out) {
+func (p *Module) yieldLease(now int64, out *fleet.Out) {
 	p.addNote(out, "steps aside", p.conductor.grant.Fence, int64(p.conductor.record.Target.Change),
 		"only the conductor is left")
-	p.conductor.noClaimUntil = now + p.config.Rules.Ask
+	p.conductor.noClaimUntil = now + p.config.Rules.LeaseTimeout
 	p.releaseLease(now, out)
 }
 
 // storeWave stores the names of the processes to order next; they are ordered once the record is stored.
-func (p *Part) storeWave(now int64, rec record, wave []string, out *fleet.Out) {
+func (p *Module) storeWave(now int64, rec record, wave []string, out *fleet.Out) {
 	c := &p.conductor
 	// A process that was ordered and is cut off stays in the record: it may be changing unseen, and its neighbours
 	// have to wait.
@@ -193,7 +193,7 @@
 	p.storeRecord(now, rec, waveStored, out)
 }
 
-func (p *Part) makePlan(rollback bool) *plan {
+func (p *Module) makePlan(rollback bool) *plan {
 	c := &p.conductor
 	change := c.record.Target.Change
 	result := &plan{
--- a/internal/stage/safeguards_test.go
+++ b/internal/stage/safeguards_test.go
@@ -28,7 +28,7 @@
 
 // judge simulates 60 processes, 6 of which change, and returns the first decided finding of 40 slots.
 func (f *figuresModel) judge(faults failpoints, before int) finding {
-	rules := Rules{Warm: 1, Alpha: 0.02}.withDefaults()
+	rules := Rules{WarmUp: 1, Alpha: 0.02}.withDefaults()
 	e := newEvidence(rules, change, 0, faults)
 	now, number := int64(0), uint64(0)
 	f.rates = make([]float64, 60)
@@ -36,7 +36,7 @@
 		f.rates[i] = f.meanRate * math.Exp(f.spread*f.r.NormFloat64())
 	}
 	slot := func(changed bool) {
-		now, number = now+rules.Slot, number+1
+		now, number = now+rules.SlotLength, number+1
 		for i, p := range f.rates {
 			status := processStatus{}
 			if changed {
@@ -49,7 +49,7 @@
 			refused := max(0, math.Round(n*p+math.Sqrt(n*p)*f.r.NormFloat64()))
 			m := fleet.Member{Entry: fleet.Entry{Name: fmt.Sprint("c", i), Incarnation: 1, Zone: "z",
 				State: fleet.Serving, Windows: []fleet.Window{{
-					Number: number, Length: rules.Slot,
+					Number: number, Length: rules.SlotLength,
 					Class: []fleet.ClassFigures{{Name: "x", Offered: uint64(n), Refused: uint64(refused)}}}}}}
 			e.addWindows(now, &m, status)
 		}
--- a/internal/stage/slots.go
+++ b/internal/stage/slots.go
@@ -183,7 +183,7 @@
 		}
 		b := e.slowBucket[c]
 		steepness := math.Log(max(over[b-1], 1)/max(over[b+1], 1)) / (2 * math.Ln2)
-		e.slowMargin[c] = math.Pow(1+e.rules.Margins.Wait, max(steepness, 0.3)) - 1
+		e.slowMargin[c] = math.Pow(1+e.rules.Margins.WaitP99, max(steepness, 0.3)) - 1
 	}
 }
 
--- a/internal/stage/state_machine.go
+++ b/internal/stage/state_machine.go
@@ -8,9 +8,9 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Part is the state machine of staged changes in one process: it carries out the orders that the process receives,
+// Module is the state machine of staged changes in one process: it carries out the orders that the process receives,
 // and is the conductor while the process holds the lease. It implements fleet.Module.
-type Part struct {
+type Module struct {
 	config    Config
 	peers     peerTable
 	hasView   bool
@@ -37,14 +37,14 @@
 
 type counters struct{ orders, refusedOrders, appliedChanges, rollbacks, halts, conclusions, badMessages uint64 }
 
-var _ fleet.Module = (*Part)(nil)
+var _ fleet.Module = (*Module)(nil)
 
 // tickInterval is how often a Part checks its lease, its orders and its slots.
 const tickInterval = second / 5
 
-func newPart(c Config) *Part {
+func newPart(c Config) *Module {
 	c.Rules = c.Rules.withDefaults()
-	p := &Part{config: c, running: c.Running, concluded: c.Concluded, nextTick: math.MaxInt64}
+	p := &Module{config: c, running: c.Running, concluded: c.Concluded, nextTick: math.MaxInt64}
 	p.peers = peerTable{self: c.Name, byName: map[string]*peer{}, failpoints: c.failpoints}
 	if c.Running.Change != c.Concluded.Change {
 		p.state, p.change, p.target = Changed, c.Running.Change, c.Running
@@ -53,16 +53,16 @@
 }
 
 // Kind returns fleet.Stage.
-func (p *Part) Kind() fleet.Kind { return fleet.Stage }
+func (p *Module) Kind() fleet.Kind { return fleet.Stage }
 
 // Start publishes the status of this process.
-func (p *Part) Start(now int64, out *fleet.Out) {
+func (p *Module) Start(now int64, out *fleet.Out) {
 	p.nextTick = now + tickInterval
 	p.publishStatus(out)
 }
 
 // View applies a view of the other processes.
-func (p *Part) View(now int64, v *fleet.View, out *fleet.Out) {
+func (p *Module) View(now int64, v *fleet.View, out *fleet.Out) {
 	p.peers.update(now, v)
 	p.hasView = true
 	running := p.peers.runningChange()
@@ -78,17 +78,17 @@
 }
 
 // Tick does the work that is due.
-func (p *Part) Tick(now int64, out *fleet.Out) {
+func (p *Module) Tick(now int64, out *fleet.Out) {
 	p.nextTick = now + tickInterval
 	p.conduct(now, out)
 	p.publishStatus(out)
 }
 
 // Next returns when Tick is due.
-func (p *Part) Next() int64 { return p.nextTick }
+func (p *Module) Next() int64 { return p.nextTick }
 
 // Message handles an order or an answer.
-func (p *Part) Message(now int64, m fleet.Message, out *fleet.Out) {
+func (p *Module) Message(now int64, m fleet.Message, out *fleet.Out) {
 	var s message
 	if len(m.Body) > fleet.MaxBody || decode(m.Body, &s) != nil || len(s.Target.Settings) > MaxPath ||
 		len(s.Target.Program) > MaxPath {
@@ -105,7 +105,7 @@
 }
 
 // handleOrder carries out an order of the conductor and answers it.
-func (p *Part) handleOrder(now int64, from string, s message, out *fleet.Out) {
+func (p *Module) handleOrder(now int64, from string, s message, out *fleet.Out) {
 	// A process that has just started knows no fencing number yet; it ignores orders until it has its first view.
 	if p.handedOver || !p.hasView {
 		return
@@ -128,7 +128,7 @@
 	p.sendAnswer(from, s.Change, out)
 }
 
-func (p *Part) execute(s message, out *fleet.Out) {
+func (p *Module) execute(s message, out *fleet.Out) {
 	switch s.Verb {
 	case Apply:
 		if s.Change <= max(p.peers.highestOver, p.running.Change) || p.state == Refusing && p.change == s.Change {
@@ -155,11 +155,11 @@
 	}
 }
 
-func (p *Part) leaveChange() {
+func (p *Module) leaveChange() {
 	p.state, p.change, p.target, p.detail = Unchanged, 0, Target{}, ""
 }
 
-func (p *Part) startAct(verb string, t Target, out *fleet.Out) {
+func (p *Module) startAct(verb string, t Target, out *fleet.Out) {
 	p.lastAct++
 	p.openAct, p.openVerb = p.lastAct, verb
 	out.Acts = append(out.Acts, fleet.Act{Kind: fleet.Stage, Number: p.openAct, What: verb, Body: t.Encode()})
@@ -167,7 +167,7 @@
 }
 
 // Done handles the end of an act.
-func (p *Part) Done(now int64, a fleet.Act, err error, out *fleet.Out) {
+func (p *Module) Done(now int64, a fleet.Act, err error, out *fleet.Out) {
 	if a.Number != p.openAct || p.openAct == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 	p.publishStatus(out)
 }
 
-func (p *Part) sendAnswer(to string, change uint64, out *fleet.Out) {
+func (p *Module) sendAnswer(to string, change uint64, out *fleet.Out) {
 	s := message{Change: change, Fence: p.highestFence, Write: p.highestWrite, Detail: p.detail,
 		RunningChange: p.running.Change}
 	if p.change == change {
@@ -237,7 +237,7 @@
 }
 
 // publishStatus updates the status in the entry of this process if it has changed.
-func (p *Part) publishStatus(out *fleet.Out) {
+func (p *Module) publishStatus(out *fleet.Out) {
 	if p.handedOver {
 		return
 	}
@@ -251,12 +251,12 @@
 	}
 }
 
-func (p *Part) addNote(out *fleet.Out, what string, fence uint64, number int64, text string) {
+func (p *Module) addNote(out *fleet.Out, what string, fence uint64, number int64, text string) {
 	out.Notes = append(out.Notes, fleet.Note{Kind: fleet.Stage, What: what, Thing: Thing, Fence: fence, N: number,
 		Text: text})
 }
 
-func (p *Part) propose(now int64, t Target, out *fleet.Out) error {
+func (p *Module) propose(now int64, t Target, out *fleet.Out) error {
 	switch {
 	case t.Change == 0:
 		return &TargetError{Change: t.Change, Reason: "no change number is given"}
@@ -282,7 +282,7 @@
 }
 
 // knownRunning returns the change that is known to be running or was proposed here; 0: none.
-func (p *Part) knownRunning() uint64 {
+func (p *Module) knownRunning() uint64 {
 	if r := p.peers.runningChange(); r != 0 {
 		return r
 	}
@@ -296,7 +296,7 @@
 }
 
 // Figures reports the state of the change and counters as metrics.
-func (p *Part) Figures(put func(name string, n uint64, gauge bool)) {
+func (p *Module) Figures(put func(name string, n uint64, gauge bool)) {
 	put("stage_change", p.change, true)
 	put("stage_state", uint64(p.state), true)
 	put("stage_runs", p.peers.runningChange(), true)
@@ -313,7 +313,7 @@
 
 // Text describes the change in one line, as STATS shows it: the conductor, the stage, and after a halt the reason
 // with its evidence.
-func (p *Part) Text() string {
+func (p *Module) Text() string {
 	if c := &p.conductor; c.holdsLease && c.record.Phase != none {
 		return c.summary()
 	}
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -15,37 +15,37 @@
 	GiveUpsIn
 	ReleasesIn
 	TestsIn
-	TurnedOut // callers' connections closed because of what they sent, or did not send
-	BadIn     // messages or connections that could not be parsed, or that named unknown objects
+	CallersClosed // callers' connections closed because of what they sent, or did not send
+	InvalidIn     // messages or connections that could not be parsed, or that named unknown objects
 	AnswersOut
 	RefusalsOut
 	FailuresOut
 	ReleasesOut
 	AttemptsOut
 	CancelsOut
-	AnswersBack
-	FullBack
-	ErrorsBack
+	AnswersReceived
+	FullReceived
+	ErrorsReceived
 	TimeOuts
-	Unreached
+	ConnectFailures
 	Resets
 	Moot
 	JournalEvents
 	JournalLost
-	AskedIn // lines on the control address
+	ControlLinesIn // lines on the control address
 	Reloads
 	ReloadErrors
-	Reads        // times that data was received on a connection
-	Writes       // writes to connections, each of all data that a round had for one
-	Rounds       // steps in which anything was received
-	Timers       // timers set
-	Copied       // bytes copied on their way in
-	DoorRefusals // of RefusalsOut: set-ups refused because too many came in one round
+	Reads            // times that data was received on a connection
+	Writes           // writes to connections, each of all data that a round had for one
+	Rounds           // steps in which anything was received
+	Timers           // timers set
+	Copied           // bytes copied on their way in
+	OverloadRefusals // of RefusalsOut: set-ups refused because too many came in one round
 
 	// Transitions of offices by the liveness module, and the calls of ReleasesOut that were released because of them.
 	OfficesSuspected
 	OfficesUnresponsive
-	OfficesBack
+	OfficesRecovered
 	ReleasedSilent
 	ReleasedStalled
 	ReleasedRefused
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -13,31 +13,31 @@
 type Conn interface {
 	Write([]byte) (int, error)
 	Close() error
-	// Waiting reports whether there is received data that the session has not processed, or written data that has not
+	// Pending reports whether there is received data that the session has not processed, or written data that has not
 	// been sent.
-	Waiting() bool
+	Pending() bool
 	// Unread reports whether data was received of which the session was not notified yet.
 	Unread() bool
 	// Unsent reports whether written data has not been sent.
 	Unsent() bool
-	// Gone reports whether the peer has closed the connection, even if the session was not notified yet.
-	Gone() bool
-	// Trust marks the peer as a trusted caller: if it sends too much, the connection is throttled instead of closed.
-	Trust()
+	// PeerClosed reports whether the peer has closed the connection, even if the session was not notified yet.
+	PeerClosed() bool
+	// MarkTrusted marks the peer as a trusted caller: if it sends too much, the connection is throttled instead of closed.
+	MarkTrusted()
 }
 
 // Outbox collects the data that is written to a connection at the end of the round, in one write.
 type Outbox struct {
-	Bytes []byte
-	Sent  []Batched // attempts in it; a write that fails has written none of it
-	Told  []uint64  // calls whose answers are in it
-	Dirty bool      // it is among those written at the end of the round
+	Bytes         []byte
+	Attempts      []AttemptRef // attempts in it; a write that fails has written none of it
+	AnsweredCalls []uint64     // calls whose answers are in it
+	Dirty         bool         // it is among those written at the end of the round
 }
 
-// Batched identifies an attempt. The call's ID may be in use by another call when the attempt is looked up.
-type Batched struct {
-	Call uint64
-	N    int
+// AttemptRef identifies an attempt. The call's ID may be in use by another call when the attempt is looked up.
+type AttemptRef struct {
+	Call   uint64
+	Number int
 }
 
 // Clear empties the outbox; its buffers are kept up to a bound.
@@ -46,7 +46,7 @@
 	if b.Bytes = b.Bytes[:0]; cap(b.Bytes) > maxCapacity {
 		b.Bytes = nil
 	}
-	b.Sent, b.Told, b.Dirty = b.Sent[:0], b.Told[:0], false
+	b.Attempts, b.AnsweredCalls, b.Dirty = b.Attempts[:0], b.AnsweredCalls[:0], false
 }
 
 // Call is a call that was accepted and has no final answer yet, or whose attempt is still outstanding.
@@ -56,31 +56,31 @@
 	SetUp          wire.SetUp
 	Deadline       int64 // the caller gives up at this time
 	Answered       bool  // the caller has its final answer, or has disconnected
-	Sends          int   // number of attempts made
+	Attempts       int   // number of attempts made
 	Attempt        *Attempt
 	currentAttempt Attempt // storage that Attempt points to
 }
 
-// Try begins the call's next attempt. A call never has more than one.
-func (c *Call) Try(on *OfficeConn, now int64) *Attempt {
-	c.currentAttempt = Attempt{Call: c, N: c.Sends, Conn: on, Since: now}
-	c.Sends++
+// NewAttempt begins the call's next attempt. A call never has more than one.
+func (c *Call) NewAttempt(on *OfficeConn, now int64) *Attempt {
+	c.currentAttempt = Attempt{Call: c, Number: c.Attempts, OfficeConn: on, Since: now}
+	c.Attempts++
 	return &c.currentAttempt
 }
 
-// Calls is a free list of calls and established calls. What was returned to it is handed out again only after Settle,
+// FreeList is a free list of calls and established calls. What was returned to it is handed out again only after Settle,
 // which is called when nobody refers to it any more. Guards against a call that changes while it is in use.
-type Calls struct {
+type FreeList struct {
 	freeCalls, returnedCalls             []*Call
-	freeEstablished, returnedEstablished []*Standing
+	freeEstablished, returnedEstablished []*EstablishedCall
 	usedSinceTrim                        bool
 }
 
 // Bounds of the free list: the number of calls, and the buffer size for the description of each.
 const maxFree, maxDescription = 512, 1 << 10
 
-// Call returns a call, empty except for the capacity of its description.
-func (l *Calls) Call() *Call {
+// NewCall returns a call, empty except for the capacity of its description.
+func (l *FreeList) NewCall() *Call {
 	l.usedSinceTrim = true
 	if n := len(l.freeCalls); n > 0 {
 		c := l.freeCalls[n-1]
@@ -90,32 +90,34 @@
 	return &Call{}
 }
 
-// Over returns a call to the free list.
-func (l *Calls) Over(c *Call) { l.returnedCalls = append(l.returnedCalls, c) }
+// ReturnCall returns a call to the free list.
+func (l *FreeList) ReturnCall(c *Call) { l.returnedCalls = append(l.returnedCalls, c) }
 
-// Standing returns an empty established call.
-func (l *Calls) Standing() *Standing {
+// NewEstablished returns an empty established call.
+func (l *FreeList) NewEstablished() *EstablishedCall {
 	if n := len(l.freeEstablished); n > 0 {
 		st := l.freeEstablished[n-1]
 		l.freeEstablished = l.freeEstablished[:n-1]
 		return st
 	}
-	return &Standing{}
+	return &EstablishedCall{}
 }
 
-// Ended returns an established call to the free list.
-func (l *Calls) Ended(st *Standing) { l.returnedEstablished = append(l.returnedEstablished, st) }
+// ReturnEstablished returns an established call to the free list.
+func (l *FreeList) ReturnEstablished(st *EstablishedCall) {
+	l.returnedEstablished = append(l.returnedEstablished, st)
+}
 
 // Trim empties the free list if nothing was taken from it since the last Trim.
-func (l *Calls) Trim() {
+func (l *FreeList) Trim() {
 	if !l.usedSinceTrim {
 		l.freeCalls, l.freeEstablished = nil, nil
 	}
 	l.usedSinceTrim = false
 }
 
-// Settle makes the returned calls available again.
-func (l *Calls) Settle() {
+// Recycle makes the returned calls available again.
+func (l *FreeList) Recycle() {
 	for i, c := range l.returnedCalls {
 		description := c.SetUp.Description[:0]
 		if *c = (Call{}); cap(description) <= maxDescription {
@@ -126,7 +128,7 @@
 		}
 	}
 	for i, st := range l.returnedEstablished {
-		*st = Standing{}
+		*st = EstablishedCall{}
 		if l.returnedEstablished[i] = nil; len(l.freeEstablished) < maxFree {
 			l.freeEstablished = append(l.freeEstablished, st)
 		}
@@ -136,113 +138,113 @@
 
 // Attempt is a set-up that is outstanding at an office, or waits for its connection.
 type Attempt struct {
-	Call   *Call
-	N      int
-	Conn   *OfficeConn // the connection on which it was sent, or for which it waits
-	Since  int64       // when it was sent, or queued
-	Queued bool        // it waits for a connection: nothing of it has reached the office
-	Failed bool        // it could not be written: nothing of it was sent
-	Until  int64       // it must not be sent from this time on; 0: no limit
-	Stuck  bool        // not all data written with it had been sent at that time
+	Call       *Call
+	Number     int
+	OfficeConn *OfficeConn // the connection on which it was sent, or for which it waits
+	Since      int64       // when it was sent, or queued
+	Queued     bool        // it waits for a connection: nothing of it has reached the office
+	Failed     bool        // it could not be written: nothing of it was sent
+	NotAfter   int64       // it must not be sent from this time on; 0: no limit
+	PartlySent bool        // not all data written with it had been sent at that time
 	// An earlier attempt at the same office was cancelled, and its release was still pending when this one was
 	// made.
-	Unheard bool
-	Over    Ending // release of the earlier attempt
+	EarlierReleasePending bool
+	EarlierRelease        PendingRelease // release of the earlier attempt
 }
 
-// Standing is an established call.
-type Standing struct {
-	ID    uint64
-	Conn  *OfficeConn // the connection on which it was set up; it may have been closed
-	From  *Caller
-	Since int64
-	Class int // index of the class in the settings
+// EstablishedCall is an established call.
+type EstablishedCall struct {
+	ID         uint64
+	OfficeConn *OfficeConn // the connection on which it was set up; it may have been closed
+	From       *Caller
+	Since      int64
+	Class      int // index of the class in the settings
 }
 
 // Caller is a connection from callers.
 type Caller struct {
-	Conn   Conn
-	Box    Outbox
-	Since  int64             // when it was accepted
-	In     []byte            // incomplete message
-	Part   int64             // since when In holds an incomplete message
-	Open   map[uint64]*Call  // set-ups without a final answer
-	Quiet  int64             // since when no set-up is open
-	Stands int               // number of established calls that were set up on it
-	Asked  int64             // when its last set-up was received
-	Told   bool              // it was sent an answer, a refusal or the result of a test
-	Good   bool              // trusted: had an established call or acknowledged a release; abusive clients do neither
-	Odd    int               // number of set-ups and releases that could not be interpreted
-	Unsure map[uint64]Ending // pending releases to the caller
+	Conn             Conn
+	Outbox           Outbox
+	Since            int64                     // when it was accepted
+	Buffer           []byte                    // incomplete message
+	PartialSince     int64                     // since when In holds an incomplete message
+	Open             map[uint64]*Call          // set-ups without a final answer
+	IdleSince        int64                     // since when no set-up is open
+	EstablishedCount int                       // number of established calls that were set up on it
+	LastSetUp        int64                     // when its last set-up was received
+	Replied          bool                      // it was sent an answer, a refusal or the result of a test
+	Trusted          bool                      // trusted: had an established call or acknowledged a release; abusive clients do neither
+	InvalidCount     int                       // number of set-ups and releases that could not be interpreted
+	PendingReleases  map[uint64]PendingRelease // pending releases to the caller
 
 	Session uint64 // number of the connection, never reused; 0: calls are not assigned to pooled connections
 	Client  uint32 // identity of the client, as assigned by pooling
 }
 
-// Asker is a connection on the control address.
-type Asker struct {
-	Conn  Conn
-	Since int64
-	In    []byte
+// ControlConn is a connection on the control address.
+type ControlConn struct {
+	Conn   Conn
+	Since  int64
+	Buffer []byte
 }
 
-// Ends counts the final answers given to a class's calls.
-type Ends struct{ Completed, Rejected, Failed uint64 }
+// FinalAnswers counts the final answers given to a class's calls.
+type FinalAnswers struct{ Completed, Rejected, Failed uint64 }
 
-// Ending is a pending release: it was sent, or is to be sent, and is not acknowledged yet.
-type Ending struct {
+// PendingRelease is a pending release: it was sent, or is to be sent, and is not acknowledged yet.
+type PendingRelease struct {
 	Cause      byte
 	At         int64
 	Sent       bool   // it was sent to a caller, but to none that is trusted
 	ConnNumber uint32 // number of the connection on which it was sent to an office
-	Again      int64  // when it is repeated to the office although it was acknowledged; 0: it is not
+	RepeatAt   int64  // when it is repeated to the office although it was acknowledged; 0: it is not
 	// Unresponsive: it was sent because the office was assumed to be unable to end the call.
 	Unresponsive bool
-	Asked        int64 // when its set-up was sent to an office, if the set-up was cancelled there; otherwise 0
+	SetUpSent    int64 // when its set-up was sent to an office, if the set-up was cancelled there; otherwise 0
 }
 
 // OfficeConn is an office connection, existing or planned, and what is open on it. An office has one main connection
 // and may have pooled connections: each of these is owned by one caller, or shared by the calls of several callers,
 // one call at a time.
 type OfficeConn struct {
-	To       *Office
-	Number   uint32 // 0: the office's main connection; pooled connections have numbers that are never reused
-	Conn     Conn
-	Box      Outbox
-	Spoken   liveness.Connection // what was received on it, and when
-	Dialling uint64              // the current dial; 0: none
-	In       []byte
-	Partial  int64               // since when In holds an incomplete message
-	Out      map[uint64]*Attempt // attempts that were sent and have not ended
-	Queue    []*Attempt          // attempts that wait for the connection
+	To           *Office
+	Number       uint32 // 0: the office's main connection; pooled connections have numbers that are never reused
+	Conn         Conn
+	Outbox       Outbox
+	Received     liveness.Connection // what was received on it, and when
+	DialID       uint64              // the current dial; 0: none
+	Buffer       []byte
+	PartialSince int64               // since when In holds an incomplete message
+	Outstanding  map[uint64]*Attempt // attempts that were sent and have not ended
+	Queue        []*Attempt          // attempts that wait for the connection
 
 	// Only for pooled connections.
-	Owner  *Caller // the caller that owns it; nil: it is shared
-	Holder uint64  // the call that holds it if it is shared; 0: none does
-	Stands int     // number of established calls that were set up on it
-	Idle   int64   // since when nothing is open on it
+	Owner            *Caller // the caller that owns it; nil: it is shared
+	HeldByCall       uint64  // the call that holds it if it is shared; 0: none does
+	EstablishedCount int     // number of established calls that were set up on it
+	IdleSince        int64   // since when nothing is open on it
 }
 
-// Quiet reports whether a pooled connection has no open set-ups, waiting attempts or established calls.
-func (c *OfficeConn) Quiet() bool {
-	return c.Holder == 0 && c.Stands == 0 && len(c.Out)+len(c.Queue) == 0
+// IsIdle reports whether a pooled connection has no open set-ups, waiting attempts or established calls.
+func (c *OfficeConn) IsIdle() bool {
+	return c.HeldByCall == 0 && c.EstablishedCount == 0 && len(c.Outstanding)+len(c.Queue) == 0
 }
 
-// Loose reports whether a pooled connection is unused: nothing is open on it, and its owner has disconnected or it is
+// IsUnused reports whether a pooled connection is unused: nothing is open on it, and its owner has disconnected or it is
 // shared.
-func (c *OfficeConn) Loose() bool { return c.Quiet() && (c.Owner == nil || c.Owner.Conn == nil) }
+func (c *OfficeConn) IsUnused() bool { return c.IsIdle() && (c.Owner == nil || c.Owner.Conn == nil) }
 
 // Office is a call server and the main connection to it.
 type Office struct {
 	wire.Office
 	OfficeConn
-	Unreached bool                 // the last connect was refused or not established
-	Backoff   int64                // next pause between dials
-	NotUntil  int64                // no dial before this time
-	Liveness  liveness.Office      // whether it can still end its calls
-	Standing  map[uint64]*Standing // calls established there
-	Ended     map[uint64]Ending    // pending releases to the office
-	Strays    int                  // number of releases of unknown calls that it has sent since the last sweep
+	ConnectFailed   bool                        // the last connect was refused or not established
+	Backoff         int64                       // next pause between dials
+	NextDial        int64                       // no dial before this time
+	Liveness        liveness.Office             // whether it can still end its calls
+	Established     map[uint64]*EstablishedCall // calls established there
+	PendingReleases map[uint64]PendingRelease   // pending releases to the office
+	UnknownReleases int                         // number of releases of unknown calls that it has sent since the last sweep
 
 	// The following fields are used only where calls are assigned to pooled connections.
 	Serial      uint64                 // number by which pooling refers to the office
@@ -264,16 +266,16 @@
 // All returns the offices in the order in which they were first named.
 func (l *Offices) All() []*Office { return l.inOrder }
 
-// Gone is an office, or one process of it, that has ended according to the list; its connection and calls end with
+// EndedOffice is an office, or one process of it, that has ended according to the list; its connection and calls end with
 // it.
-type Gone struct {
+type EndedOffice struct {
 	Office  *Office
 	Removed bool // also at its old address; false: it was restarted at the same one
 }
 
 // Apply applies a change of the list and returns the offices that have ended by it, or have a new start or address.
-func (l *Offices) Apply(c wire.Change) []Gone {
-	var ended []Gone
+func (l *Offices) Apply(c wire.Change) []EndedOffice {
+	var ended []EndedOffice
 	if l.byID == nil {
 		l.byID = map[decide.ServerID]*Office{}
 	}
@@ -282,8 +284,8 @@
 		listed[o.ID] = true
 		known := l.byID[o.ID]
 		if known == nil {
-			known = &Office{Office: o, OfficeConn: OfficeConn{Out: map[uint64]*Attempt{}}, Standing: map[uint64]*Standing{},
-				Ended: map[uint64]Ending{}}
+			known = &Office{Office: o, OfficeConn: OfficeConn{Outstanding: map[uint64]*Attempt{}}, Established: map[uint64]*EstablishedCall{},
+				PendingReleases: map[uint64]PendingRelease{}}
 			known.To = known
 			l.byID[o.ID] = known
 			l.inOrder = append(l.inOrder, known)
@@ -293,29 +295,29 @@
 		known.Office = o
 		switch {
 		case o.State == decide.Removed && previous.State != decide.Removed:
-			ended = append(ended, Gone{known, true})
+			ended = append(ended, EndedOffice{known, true})
 		case o.Address != previous.Address: // whatever answers at the old address is not this office
-			ended = append(ended, Gone{known, true})
+			ended = append(ended, EndedOffice{known, true})
 		case o.Started > previous.Started:
-			ended = append(ended, Gone{known, false})
+			ended = append(ended, EndedOffice{known, false})
 		}
 	}
 	if c.Whole {
 		for _, o := range l.inOrder {
 			if !listed[o.ID] && o.State != decide.Removed {
 				o.State = decide.Removed
-				ended = append(ended, Gone{o, true})
+				ended = append(ended, EndedOffice{o, true})
 			}
 		}
 	}
 	return ended
 }
 
-// Forget drops removed offices of which no state is left, so that the list does not grow without bound.
-func (l *Offices) Forget() {
+// Prune drops removed offices of which no state is left, so that the list does not grow without bound.
+func (l *Offices) Prune() {
 	l.inOrder = slices.DeleteFunc(l.inOrder, func(o *Office) bool {
-		empty := o.State == decide.Removed && o.Conn == nil && o.Dialling == 0 && len(o.Out) == 0 &&
-			len(o.Queue) == 0 && len(o.Standing) == 0 && len(o.Pooled) == 0 && (o.Overflow == nil || len(o.Overflow.Queue) == 0)
+		empty := o.State == decide.Removed && o.Conn == nil && o.DialID == 0 && len(o.Outstanding) == 0 &&
+			len(o.Queue) == 0 && len(o.Established) == 0 && len(o.Pooled) == 0 && (o.Overflow == nil || len(o.Overflow.Queue) == 0)
 		if empty {
 			delete(l.byID, o.ID)
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -28,8 +28,8 @@
 	if len(gone) != 3 {
 		t.Errorf("a list without two of them: %+v", gone)
 	}
-	l.Get("a").Standing[1] = &Standing{}
-	l.Forget()
+	l.Get("a").Established[1] = &EstablishedCall{}
+	l.Prune()
 	if len(l.All()) != 1 || l.Get("b") != nil || l.Get("a") == nil {
 		t.Errorf("kept %v", l.All())
 	}
--- a/internal/state/wheel.go
+++ b/internal/state/wheel.go
@@ -9,8 +9,8 @@
 	TimerDial                        // the time limit of a connect: ID is the dial
 	TimerRedial                      // an office may be dialled again: ID is the number of the wait
 	TimerJournal                     // check of the journal connection
-	TimerPartial                     // check for incomplete messages, and for idle callers
-	TimerLeave                       // at shutdown: new callers are no longer accepted
+	TimerIncomplete                  // check for incomplete messages, and for idle callers
+	TimerStopAccepting               // at shutdown: new callers are no longer accepted
 	TimerShutdownDeadline            // at shutdown: all open calls must be answered now
 	TimerSweep                       // removal of outdated state
 	TimerConnWait                    // the time limit of a wait for a pooled connection; ID and N as for TimerAttempt
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -67,9 +67,9 @@
 		return answer{What: "SURRENDER", Handle: a.Call}, nil
 	case decide.Cancel:
 		return undo{"UNDO_SEND", a.Call, a.Attempt}, nil
-	case decide.Timer:
+	case decide.StartTimer:
 		return timer{"SET_TIMER", a.Wait, a.Token}, nil
-	case decide.Watch:
+	case decide.SubscribeList:
 		return watch{"WATCH", true}, nil
 	case decide.Log:
 		return words{"WRITE_LOG", a.Text}, nil
--- a/internal/wire/message_test.go
+++ b/internal/wire/message_test.go
@@ -122,7 +122,7 @@
 	for text, want := range map[string]float64{"free:70;size:296": 70, "free:0;size:9": 0, "free:x": -1, "free:-3": -1,
 		"free:Inf": -1, "free:NaN": -1, "": -1, "size:4": -1} {
 		m := Message{Type: TypeGroup, Params: []Param{Text(ParamLoad, text)}}
-		if got := m.Load().Free; got != want {
+		if got := m.Load().FreeLines; got != want {
 			t.Errorf("%q: %v free lines, want %v", text, got, want)
 		}
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -56,7 +56,7 @@
 	OverShare float64 `json:"over_share_worth"`
 }
 
-var effects = map[string]decide.Effect{"": decide.Free, "free": decide.Free, "guarded": decide.Guarded,
+var effects = map[string]decide.Effect{"": decide.Repeatable, "free": decide.Repeatable, "guarded": decide.Guarded,
 	"single_shot": decide.SingleShot}
 
 var scopes = map[string]decide.Scope{"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone,
@@ -72,15 +72,15 @@
 
 // Decide gives the part of the settings that the decisions need.
 func (r *Settings) Decide() (decide.Settings, error) {
-	s := decide.Settings{Instances: r.Balancers, OverShare: r.OverShare, Resend: r.Info.Resend,
+	s := decide.Settings{Instances: r.Balancers, OverShareWorth: r.OverShare, ResendAfter: r.Info.Resend,
 		Quantum: r.Quantum, MaxTries: r.Limits.MaxTries, MayCancel: r.Limits.Cancel,
 		RetryAdvice: r.Limits.RetryAfter, MaxRetryAfter: r.Limits.MaxAfter,
-		Subscribe: r.Discovery == "subscribe", Home: -1,
+		Subscribe: r.Discovery == "subscribe", HomePlace: -1,
 		Rules: decide.Rules{AnswerSlack: r.Rules.Slack, DrainGrace: r.Rules.Grace,
-			StartCapacity: r.Rules.Start, Cold: r.Rules.Cold, FallMultiple: r.Rules.Multiple,
-			Fall: r.Rules.Fall, AskWithin: r.Rules.Ask, Guard: r.Info.Guard}}
+			StartCapacity: r.Rules.Start, ColdTime: r.Rules.Cold, FallMultiple: r.Rules.Multiple,
+			FallTime: r.Rules.Fall, AskWithin: r.Rules.Ask, GuardTime: r.Info.Guard}}
 	if r.Info.Home != nil {
-		s.Home = *r.Info.Home
+		s.HomePlace = *r.Info.Home
 	}
 	for i, c := range r.Classes {
 		effect, ok := effects[c.Effect]
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -93,10 +93,10 @@
 }
 
 var outcomes = map[string]decide.Outcome{"S": decide.OK, "E": decide.Failed, "F": decide.Rejected,
-	"T": decide.TimedOut, "C": decide.Unreached, "R": decide.Cut, "X": decide.Cancelled, "N": decide.Unsent}
+	"T": decide.TimedOut, "C": decide.Unreachable, "R": decide.Cut, "X": decide.Cancelled, "N": decide.NotSent}
 
-var forms = map[string]decide.Form{"incr": decide.Delta, "total": decide.Whole,
-	"warm_copy": decide.Copy, "lost": decide.Failure}
+var forms = map[string]decide.Form{"incr": decide.ListDelta, "total": decide.ListFull,
+	"warm_copy": decide.ListCached, "lost": decide.ListFailed}
 
 var states = map[string]decide.State{"up": decide.Up, "draining": decide.Draining, "removed": decide.Removed}
 
@@ -267,8 +267,8 @@
 	if !ok {
 		return Event{}, fmt.Errorf("field form: unknown value %q", *r.Form)
 	}
-	ev := Event{Kind: Update, Event: decide.Event{Kind: decide.List, Form: form}}
-	if form == decide.Failure {
+	ev := Event{Kind: Update, Event: decide.Event{Kind: decide.ListUpdate, Form: form}}
+	if form == decide.ListFailed {
 		return ev, nil
 	}
 	var err error
@@ -284,17 +284,17 @@
 	if r.Dest != nil {
 		dest = int(*r.Dest)
 	}
-	return Event{Kind: Plain, Event: decide.Event{Kind: decide.Order, Call: decide.CallID(*r.Handle),
-		Class: r.Class, Tenant: r.Team, Key: r.Key, Deadline: *r.Deadline, Dest: dest, Retry: r.Retry,
-		Again: r.Again, Transit: r.Transit}}, nil
+	return Event{Kind: Plain, Event: decide.Event{Kind: decide.CallArrived, Call: decide.CallID(*r.Handle),
+		Class: r.Class, Tenant: r.Team, Key: r.Key, Deadline: *r.Deadline, Destination: dest, MarkedRepeat: r.Retry,
+		AgainAfterCut: r.Again, Transit: r.Transit}}, nil
 }
 
 func buildBegun(r *rawEvent) (Event, error) {
 	if err := need("handle", r.Handle, "server", r.Server); err != nil {
 		return Event{}, err
 	}
-	return Event{Kind: Plain, Event: decide.Event{Kind: decide.Begun, Call: decide.CallID(*r.Handle),
-		Server: decide.ServerID(*r.Server), Attempt: r.N, Took: r.Took}}, nil
+	return Event{Kind: Plain, Event: decide.Event{Kind: decide.SetUpCompleted, Call: decide.CallID(*r.Handle),
+		Server: decide.ServerID(*r.Server), Attempt: r.N, Elapsed: r.Took}}, nil
 }
 
 // Clear codes. A full processor may add 16 times a wait; a tandem may say that the one behind it was full.
@@ -311,8 +311,8 @@
 	if !ok {
 		return Event{}, fmt.Errorf("field result: unknown value %q", *r.Result)
 	}
-	ev := decide.Event{Kind: decide.Ended, Call: decide.CallID(*r.Handle), Attempt: r.N, Took: r.Took,
-		Outcome: out, Final: r.Finished, Full: r.Code%16 == fullNote || r.Code == turnedFull,
+	ev := decide.Event{Kind: decide.AttemptEnded, Call: decide.CallID(*r.Handle), Attempt: r.N, Elapsed: r.Took,
+		Outcome: out, AnswerGiven: r.Finished, ProcessorFull: r.Code%16 == fullNote || r.Code == turnedFull,
 		Load: load(r.Load)}
 	if r.Server != nil {
 		ev.Server = decide.ServerID(*r.Server)
@@ -324,14 +324,14 @@
 	if err := need("handle", r.Handle); err != nil {
 		return Event{}, err
 	}
-	return Event{Kind: Plain, Event: decide.Event{Kind: decide.Gone, Call: decide.CallID(*r.Handle)}}, nil
+	return Event{Kind: Plain, Event: decide.Event{Kind: decide.CallerLeft, Call: decide.CallID(*r.Handle)}}, nil
 }
 
 func buildFired(r *rawEvent) (Event, error) {
 	if err := need("label", r.Label); err != nil {
 		return Event{}, err
 	}
-	return Event{Kind: Plain, Event: decide.Event{Kind: decide.Fired, Token: *r.Label}}, nil
+	return Event{Kind: Plain, Event: decide.Event{Kind: decide.TimerFired, Token: *r.Label}}, nil
 }
 
 func buildHealth(r *rawEvent) (Event, error) {
@@ -342,8 +342,8 @@
 	if !ok {
 		return Event{}, fmt.Errorf("field result: unknown value %q", *r.Result)
 	}
-	return Event{Kind: Plain, Event: decide.Event{Kind: decide.Checked, Server: decide.ServerID(*r.Server),
-		Took: r.Took, Outcome: out, Load: load(r.Load)}}, nil
+	return Event{Kind: Plain, Event: decide.Event{Kind: decide.ServerReport, Server: decide.ServerID(*r.Server),
+		Elapsed: r.Took, Outcome: out, Load: load(r.Load)}}, nil
 }
 
 func load(m map[string]float64) decide.Load {
@@ -364,13 +364,13 @@
 	case "can_take":
 		l.CanTake = v
 	case "utilization":
-		l.Use = v
+		l.Utilization = v
 	case "backlog":
-		l.Queue = v
+		l.QueuedMessages = v
 	case "hold_back":
-		l.Back = v
+		l.HoldBack = v
 	case "free":
-		l.Free = v
+		l.FreeLines = v
 	}
 	return l
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,25 +24,25 @@
 func TestDecodeEvents(t *testing.T) {
 	quiet := decide.NoLoad()
 	told := decide.NoLoad()
-	told.Free = 2
+	told.FreeLines = 2
 	told.CanTake, told.Wait = 31.5, 40_000
 	for line, want := range map[string]decide.Event{
 		`{"what":"ORDER","handle":4503599627370495,"tier_class":1,"team":2,"key":"n/q","client_deadline_us":900,
 			"destination":3,"circuits":1,"advised_route":-1,"again_by_client":true,"novel":[1]}`: {
-			Kind: decide.Order, Call: 4503599627370495, Class: 1, Tenant: 2, Key: "n/q", Deadline: 900, Dest: 3,
-			Retry: true},
-		`{"what":"BEGUN","handle":8,"time_taken_us":55,"server":"h:1","n":2}`: {Kind: decide.Begun, Call: 8,
-			Server: "h:1", Attempt: 2, Took: 55},
+			Kind: decide.CallArrived, Call: 4503599627370495, Class: 1, Tenant: 2, Key: "n/q", Deadline: 900, Destination: 3,
+			MarkedRepeat: true},
+		`{"what":"BEGUN","handle":8,"time_taken_us":55,"server":"h:1","n":2}`: {Kind: decide.SetUpCompleted, Call: 8,
+			Server: "h:1", Attempt: 2, Elapsed: 55},
 		`{"what":"ENDED","handle":8,"result":"F","clear_code":3,"time_taken_us":5,"n":1,"server":"h:1",
-			"load":{"free":2,"can_take":31.5,"recent_ms":40,"new_one":1}}`: {Kind: decide.Ended, Call: 8,
-			Server: "h:1", Attempt: 1, Took: 5, Outcome: decide.Rejected, Full: true, Load: told},
-		`{"what":"ENDED","handle":8,"result":"E","clear_code":4,"finished":true}`: {Kind: decide.Ended, Call: 8,
-			Outcome: decide.Failed, Final: true, Load: quiet},
-		`{"what":"ENDED","handle":8,"result":"F","clear_code":1603}`: {Kind: decide.Ended, Call: 8,
-			Outcome: decide.Rejected, Full: true, Load: quiet},
-		`{"what":"CANCELLED_BY_CLIENT","handle":9}`:     {Kind: decide.Gone, Call: 9},
-		`{"what":"FIRED","label":9223372036854775808}`:  {Kind: decide.Fired, Token: 1 << 63},
-		`{"what":"HEALTH","server":"h:1","result":"S"}`: {Kind: decide.Checked, Server: "h:1", Outcome: decide.OK, Load: quiet},
+			"load":{"free":2,"can_take":31.5,"recent_ms":40,"new_one":1}}`: {Kind: decide.AttemptEnded, Call: 8,
+			Server: "h:1", Attempt: 1, Elapsed: 5, Outcome: decide.Rejected, ProcessorFull: true, Load: told},
+		`{"what":"ENDED","handle":8,"result":"E","clear_code":4,"finished":true}`: {Kind: decide.AttemptEnded, Call: 8,
+			Outcome: decide.Failed, AnswerGiven: true, Load: quiet},
+		`{"what":"ENDED","handle":8,"result":"F","clear_code":1603}`: {Kind: decide.AttemptEnded, Call: 8,
+			Outcome: decide.Rejected, ProcessorFull: true, Load: quiet},
+		`{"what":"CANCELLED_BY_CLIENT","handle":9}`:     {Kind: decide.CallerLeft, Call: 9},
+		`{"what":"FIRED","label":9223372036854775808}`:  {Kind: decide.TimerFired, Token: 1 << 63},
+		`{"what":"HEALTH","server":"h:1","result":"S"}`: {Kind: decide.ServerReport, Server: "h:1", Outcome: decide.OK, Load: quiet},
 	} {
 		if got := one(t, line); got.Kind != Plain || !reflect.DeepEqual(got.Event, want) {
 			t.Errorf("%s\n got %+v\nwant %+v", line, got.Event, want)
@@ -57,8 +57,8 @@
 	if got.Kind != Manifest || got.Sheet != 15 || len(got.Rows) != 1 || got.Rows[0] != row {
 		t.Errorf("list: %+v", got)
 	}
-	for form, want := range map[string]decide.Form{"incr": decide.Delta, "total": decide.Whole,
-		"warm_copy": decide.Copy, "lost": decide.Failure} {
+	for form, want := range map[string]decide.Form{"incr": decide.ListDelta, "total": decide.ListFull,
+		"warm_copy": decide.ListCached, "lost": decide.ListFailed} {
 		got := one(t, `{"what":"UPDATE","form":"`+form+`","sheet":2,"rev":1}`)
 		if got.Kind != Update || got.Event.Form != want {
 			t.Errorf("%s: %+v", form, got)
@@ -71,8 +71,8 @@
 	s := got.Settings
 	class := decide.Class{Aim: 5, Deadline: 9, Worth: 2, Effect: decide.Guarded, Scope: decide.ScopeCell,
 		Window: 6, Pools: []int{1, 2}}
-	if got.Seed != 1<<64-1 || s.Instances != 4 || !s.Subscribe || s.Resend != 8 || s.Rules.Guard != 7 ||
-		s.Rules.StartCapacity != 0.5 || s.Home != -1 || !reflect.DeepEqual(s.Classes, []decide.Class{class}) {
+	if got.Seed != 1<<64-1 || s.Instances != 4 || !s.Subscribe || s.ResendAfter != 8 || s.Rules.GuardTime != 7 ||
+		s.Rules.StartCapacity != 0.5 || s.HomePlace != -1 || !reflect.DeepEqual(s.Classes, []decide.Class{class}) {
 		t.Errorf("settings: %+v", got)
 	}
 }
@@ -113,8 +113,8 @@
 		`{"what":"OVERLOAD_REPLY","handle":5,"not_before_for_us":70}`:    {Kind: decide.Refuse, Call: 5, Wait: 70},
 		`{"what":"SURRENDER","handle":5}`:                                {Kind: decide.Fail, Call: 5},
 		`{"what":"UNDO_SEND","handle":5,"n":0}`:                          {Kind: decide.Cancel, Call: 5},
-		`{"what":"SET_TIMER","offset_us":9,"label":9223372036854775808}`: {Kind: decide.Timer, Wait: 9, Token: 1 << 63},
-		`{"what":"WATCH","active":true}`:                                 {Kind: decide.Watch},
+		`{"what":"SET_TIMER","offset_us":9,"label":9223372036854775808}`: {Kind: decide.StartTimer, Wait: 9, Token: 1 << 63},
+		`{"what":"WATCH","active":true}`:                                 {Kind: decide.SubscribeList},
 		`{"what":"WRITE_LOG","words":"a \"quoted\" word"}`:               {Kind: decide.Log, Text: `a "quoted" word`},
 	} {
 		m, err := Action(a)
