--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -4,7 +4,7 @@
 	"pewterwheel/decide"
 )
 
-// Decider decides on the events that a Front passes on: the router, or the decide module alone.
+// Decider decides on the events that an AdmissionFilter passes on: the router, or the decide module alone.
 type Decider interface {
 	Step(now int64, e decide.Event, out []decide.Action) []decide.Action
 	Avoids(id decide.ServerID) bool
@@ -12,15 +12,15 @@
 
 const (
 	maxKeyLength     = 32      // longer numbers are not followed
-	maxTrackedCalls  = 1 << 16 // calls to numbers in contention that a Front follows
+	maxTrackedCalls  = 1 << 16 // calls to numbers in contention that an AdmissionFilter follows
 	maxWaitingSetUps = 64      // set-ups that wait for one number
 	waitingInterval  = 5_000   // interval at which waiting set-ups are checked
 	minBusyEnds      = 2       // recent busy ends of one number before it is reported
-	// timerToken marks the timers of a Front. Tokens of the decide module count up from 0 and never reach it.
+	// timerToken marks the timers of an AdmissionFilter. Tokens of the decide module count up from 0 and never reach it.
 	timerToken = 1 << 63
 )
 
-// trackedCall is one call to a number in contention that the Front follows.
+// trackedCall is one call to a number in contention that the AdmissionFilter follows.
 type trackedCall struct {
 	entry       *tableEntry
 	setUp       decide.Event // the set-up while it waits
@@ -33,9 +33,9 @@
 	established bool
 }
 
-// AdmissionFilter decides on the call loop, in front of the router, whether a call to a number in contention may be attempted.
-// It delays, admits or refuses set-ups; it sends none itself. Calls to other numbers cost one sketch update. It
-// belongs to the goroutine of the loop.
+// AdmissionFilter decides on the call loop, in front of the router, whether a call to a number in contention may be
+// attempted. It delays, admits or refuses set-ups; it sends none itself. Calls to other numbers cost one sketch update.
+// It belongs to the goroutine of the loop.
 type AdmissionFilter struct {
 	cfg            Config
 	settings       decide.Settings
@@ -53,7 +53,7 @@
 	Counts FilterCounts
 }
 
-// FilterCounts counts what a Front has decided since its start.
+// FilterCounts counts what an AdmissionFilter has decided since its start.
 type FilterCounts struct {
 	Contended       uint64 // set-ups for numbers in contention
 	Permitted       uint64 // admitted with a permit
@@ -66,10 +66,11 @@
 	BusyUncontended uint64 // set-ups to numbers not in contention that ended busy
 }
 
-// NewAdmissionFilter returns a Front that passes events to inner, which is made with the same settings. It shares the table and
-// the queue with the Part of the process. The session must report the ends of calls to it (session.EndHearer): a
-// decider in front of it passes on HearsEnds and events.
-func NewAdmissionFilter(cfg Config, settings decide.Settings, inner Decider, table *Table, queue *Queue) *AdmissionFilter {
+// NewAdmissionFilter returns an AdmissionFilter that passes events to inner, which is made with the same settings. It
+// shares the table and the queue with the Module of the process. The session must report the ends of calls to it
+// (session.EndObserver): a decider in front of it passes on HearsEnds and events.
+func NewAdmissionFilter(cfg Config, settings decide.Settings, inner Decider, table *Table,
+	queue *Queue) *AdmissionFilter {
 	return &AdmissionFilter{cfg: cfg.withDefaults(), settings: settings, inner: inner, table: table, queue: queue,
 		sketch: &sketch{}, calls: map[decide.CallID]*trackedCall{}}
 }
@@ -90,7 +91,7 @@
 	return out
 }
 
-// Figures reports the counters of the Front and of the decider behind it.
+// Figures reports the counters of the AdmissionFilter and of the decider behind it.
 func (f *AdmissionFilter) Figures(put func(name string, n uint64, gauge bool)) {
 	counts := &f.Counts
 	put("keeper_hot", counts.Contended, false)
@@ -189,7 +190,8 @@
 }
 
 // handleSetUp takes a set-up to a number in contention.
-func (f *AdmissionFilter) handleSetUp(now int64, entry *tableEntry, event decide.Event, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) handleSetUp(now int64, entry *tableEntry, event decide.Event,
+	out []decide.Action) []decide.Action {
 	f.Counts.Contended++
 	entry.requested.Add(1)
 	if len(f.calls) >= maxTrackedCalls {
@@ -269,7 +271,8 @@
 // admitFallback admits a call without a permit while the owner is unreachable, within this process's fraction of the
 // turnover share it was last told. It prevents the calls of all processes from reaching the offices at once when an
 // owner dies.
-func (f *AdmissionFilter) admitFallback(now int64, event decide.Event, entry *tableEntry, out []decide.Action) []decide.Action {
+func (f *AdmissionFilter) admitFallback(now int64, event decide.Event, entry *tableEntry,
+	out []decide.Action) []decide.Action {
 	if entry.refilledAt == 0 {
 		entry.tokens, entry.refilledAt = 1, now
 	}
@@ -411,8 +414,8 @@
 	f.freeCalls = append(f.freeCalls, call)
 }
 
-// reportChange tells the Part that the values of a number have changed, once until the Part has read them; false: the
-// queue is full.
+// reportChange tells the Module that the values of a number have changed, once until the Module has read them; false:
+// the queue is full.
 func (f *AdmissionFilter) reportChange(entry *tableEntry) bool {
 	if entry.reportQueued.Swap(true) {
 		return true
--- a/internal/keeper/admission_test.go
+++ b/internal/keeper/admission_test.go
@@ -18,8 +18,8 @@
 	"pewterwheel/internal/lease"
 )
 
-// fakeDecider is the decider behind a Front in tests: it sends or refuses as configured, and checks the events it
-// receives.
+// fakeDecider is the decider behind an AdmissionFilter in tests: it sends or refuses as configured, and checks the
+// events it receives.
 type fakeDecider struct {
 	t       interface{ Fatalf(string, ...any) }
 	seen    map[decide.CallID]bool
@@ -237,7 +237,7 @@
 	}
 }
 
-// Runs the loop and the Part concurrently, for the race detector: each permit is used once, and no line is lost.
+// Runs the loop and the Module concurrently, for the race detector: each permit is used once, and no line is lost.
 func TestLoopAndModuleConcurrently(t *testing.T) {
 	table, queue := NewTable(), NewQueue(16)
 	module, err := New(Config{Self: "a", Lessor: &fakeLessor{}}, table, queue)
@@ -248,10 +248,11 @@
 	module.handleAnswer(1, "k", operation{Op: opAnswer, Key: contendedKey, Fence: 1}, &out)
 	module.flush(1, &out)
 	entry := module.clients[contendedKey].entry
-	filter := NewAdmissionFilter(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}}, table, queue)
+	filter := NewAdmissionFilter(Config{Self: "a"}, settings(), &fakeDecider{t: t, seen: map[decide.CallID]bool{}},
+		table, queue)
 	stop, done := make(chan bool), make(chan int64)
 	var clock atomic.Int64
-	go func() { // the Part, and an owner that grants one permit for each report
+	go func() { // the Module, and an owner that grants one permit for each report
 		given, fence := int64(0), uint64(1)
 		for {
 			select {
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -1,12 +1,12 @@
 // Package keeper shares the lines of called numbers whose lines run out. When several processes repeatedly find one
 // number busy, one of them takes the lease of the number and so becomes its owner: it tracks the lines of the number
-// and everything open to it, and grants permits to the others. A Front on each call loop admits calls to the number
-// only with a permit. A number that is not in contention has no owner and costs nothing. The package is named keeper
-// for the settings section and the metrics of that name.
+// and everything open to it, and grants permits to the others. An AdmissionFilter on each call loop admits calls to the
+// number only with a permit. A number that is not in contention has no owner and costs nothing. The package is named
+// keeper for the settings section and the metrics of that name.
 //
-// Part is the state machine of a process and runs beside its call loop; Front is the session.Decider on the loop.
-// They share only a Table and a Queue. Neither has a clock, goroutine or socket; both use the same monotonic time in
-// microseconds.
+// Module is the state machine of a process and runs beside its call loop; AdmissionFilter is the session.Decider on the
+// loop. They share only a Table and a Queue. Neither has a clock, goroutine or socket; both use the same monotonic time
+// in microseconds.
 package keeper
 
 import (
@@ -16,12 +16,12 @@
 	"pewterwheel/internal/lease"
 )
 
-// Config configures the Part and the Front of a process. Zero fields take the default named beside them. Times are in
-// microseconds.
+// Config configures the Module and the AdmissionFilter of a process. Zero fields take the default named beside them.
+// Times are in microseconds.
 type Config struct {
 	Self        string                 // name of this process in the view
-	Incarnation uint64                 // incarnation of this process: higher than that of every earlier run under this name
-	Lessor      lease.Client           // used by the Part only
+	Incarnation uint64                 // incarnation of this process: above that of every earlier run under this name
+	Lessor      lease.Client           // used by the Module only
 	Excluded    func(name string) bool // reports processes that are next in a staged change; nil: none
 	Lines       func(key string) int   // lines of a number that the site configures; 0 or nil: they are learned
 
@@ -106,7 +106,9 @@
 }
 
 // Errors lists the error types of this package.
-var Errors = []advice.Advised{&ConfigError{}, &MessageError{}, &RecordError{}, &OwnershipLostError{}, &OwnerLimitError{}}
+var Errors = []advice.Advised{
+	&ConfigError{}, &MessageError{}, &RecordError{}, &OwnershipLostError{}, &OwnerLimitError{},
+}
 
 // ConfigError reports an invalid configuration.
 type ConfigError struct{ What string }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -57,7 +57,7 @@
 	counts counts
 }
 
-// counts holds what a Part has done since its start.
+// counts holds what a Module has done since its start.
 type counts struct {
 	claims, acquired, lost, moved, over                           uint64
 	reports, granted, withoutPermit                               uint64
@@ -88,8 +88,8 @@
 func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueTime)) }
 func (h *dueHeap) Pop() any     { old := *h; last := old[len(old)-1]; *h = old[:len(old)-1]; return last }
 
-// New returns the Part of a process, or a *ConfigError. It shares the table and the queue with the process's Front.
-// Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
+// New returns the Module of a process, or a *ConfigError. It shares the table and the queue with the process's
+// AdmissionFilter. Its driver calls Tick when Queue.Wake has a value, and at Next at the latest.
 func New(cfg Config, table *Table, queue *Queue) (*Module, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 	p.now, p.evaluatedAt, p.ledgersCheckedAt = now, now, now
 }
 
-// Done does nothing: the Part has no acts.
+// Done does nothing: the Module has no acts.
 func (p *Module) Done(now int64, act fleet.Act, err error, out *fleet.Out) {}
 
 // Message takes a message of another process. What cannot be decoded is counted and ignored.
@@ -567,7 +567,7 @@
 	p.publish(now, out)
 }
 
-// Figures reports the counters and gauges of the Part.
+// Figures reports the counters and gauges of the Module.
 func (p *Module) Figures(put func(name string, n uint64, gauge bool)) {
 	counts := &p.counts
 	put("keeper_numbers", uint64(len(p.clients)), true)
--- a/internal/keeper/table.go
+++ b/internal/keeper/table.go
@@ -7,7 +7,7 @@
 )
 
 // Table holds the numbers in contention for the call loop to read: an immutable map behind an atomic pointer. The
-// Part stores a new map when a number is added or removed; the values of an entry are atomics.
+// Module stores a new map when a number is added or removed; the values of an entry are atomics.
 type Table struct{ snapshot atomic.Pointer[tableSnapshot] }
 
 // tableSnapshot holds the entries by hash, and a bit filter that rules out most other numbers with a single read.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// replace stores other entries; only the Part calls it.
+// replace stores other entries; only the Module calls it.
 func (t *Table) replace(entries map[uint64]*tableEntry) {
 	snapshot := &tableSnapshot{entries: entries}
 	for hash := range entries {
@@ -63,7 +63,7 @@
 	return entry.open.Load() - fallback, fallback, permits
 }
 
-// batch holds the permits of one grant. The loop takes permits from it; the Part takes the remaining ones back.
+// batch holds the permits of one grant. The loop takes permits from it; the Module takes the remaining ones back.
 type batch struct {
 	fence     uint64
 	expiresAt int64 // by this process's clock
@@ -75,7 +75,7 @@
 	hash uint64
 	key  string
 
-	// Written by the loop, read by the Part. Counts only grow; open, calls, fallback and waitingCount also decrease.
+	// Written by the loop, read by the Module. Counts only grow; open, calls, fallback and waitingCount also decrease.
 	requested    atomic.Uint64 // set-ups for it
 	refused      atomic.Uint64 // set-ups refused here
 	busy         atomic.Uint64 // set-ups under a permit that ended busy
@@ -87,7 +87,7 @@
 	waitingCount atomic.Int64  // set-ups that wait here for a permit
 	reportQueued atomic.Bool   // a report of a change is queued already
 
-	// Written by the Part, read by the loop.
+	// Written by the Module, read by the loop.
 	batches          atomic.Pointer[[]*batch]
 	fence            atomic.Uint64 // highest seen
 	noPermitUntil    atomic.Int64  // no permit is available before
@@ -142,7 +142,7 @@
 }
 
 // addBatch adds a batch, and removeBatches takes back the batches that match; permits that the loop took until then
-// count as open. Only the Part calls them.
+// count as open. Only the Module calls them.
 func (e *tableEntry) addBatch(added *batch) {
 	batches := append([]*batch{}, *e.batches.Load()...)
 	batches = append(batches, added)
@@ -163,13 +163,13 @@
 	return returned
 }
 
-// Kinds of reports from the loop to the Part.
+// Kinds of reports from the loop to the Module.
 const (
 	reportChanged   = iota + 1 // what is open has changed, or a set-up waits
 	reportContended            // a number that is not in the table repeatedly ended busy
 )
 
-// report is one report from the loop to the Part.
+// report is one report from the loop to the Module.
 type report struct {
 	kind         int
 	entry        *tableEntry
@@ -177,7 +177,7 @@
 	recentSetUps uint32 // recent set-ups, for reportContended
 }
 
-// Queue carries reports from the loop to the Part. It is bounded, and counts the reports that it drops.
+// Queue carries reports from the loop to the Module. It is bounded, and counts the reports that it drops.
 type Queue struct {
 	reports chan report
 	wake    chan struct{}
@@ -189,7 +189,7 @@
 	return &Queue{reports: make(chan report, capacity), wake: make(chan struct{}, 1)}
 }
 
-// Wake receives a value when the queue is not empty: the driver of the Part may then call its Tick before Next is
+// Wake receives a value when the queue is not empty: the driver of the Module may then call its Tick before Next is
 // due.
 func (q *Queue) Wake() <-chan struct{} { return q.wake }
 
--- a/internal/stage/api.go
+++ b/internal/stage/api.go
@@ -59,7 +59,7 @@
 const (
 	// Apply asks the process to run with the target: to reload the settings, or, if Program differs, to start a
 	// successor that takes over. Done(nil) follows once the process (or its successor) serves with the target.
-	// Done(err) follows if it refuses; it then serves on as before. A successor creates a Part of its own under
+	// Done(err) follows if it refuses; it then serves on as before. A successor creates a Module of its own under
 	// the same name and a higher incarnation, with Config.Running set to this target and Config.Concluded
 	// unchanged.
 	Apply = "apply"
@@ -71,7 +71,7 @@
 	Conclude = "conclude"
 )
 
-// Config configures a Part. Zero durations and fractions stand for their defaults.
+// Config configures a Module. Zero durations and fractions stand for their defaults.
 type Config struct {
 	Name  string // name of this process
 	Zone  string
@@ -105,12 +105,12 @@
 	Length() int64
 }
 
-// New returns the Part of one process. It does nothing until Start.
+// New returns the Module of one process. It does nothing until Start.
 func New(c Config) *Module { return newPart(c) }
 
 // Propose starts a change in the process that received it by SIGHUP. It returns an error at once if the target is
 // invalid (*TargetError), if its number is not higher than that of every change that is over (*NumberError), or if
 // a change is known to be running (*RunningError). If it returns nil, this process claims the lease of the
 // conductor. The outcome is reported as a note: "opened", or "refused" if the record of the lease shows a running
-// change or the lease is not granted within Rules.Ask.
+// change or the lease is not granted within Rules.LeaseTimeout.
 func (p *Module) Propose(now int64, t Target, out *fleet.Out) error { return p.propose(now, t, out) }
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -101,7 +101,7 @@
 type evidence struct {
 	rules          Rules
 	slotLength     int64 // current length of a slot
-	requested      bool  // the figures come by message, in windows that may be longer than Rules.Warm
+	requested      bool  // the figures come by message, in windows that may be longer than Rules.WarmUp
 	fresh          bool  // the evidence was created for this view
 	change         uint64
 	beganAt        int64
--- a/internal/stage/figures_test.go
+++ b/internal/stage/figures_test.go
@@ -22,7 +22,7 @@
 
 func (s *fakeSubscriber) Length() int64 { return s.length }
 
-// gatherer is a Part that conducts a change, with a view of itself and three other processes.
+// gatherer is a Module that conducts a change, with a view of itself and three other processes.
 type gatherer struct {
 	*Module
 	subscriber *fakeSubscriber
--- a/internal/stage/lease_test.go
+++ b/internal/stage/lease_test.go
@@ -97,8 +97,8 @@
 			p.stage = New(Config{Name: names[i], Zone: "z", Lease: p.lease, Running: p.concluded,
 				Concluded: p.concluded,
 				oracle:    func(s int) bool { return s == worse },
-				Rules: Rules{Baseline: second, WarmUp: 1, SlotLength: 1, MinEvaluation: 1, ApplyTimeout: 20 * second, SuspectTimeout: 5 * second,
-					MaxUnreachable: 1}})
+				Rules: Rules{Baseline: second, WarmUp: 1, SlotLength: 1, MinEvaluation: 1,
+					ApplyTimeout: 20 * second, SuspectTimeout: 5 * second, MaxUnreachable: 1}})
 			call(i, func(p *process, out *fleet.Out) { p.lease.Start(now, out); p.stage.Start(now, out) })
 		}
 		for i := range n {
--- a/internal/stage/model_check_test.go
+++ b/internal/stage/model_check_test.go
@@ -94,8 +94,8 @@
 }
 
 func (w *modelState) config(i int, running, concluded Target) Config {
-	tiny := Rules{Baseline: 1, WarmUp: 1, SlotLength: 1, MinEvaluation: 1, MaxEvaluation: 1, ApplyTimeout: 1 << 50, SuspectTimeout: 1 << 50, LeaseTimeout: 3 * second,
-		ResendInterval: 1, MaxUnreachable: 1}
+	tiny := Rules{Baseline: 1, WarmUp: 1, SlotLength: 1, MinEvaluation: 1, MaxEvaluation: 1,
+		ApplyTimeout: 1 << 50, SuspectTimeout: 1 << 50, LeaseTimeout: 3 * second, ResendInterval: 1, MaxUnreachable: 1}
 	if w.dropsLeft == 0 && w.deathsLeft == 0 && w.deathCount == 0 && !w.lossy {
 		tiny.ResendInterval = 1 << 50 // orders are not repeated where none is lost, for a smaller search
 	}
@@ -177,7 +177,7 @@
 
 func processIndex(name string) int { return int(name[0] - 'a') }
 
-// call calls a Part, collects its output and checks the invariants.
+// call calls a Module, collects its output and checks the invariants.
 func (w *modelState) call(i int, f func(p *Module, out *fleet.Out)) error {
 	var out fleet.Out
 	f(w.parts[i], &out)
--- a/internal/stage/queries.go
+++ b/internal/stage/queries.go
@@ -32,8 +32,8 @@
 	return ahead < max(1, min(p.config.Rules.WaveSize, remaining/10))
 }
 
-// InitialStatus returns the status for the entry of a process until its Part publishes one. It tells the target that the
-// process runs with, so that a process that has just started is not taken for one that left the change.
+// InitialStatus returns the status for the entry of a process until its Module publishes one. It tells the target that
+// the process runs with, so that a process that has just started is not taken for one that left the change.
 func InitialStatus(running, concluded Target) []byte {
 	p := newPart(Config{Running: running, Concluded: concluded})
 	return encode(processStatus{Change: p.change, State: p.state, RunningChange: p.running.Change})
--- a/internal/stage/state_machine.go
+++ b/internal/stage/state_machine.go
@@ -39,7 +39,7 @@
 
 var _ fleet.Module = (*Module)(nil)
 
-// tickInterval is how often a Part checks its lease, its orders and its slots.
+// tickInterval is how often a Module checks its lease, its orders and its slots.
 const tickInterval = second / 5
 
 func newPart(c Config) *Module {
