--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,7 +20,7 @@
 
 const (
 	defaultWindowLength = 1_000_000
-	// moduleStartDelay is the time from the start of the agent to the creation of the modules; see Config.Make.
+	// moduleStartDelay is the time from the start of the agent to the creation of the modules; see Config.NewModules.
 	moduleStartDelay = 1_000_000
 	defaultQueueSize = 1024
 	// minUpdateInterval is the minimum time between two publications of this process's entry and between two views,
@@ -105,8 +105,8 @@
 // SetAddresses sets the addresses of the members on the network, by member name.
 func (a *Agent) SetAddresses(addresses map[string]netip.AddrPort) { a.cfg.Net.Name(addresses) }
 
-// SetSettingsAndRoster publishes the digest of the settings and the number of the roster that the process uses from now on. It returns
-// false if the queue of Post is full.
+// SetSettingsAndRoster publishes the digest of the settings and the number of the roster that the process uses from
+// now on. It returns false if the queue of Post is full.
 func (a *Agent) SetSettingsAndRoster(settings, roster uint64) bool {
 	return a.Post(func(int64, *fleet.Out) {
 		a.pendingChanges = append(a.pendingChanges, func(e *fleet.Entry) { e.Settings, e.Roster = settings, roster })
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -21,19 +21,20 @@
 	Roster              uint64 // number of the installed roster
 	Net                 fleetnet.Net
 	Views               *fleet.ViewHolder // nil: the agent creates its own
-	// NewModules creates the modules, at most one per kind, for the given incarnation. It is called when the process has had
-	// time to hear of an earlier incarnation of its own, whose clock may have been ahead, and again, for modules
-	// without state, if it hears of one later.
+	// NewModules creates the modules, at most one per kind, for the given incarnation. It is called when the process
+	// has had time to hear of an earlier incarnation of its own, whose clock may have been ahead, and again, for
+	// modules without state, if it hears of one later.
 	NewModules   func(incarnation uint64) []fleet.Module
 	InitialParts map[fleet.Kind][]byte // initial parts of the own entry, until the modules set theirs
 	Wake         <-chan struct{}       // requests a Tick of all modules before it is due; nil: none
-	// RunAct carries out an act. It runs on a goroutine of the agent and may block. Its result goes to Module.Done. If RunAct
-	// is nil, every act fails with an *ActError.
+	// RunAct carries out an act. It runs on a goroutine of the agent and may block. Its result goes to Module.Done. If
+	// RunAct is nil, every act fails with an *ActError.
 	RunAct func(fleet.Act) error
 	Log    *slog.Logger
 	// Clock returns the machine's monotonic time in microseconds; nil: Monotonic.
 	Clock func() int64
-	// WallClock returns a wall clock time in microseconds, for the incarnation number. It may be wrong; nil: the machine's.
+	// WallClock returns a wall clock time in microseconds, for the incarnation number. It may be wrong; nil: the
+	// machine's.
 	WallClock func() int64
 	// Window returns the figures of the calls since its last call; nil: there are none.
 	Window       func() fleet.Window
--- a/internal/fleetsim/keepers/court.go
+++ b/internal/fleetsim/keepers/court.go
@@ -50,7 +50,7 @@
 	return h
 }
 
-// Claim implements lease.Lessor.
+// Claim implements lease.Client.
 func (l *Lessor) Claim(now int64, thing string, out *fleet.Out) {
 	if l.wants == nil {
 		l.wants = map[string]bool{}
@@ -58,7 +58,7 @@
 	l.wants[thing] = true
 }
 
-// Release implements lease.Lessor.
+// Release implements lease.Client.
 func (l *Lessor) Release(now int64, thing string, out *fleet.Out) {
 	delete(l.wants, thing)
 	if h := l.Court.thing(now, thing); h.holder == l.Name && !l.Cut {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Held implements lease.Lessor: it grants, or renews when a third of the term is gone.
+// Held implements lease.Client: it grants, or renews when a third of the term is gone.
 func (l *Lessor) Held(now int64, thing string) (lease.Grant, bool) {
 	h := l.Court.thing(now, thing)
 	if !l.wants[thing] {
@@ -88,7 +88,7 @@
 	return lease.Grant{Fence: h.fence, Until: h.until, Value: h.value, Write: h.write}, true
 }
 
-// Write implements lease.Lessor.
+// Write implements lease.Client.
 func (l *Lessor) Write(now int64, thing string, value []byte, out *fleet.Out) (uint64, error) {
 	h := l.Court.thing(now, thing)
 	if h.holder != l.Name || len(value) > lease.MaxRecord {
@@ -100,7 +100,7 @@
 	return h.write + 1, nil
 }
 
-// Holder implements lease.Lessor.
+// Holder implements lease.Client.
 func (l *Lessor) Holder(thing string) (string, uint64) {
 	if h := l.Court.things[thing]; h != nil {
 		return h.holder, h.fence
--- a/internal/lease/elector.go
+++ b/internal/lease/elector.go
@@ -31,7 +31,7 @@
 	// been learned since this process started or evicted the resource.
 	readyRoster         uint64
 	bothMajoritiesUntil int64    // until when votes report that a majority of the previous electors is required as well
-	generation          uint64   // value of Part.generation when this state was created
+	generation          uint64   // value of Module.generation when this state was created
 	lastUsed            int64    // time of the creation or of the last claim; see Config.EvictAfter
 	waiters             []string // refused claimants, to be notified when the resource is free
 	// Progress of learning the state from other electors, in rounds of one learn request to each peer.
--- a/internal/lease/errors.go
+++ b/internal/lease/errors.go
@@ -63,7 +63,8 @@
 		e.Current, e.Got)
 }
 
-// InvalidRosterError rejects a roster without names, with a duplicate name, or with a different list under a used number.
+// InvalidRosterError rejects a roster without names, with a duplicate name, or with a different list under a used
+// number.
 type InvalidRosterError struct {
 	Number uint64
 	Reason string
--- a/internal/lease/gate.go
+++ b/internal/lease/gate.go
@@ -7,8 +7,8 @@
 	disabled bool // disables the check, for the test that detects its absence
 }
 
-// Admit reports whether an action on a resource under this fence is allowed; if not, the error is a *FenceError. A
-// fence equal to the highest belongs to the same holder.
+// Admit reports whether an action on a resource under this fence is allowed; if not, the error is a *StaleFenceError.
+// A fence equal to the highest belongs to the same holder.
 func (g *Gate) Admit(resource string, fence uint64) error {
 	if highest := g.highest[resource]; fence < highest && !g.disabled {
 		return &StaleFenceError{Resource: resource, Fence: fence, Highest: highest}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -12,7 +12,7 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Config configures a Part. Times are in microseconds.
+// Config configures a Module. Times are in microseconds.
 type Config struct {
 	Self        string
 	Incarnation uint64 // of this process; higher than that of every earlier run
@@ -56,8 +56,8 @@
 	noJitter            bool // not a safeguard: no jitter, for the state search
 }
 
-// Module manages the leases of one process, both as an elector and as a claimant of resources. It implements fleet.Module
-// and Lessor. It is not safe for concurrent use.
+// Module manages the leases of one process, both as an elector and as a claimant of resources. It implements
+// fleet.Module and Client. It is not safe for concurrent use.
 type Module struct {
 	cfg           Config
 	overrides     testOverrides
@@ -104,7 +104,7 @@
 	_ Client       = (*Module)(nil)
 )
 
-// New returns a Part without any state of earlier runs.
+// New returns a Module without any state of earlier runs.
 func New(config Config) *Module {
 	config.Roster = max(config.Roster, 1)
 	if config.Electors <= 0 {
@@ -207,10 +207,10 @@
 	}
 }
 
-// SetRoster installs the next roster. It rejects a number that is not the next one (*RosterSkipError), a roster that
-// comes while the previous change is not complete (*RosterYoungError), and an invalid list (*RosterEmptyError); the
-// current roster then stays. Installing the current roster again is no error. The resulting messages are sent at the
-// next Tick, which is due at once.
+// SetRoster installs the next roster. It rejects a number that is not the next one (*RosterSequenceError), a roster
+// that comes while the previous change is not complete (*RosterChangeError), and an invalid list
+// (*InvalidRosterError); the current roster then stays. Installing the current roster again is no error. The resulting
+// messages are sent at the next Tick, which is due at once.
 func (p *Module) SetRoster(now int64, number uint64, names []string) error {
 	p.advanceClock(now)
 	members := sortedUnique(names)
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -130,7 +130,7 @@
 	return raw
 }
 
-// decode decodes a message and checks its bounds; the error is a *BodyError.
+// decode decodes a message and checks its bounds; the error is a *MessageError.
 func decode(raw []byte) (body, error) {
 	var msg body
 	if len(raw) > fleet.MaxBody {
--- a/internal/pathcost/pathcost.go
+++ b/internal/pathcost/pathcost.go
@@ -65,7 +65,7 @@
 // laned gives every call one kind of lane. What a verdict costs is not in it: that is pooling's own to measure.
 type laned struct{ how string }
 
-// Open, Closed, Keep, Observe and Round are those of a pooling.Laner that keeps nothing.
+// Open, Closed, KeepOwn, Observe and EndRound are those of a pooling.ConnectionSelector that keeps nothing.
 func (*laned) Open(int64, pooling.SessionID, string, string) pooling.ClientID { return 1 }
 func (*laned) Closed(int64, pooling.ClientID, pooling.SessionID)              {}
 func (*laned) KeepOwn(int64, pooling.ClientID, pooling.SessionID) bool        { return true }
--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -39,12 +39,13 @@
 // The kinds of connections. If no connection of the selected kind is open, one is opened. A connection that cannot be
 // opened is no reason to use another kind.
 const (
-	// OwnConnection is the session's own connection to the office. It carries no other session's messages and stays open as
-	// long as the session.
+	// OwnConnection is the session's own connection to the office. It carries no other session's messages and stays
+	// open as long as the session.
 	OwnConnection       ConnectionKind = iota + 1
 	ExclusiveConnection                // a pooled connection that no other call uses, for the length of this call
-	AnyConnection                      // any pooled connection; after the set-up a different one than the set-up's, if there is one
-	SetUpConnection                    // the connection that carried the call's set-up; never returned for a set-up
+	// AnyConnection is any pooled connection; after the set-up a different one than the set-up's, if there is one.
+	AnyConnection
+	SetUpConnection // the connection that carried the call's set-up; never returned for a set-up
 )
 
 // Call is the state that the session code keeps for a call from its set-up to its end, and passes with each query and
@@ -55,7 +56,7 @@
 	Session    SessionID      // the connection on which the set-up arrived
 	Office     uint64         // office that its newest set-up goes or went to: any number that is unique per office
 	Repeatable bool           // the call's class may be repeated freely
-	Connection ConnectionKind // returned by Laner.Lane for its newest set-up and stored here by it; 0: none was sent
+	Connection ConnectionKind // returned and stored here by Select for its newest set-up; 0: none was sent
 	Flags      uint8          // flags private to pooling, like the next field
 	RefusedBy  uint64         // office that refused the call on a shared connection; 0: none has
 }
@@ -66,16 +67,18 @@
 // The observations that the session code reports. Brackets name the Observation fields that are set.
 const (
 	SetUpReceived   EventKind = iota + 1 // a set-up was accepted from the caller [Text: its description]
-	IDReused                             // a set-up arrived under a call id in use or still remembered [On]
-	EndReceived                          // a release or give-up arrived from a caller [On: the session on which it arrived]
+	IDReused                             // a set-up arrived under a call id in use or still remembered [Session]
+	EndReceived                          // a release or give-up arrived from a caller [Session: on which it arrived]
 	SetUpAnswered                        // the office answered and the call is established [Text: its description]
 	SetUpRefused                         // the office refused the newest set-up [Cause]; not for a withdrawn one
 	EndAcknowledged                      // the office acknowledged a release sent by this process
-	// EndUnacknowledged: no acknowledgement arrived in time while the connection was open. The release is then sent again on
-	// the connection that a further call of Lane selects.
+	// EndUnacknowledged: no acknowledgement arrived in time while the connection was open. The release is then sent
+	// again on the connection that a further call of Select selects.
 	EndUnacknowledged
-	EndedByOffice  // the office released an established call [Cause]
-	CallOver       // the call ended for its caller, or was never established; reported once, and only EndHeard may follow
+	EndedByOffice // the office released an established call [Cause]
+	// CallOver: the call ended for its caller, or was never established. It is reported once, and only EndAcknowledged
+	// may follow.
+	CallOver
 	ConnectionLost // the connection that carried the newest set-up was lost; counts as no sign
 )
 
@@ -88,9 +91,9 @@
 	Text    []byte
 }
 
-// ConnectionSelector is the interface that the session code uses. All methods run on the session loop; Lane and Observe neither
-// allocate nor block. Only Open may allocate, once per caller connection. A nil ConnectionSelector means that pooling is off, and
-// no method is called.
+// ConnectionSelector is the interface that the session code uses. All methods run on the session loop; Select and
+// Observe neither allocate nor block. Only Open may allocate, once per caller connection. A nil ConnectionSelector
+// means that pooling is off, and no method is called.
 type ConnectionSelector interface {
 	// Open registers a caller's connection with the application that it declares (named as in the site file) and its
 	// source address without the port. Each is cut to MaxName bytes.
@@ -102,15 +105,16 @@
 	// is called by the periodic sweep. They may be closed once the client's verdict has allowed sharing for long
 	// enough.
 	KeepOwn(now int64, client ClientID, session SessionID) bool
-	// Select selects the kind of connection for a message of a call. For a set-up it is Own, Taken or Any, and Select also
-	// stores it in call.Select; CameSetUp must be observed before the first one. For later messages it is Held, or Any
-	// for an End if the set-up went on Any and the client's verdict still allows it: when the client's mode is lowered,
-	// a call in progress stays on its connection. If a set-up was refused on a shared connection (Taken or Any), its
-	// repeat goes on Own.
+	// Select selects the kind of connection for a message of a call. For a set-up it is OwnConnection,
+	// ExclusiveConnection or AnyConnection, and Select also stores it in call.Connection; SetUpReceived must be
+	// observed before the first one. For later messages it is SetUpConnection, or AnyConnection for an End if the
+	// set-up went on AnyConnection and the client's verdict still allows it: when the client's mode is lowered, a call
+	// in progress stays on its connection. If a set-up was refused on a shared connection (ExclusiveConnection or
+	// AnyConnection), its repeat goes on OwnConnection.
 	Select(now int64, call *Call, kind MessageKind) ConnectionKind
 	// Observe reports an event of a call.
 	Observe(now int64, observation Observation)
-	// EndRound is called at the end of each round of the loop. It hands the observations over to the Part as far as the
+	// EndRound is called at the end of each round of the loop. It hands the observations over to the Module as far as the
 	// ring has room.
 	EndRound(now int64)
 }
--- a/internal/pooling/errors.go
+++ b/internal/pooling/errors.go
@@ -39,8 +39,8 @@
 	return "Calls are not affected; if offices lack connections, let callers use fewer applications or addresses."
 }
 
-// RecordLimitError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and take
-// longer.
+// RecordLimitError reports that evidence of other processes no longer fits. Verdicts use the evidence that does, and
+// take longer.
 type RecordLimitError struct{ Most int }
 
 // Error implements error.
@@ -53,8 +53,8 @@
 	return "Expected in fleets of hundreds; split the installation into clusters if clients are raised too slowly."
 }
 
-// IsolatedError reports that most other processes are unreachable. No client is raised, and no client stays raised on the
-// evidence of others.
+// IsolatedError reports that most other processes are unreachable. No client is raised, and no client stays raised on
+// the evidence of others.
 type IsolatedError struct{ Reached, Known int }
 
 // Error implements error.
@@ -67,7 +67,7 @@
 	return "Repair the network between the processes; until then clients go by session, with more connections at offices."
 }
 
-// StallError reports that the Part was stalled for so long that its table expired.
+// StallError reports that the Module was stalled for so long that its table expired.
 type StallError struct{ For int64 }
 
 // Error implements error.
@@ -92,5 +92,5 @@
 }
 
 // Errors lists all error types of the package.
-var Errors = []advice.Advised{&PayloadError{}, &ClientLimitError{}, &RecordLimitError{}, &IsolatedError{}, &StallError{},
-	&ConfigError{}}
+var Errors = []advice.Advised{&PayloadError{}, &ClientLimitError{}, &RecordLimitError{}, &IsolatedError{},
+	&StallError{}, &ConfigError{}}
--- a/internal/pooling/loop.go
+++ b/internal/pooling/loop.go
@@ -14,7 +14,7 @@
 const (
 	maxLoopClients   = 4096       // clients with an open session or with counts that were not handed over
 	maxSessions      = 16384      // tracked sessions; any further one uses the mode BySession and is not observed
-	ringSize         = 256        // batches waiting for the Part; a power of two
+	ringSize         = 256        // batches waiting for the Module; a power of two
 	handOverInterval = 20_000     // time between two hand-overs of counts; a witness is handed over at once
 	maxTokens        = 16         // received tokens, and sent ones, remembered per session
 	minTokenLength   = 8          // bytes of the shortest run of tokenBytes that is taken for a token
@@ -23,7 +23,7 @@
 	ownKeepTime      = 60_000_000 // how long idle own connections are kept after a client's last change of mode
 )
 
-// Flags in Call.Memo.
+// Flags in Call.Flags.
 const (
 	memoMarked     uint8 = 1 << iota // the set-up repeats a token that an office gave its session
 	memoRefused                      // a set-up of the call was refused with a stateful cause (see stateful)
@@ -49,7 +49,7 @@
 
 // Table holds the verdicts that the loop applies. It is immutable and replaced as a whole.
 type Table struct {
-	// ValidUntil is when the table expires. After that every client uses BySession, because a stalled Part cannot
+	// ValidUntil is when the table expires. After that every client uses BySession, because a stalled Module cannot
 	// lower the mode of any.
 	ValidUntil int64
 	Default    Verdict
@@ -81,7 +81,7 @@
 	counts Counts
 }
 
-// ring passes batches from the loop to the Part. It has one writer and one reader.
+// ring passes batches from the loop to the Module. It has one writer and one reader.
 type ring struct {
 	slots      [ringSize]batch
 	head, tail atomic.Uint64 // next slot to read, next slot to write
@@ -137,8 +137,8 @@
 	sentCount      uint8
 }
 
-// Loop implements Laner and holds the pooling state of the session loop. Except for Verdict, its methods may only be
-// called on that loop. The Part of the process drains the ring and publishes the table.
+// Loop implements ConnectionSelector and holds the pooling state of the session loop. Except for Verdict, its methods
+// may only be called on that loop. The Module of the process drains the ring and publishes the table.
 type Loop struct {
 	table        atomic.Pointer[Table]
 	ring         ring
@@ -159,7 +159,7 @@
 
 var _ ConnectionSelector = (*Loop)(nil)
 
-// NewLoop returns a Loop that uses BySession for every client until a Part publishes its first table. The seed
+// NewLoop returns a Loop that uses BySession for every client until a Module publishes its first table. The seed
 // determines which set-ups are tried.
 func NewLoop(seed uint64) *Loop {
 	l := &Loop{random: rand.NewPCG(seed, 0x706f6f6c), ids: map[uint64]ClientID{}, clients: make([]loopClient, 1, 64),
@@ -168,7 +168,7 @@
 	return l
 }
 
-// Open implements Laner.
+// Open implements ConnectionSelector.
 func (l *Loop) Open(now int64, sessionID SessionID, application, source string) ClientID {
 	l.now = now
 	if len(l.sessions) >= maxSessions {
@@ -201,7 +201,7 @@
 	return id
 }
 
-// Closed implements Laner.
+// Closed implements ConnectionSelector.
 func (l *Loop) Closed(now int64, clientID ClientID, sessionID SessionID) {
 	sess := l.sessions[sessionID]
 	if sess == nil {
@@ -225,7 +225,7 @@
 	}
 }
 
-// KeepOwn implements Laner.
+// KeepOwn implements ConnectionSelector.
 func (l *Loop) KeepOwn(now int64, clientID ClientID, sessionID SessionID) bool {
 	sess := l.sessions[sessionID]
 	if sess == nil {
@@ -247,7 +247,7 @@
 		}
 	}
 	if l.now >= t.ValidUntil {
-		// The Part is stalled or has only just resumed, so its last verdicts may no longer be used.
+		// The Module is stalled or has only just resumed, so its last verdicts may no longer be used.
 		return Verdict{Epoch: cl.epoch, Mode: BySession, Since: l.now}
 	}
 	return cl.verdict
@@ -277,7 +277,7 @@
 // draw returns true with a probability of share/2^32.
 func (l *Loop) draw(share uint32) bool { return uint32(l.random.Uint64()>>32) < share }
 
-// Select implements Laner.
+// Select implements ConnectionSelector.
 func (l *Loop) Select(now int64, call *Call, kind MessageKind) ConnectionKind {
 	l.now = now
 	sess := l.sessions[call.Session]
@@ -356,7 +356,7 @@
 	return AnyConnection
 }
 
-// Observe implements Laner.
+// Observe implements ConnectionSelector.
 func (l *Loop) Observe(now int64, observation Observation) {
 	l.now = now
 	call := observation.Call
@@ -490,7 +490,7 @@
 }
 
 // recordWitness applies the denial of a witness on this loop at once and marks the client, so that its counts are
-// handed over to the Part at the end of the round.
+// handed over to the Module at the end of the round.
 func (l *Loop) recordWitness(id ClientID, s Sign) {
 	cl := &l.clients[id]
 	v := l.verdict(cl)
@@ -516,8 +516,8 @@
 	}
 }
 
-// EndRound implements Laner. It hands over counts every handOverInterval, or at once if there is a witness; clients with a
-// witness come first. Counts for which the ring has no room are kept for a later round.
+// EndRound implements ConnectionSelector. It hands over counts every handOverInterval, or at once if there is a
+// witness; clients with a witness come first. Counts for which the ring has no room are kept for a later round.
 func (l *Loop) EndRound(now int64) {
 	l.now = now
 	if len(l.dirtyClients) == 0 || !l.urgent && now-l.handedOverAt < handOverInterval {
--- a/internal/pooling/module.go
+++ b/internal/pooling/module.go
@@ -9,7 +9,7 @@
 	"pewterwheel/internal/fleet"
 )
 
-// Bounds and times of the Part; times are microseconds.
+// Bounds and times of the Module; times are microseconds.
 const (
 	// MaxClients bounds the clients that are tracked. Any further client goes by session unless another one can be
 	// evicted.
@@ -24,7 +24,7 @@
 	tableRefresh  = 1_000_000 // a table is published again after this time even if nothing changed
 	// After a start no client is raised or tried for this long, so that denials can arrive first.
 	startDelay       = 10_000_000
-	stallGap         = 2_000_000 // gap between two ticks from which the Part counts as stalled
+	stallGap         = 2_000_000 // gap between two ticks from which the Module counts as stalled
 	stallDelay       = 2_000_000 // after a stall no client is raised or tried for this long
 	entryInterval    = 250_000   // least time between two versions of this process's part of the fleet entry
 	denialRetry      = 250_000   // time between two retries of an unacknowledged denial
@@ -61,7 +61,7 @@
 	ignoresNewerVersions bool // the lower verdict of a version that knows more signs is ignored
 }
 
-// Config is the configuration of a Part.
+// Config is the configuration of a Module.
 type Config struct {
 	Self        string // name of this process in the fleet
 	Seed        uint64 // seed for the order of the processes that evidence is sent to
@@ -70,12 +70,13 @@
 	// MaxUnsafeRate bounds the probability that a client is raised to a mode that is not safe for it; 0: 1 in 10,000.
 	MaxUnsafeRate float64
 	// ObserveOnly computes and reports verdicts, but the table keeps every client by session. Session code that only
-	// observes and never calls Laner.Lane makes no trials; what it observes on shared connections still counts.
+	// observes and never calls ConnectionSelector.Select makes no trials; what it observes on shared connections still
+	// counts.
 	ObserveOnly bool
 	// Signs is the mask of the signs that are evaluated; 0: all that this version knows. For tests of mixed versions.
 	Signs uint64
-	// FixedThreshold raises a client after this many clean outcomes regardless of the test, and no test denies; 0: the test
-	// decides. It is a baseline for measurements only and not for production.
+	// FixedThreshold raises a client after this many clean outcomes regardless of the test, and no test denies; 0: the
+	// test decides. It is a baseline for measurements only and not for production.
 	FixedThreshold float64
 }
 
@@ -166,7 +167,7 @@
 
 var _ fleet.Module = (*Module)(nil)
 
-// New returns a Part. The error is a *ConfigError.
+// New returns a Module. The error is a *ConfigError.
 func New(cfg Config) (*Module, error) {
 	if cfg.Self == "" {
 		return nil, &ConfigError{"process name is empty"}
@@ -200,13 +201,13 @@
 	p.startedAt, p.tickedAt, p.nextTick = now, now, now+tickInterval
 }
 
-// Done implements fleet.Module. The Part requests no acts.
+// Done implements fleet.Module. The Module requests no acts.
 func (p *Module) Done(int64, fleet.Act, error, *fleet.Out) {}
 
 // Next implements fleet.Module.
 func (p *Module) Next() int64 { return p.nextTick }
 
-// report passes an error to Config.Complain, at most once a minute for each kind.
+// report passes an error to Config.ReportError, at most once a minute for each kind.
 func (p *Module) report(now int64, kind string, err error) {
 	if at, ok := p.reportedAt[kind]; !ok || now-at >= reportInterval {
 		p.reportedAt[kind] = now
--- a/internal/pooling/pooling_test.go
+++ b/internal/pooling/pooling_test.go
@@ -101,7 +101,7 @@
 
 // ---- one process ----
 
-// process is a Loop with its Part and the fleet view that the Part receives.
+// process is a Loop with its Module and the fleet view that the Module receives.
 type process struct {
 	now       int64
 	loop      *pooling.Loop
@@ -411,7 +411,7 @@
 	requireEqual(t, pooling.ExclusiveConnection, o.playAnswered(true))
 }
 
-// With Watch, a verdict is computed but not applied.
+// With ObserveOnly, a verdict is computed but not applied.
 func TestWatch(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{ObserveOnly: true})
 	o.loop.Count(o.clientID, pooling.CallClean, enoughClean[pooling.CallClean])
@@ -498,7 +498,7 @@
 	requireEqual(t, uint32(3000), n, "nothing is lost while the ring is full")
 }
 
-// The loop and the Part run in two goroutines and only share the ring and the table. The race detector makes this
+// The loop and the Module run in two goroutines and only share the ring and the table. The race detector makes this
 // test stricter.
 func TestLoopBesidePart(t *testing.T) {
 	o := newProcess(t, "", pooling.Config{})
@@ -564,7 +564,7 @@
 	}
 }
 
-// BenchmarkTick measures 100 ms of a Part with 1,000 clients that all make calls, in a fleet of 24 processes.
+// BenchmarkTick measures 100 ms of a Module with 1,000 clients that all make calls, in a fleet of 24 processes.
 func BenchmarkTick(b *testing.B) {
 	var others []fleet.Member
 	for i := range 23 {
--- a/internal/service/queue.go
+++ b/internal/service/queue.go
@@ -31,7 +31,7 @@
 	most     int // bytes
 	bytes    int
 	accepted map[session.ArrivalKind]int
-	taken    int                // most of accepted of one kind; see session.Taken
+	taken    int                // most of accepted of one kind; see session.AcceptLimit
 	places   int                // callers that may be accepted until the loop has been through what it took; see session.Places
 	waiting  map[state.Conn]int // bytes of each connection; over perConn: given up
 	playing  map[state.Conn]int // the same of what the last take gave
