--- a/decide/api.go
+++ b/decide/api.go
@@ -84,13 +84,13 @@
 const (
 	NodeStarted    EventKind = iota + 1 // first event of a node
 	ListUpdate                          // update of the list of servers: Form, Servers
-	CallArrived                         // a call arrives: Call, Class, Tenant, Key, Deadline, Dest, Again, Retry, Transit
-	SetUpCompleted                      // a set-up has completed, the call is established: Call, Server, Attempt, Took
-	AttemptEnded                        // an attempt has ended: Call, Server, Attempt, Took, Outcome, Final, Full, Load
+	CallArrived                         // a call arrives: the fields Call to Transit
+	SetUpCompleted                      // a set-up has completed, the call is established: Call, Server, Attempt, Elapsed
+	AttemptEnded                        // an attempt has ended: Call, the fields Server to Load
 	CallerLeft                          // the caller has left: Call
 	TimerFired                          // a timer has expired: Token
-	ServerReport                        // report on a server outside a call: Server, Took, Outcome, Load
-	CallEnded                           // an established call has ended: Call; only for deciders that ask for it, not for a Node
+	ServerReport                        // report on a server outside a call: Server, Elapsed, Outcome, Load
+	CallEnded                           // an established call has ended: Call; only for deciders that ask, not for a Node
 	TrialRequested                      // request a trial set-up to a silent server: Server
 )
 
@@ -109,7 +109,7 @@
 	NotSent                        // not sent
 )
 
-// Form is how the entries of a List event are to be applied.
+// Form is how the entries of a ListUpdate event are to be applied.
 type Form int
 
 // Forms of a list.
@@ -164,14 +164,14 @@
 	Destination   int   // place of first choice
 	MarkedRepeat  bool  // marked as a repeat by the caller
 	AgainAfterCut bool  // was cut off and is sent once more
-	Transit       bool  // may only be sent to Dest; otherwise it is refused
+	Transit       bool  // may only be sent to Destination; otherwise it is refused
 	Server        ServerID
 	Attempt       int
 	Elapsed       int64
 	Outcome       Outcome
 	AnswerGiven   bool // the caller has its final answer
 	ProcessorFull bool // the processor was full
-	NumberBusy    bool // Ended: the called number was busy, and Key holds it
+	NumberBusy    bool // AttemptEnded: the called number was busy, and Key holds it
 	Load          Load
 	Token         uint64
 	Form          Form
@@ -183,11 +183,11 @@
 
 // Kinds of actions. The list after each names the fields that it uses.
 const (
-	Send          ActionKind = iota + 1 // start a set-up: Call, Server, Until
+	Send          ActionKind = iota + 1 // start a set-up: Call, Server, SendBy
 	Refuse                              // final answer, refused: Call, Wait
 	Fail                                // final answer, failed after attempts: Call, Wait
 	Cancel                              // stop waiting for an attempt: Call, Attempt
-	StartTimer                          // send Fired after Wait: Token
+	StartTimer                          // send TimerFired after Wait: Token
 	SubscribeList                       // request changes of the list from now on
 	Log                                 // write a log line: Text
 )
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -24,8 +24,8 @@
 }
 
 func coldRules(start float64, cold, fall int64) Rules {
-	return Rules{AnswerSlack: 20 * ms, DrainGrace: sec, StartCapacity: start, ColdTime: cold, FallMultiple: 3, FallTime: fall,
-		GuardTime: 200 * ms}
+	return Rules{AnswerSlack: 20 * ms, DrainGrace: sec, StartCapacity: start, ColdTime: cold, FallMultiple: 3,
+		FallTime: fall, GuardTime: 200 * ms}
 }
 
 // coldSimulation runs a coldScenario. Each office processes set-ups one by one; a cold one does so at a rate that grows
@@ -53,8 +53,8 @@
 	started    int64 // 0: long ago
 	freeAt     int64
 	queue      []*coldAttempt
-	recent     []*coldAttempt // received within the last Fall
-	worstRatio float64        // highest ratio of what came within Fall to what the rule permits
+	recent     []*coldAttempt // received within the last FallTime
+	worstRatio float64        // highest ratio of what came within FallTime to what the rule permits
 }
 
 type coldAttempt struct {
@@ -250,8 +250,9 @@
 			for next := c.rng.ExpFloat64() / n.rate; next < 0.01; next += c.rng.ExpFloat64() / n.rate {
 				c.calls++
 				class := c.rng.IntN(len(c.set.Classes))
-				c.handleActions(n, n.step(Event{Kind: CallArrived, Call: c.calls, Class: class, Destination: c.rng.IntN(len(c.offices)),
-					Key: fmt.Sprint(c.calls), Deadline: c.now + c.set.Classes[class].Deadline}))
+				c.handleActions(n, n.step(Event{Kind: CallArrived, Call: c.calls, Class: class,
+					Destination: c.rng.IntN(len(c.offices)), Key: fmt.Sprint(c.calls),
+					Deadline: c.now + c.set.Classes[class].Deadline}))
 			}
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -421,7 +421,8 @@
 		return // an established call, or one that ended long ago
 	}
 	s := c.server
-	if e.ProcessorFull || e.Outcome == TimedOut && n.resumedAt != n.now && !s.losesSetUps() || e.Load.Wait > n.td {
+	if e.ProcessorFull || e.Outcome == TimedOut && n.resumedAt != n.now && !s.losesSetUps() ||
+		e.Load.Wait > n.td {
 		n.noteOverload(s)
 	}
 	if e.Outcome != TimedOut && e.Outcome != Cancelled && e.Outcome != NotSent {
@@ -452,7 +453,7 @@
 	case TimedOut, Cut, Cancelled:
 		c.noSendBefore = n.now + n.settings.Rules.GuardTime
 	}
-	if c.mayHaveRunAt == nil { // Free: no bound; SingleShot: no send from now on
+	if c.mayHaveRunAt == nil { // Repeatable: no bound; SingleShot: no send from now on
 		c.mayHaveRunAt, c.resendUntil =
 			s, [...]int64{Guarded: c.sentAt + c.class.Window, SingleShot: -1}[c.class.Effect]
 	}
@@ -469,8 +470,8 @@
 	n.held = append(n.held, c)
 }
 
-// mayRepeat reports whether a call may be sent, or sent again. Once it may have run, a Guarded call may be only
-// while repeats are dropped, which may end before the guard time does, and a SingleShot call not at all.
+// mayRepeat reports whether a call may be sent, or sent again. Once it may have run, a Guarded call may be
+// only while repeats are dropped, which may end before the guard time does, and a SingleShot call not at all.
 func (n *Node) mayRepeat(c *call) bool {
 	return c.resendUntil == 0 || max(n.now, c.noSendBefore) < c.resendUntil
 }
@@ -808,7 +809,7 @@
 }
 
 // tenantWorthFactor is the part of its worth that a tenant's call earns: all of it within this node's part of
-// the tenant's quota, averaged over a second, and OverShare above it.
+// the tenant's quota, averaged over a second, and OverShareWorth above it.
 func (n *Node) tenantWorthFactor(tenant int) float64 {
 	if tenant < 0 || tenant >= len(n.tenantQuotas) || n.settings.Tenants[tenant].Quota <= 0 {
 		return 1
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -288,8 +288,8 @@
 	r.complete(first, 20*ms)
 	r.step(Event{Kind: ListUpdate, Form: ListFull})
 	r.requireNone(Send, r.arrive(2, 0, 0))
-	if a := actionsOf(Send, r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{upServer("a", 0)}})); len(a) != 1 ||
-		a[0].Call != 2 {
+	if a := actionsOf(Send, r.step(Event{Kind: ListUpdate, Form: ListDelta,
+		Servers: []Listed{upServer("a", 0)}})); len(a) != 1 || a[0].Call != 2 {
 		t.Fatalf("want the held call sent when the list arrives, got %v", a)
 	}
 }
@@ -357,7 +357,8 @@
 	set := testSettings()
 	r := newRunner(t, set, upServer("a", 0))
 	r.settle(0) // ten set-ups a second
-	r.step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: "c", Place: 1, State: Up, Share: 1, Started: r.now}}})
+	r.step(Event{Kind: ListUpdate, Form: ListDelta,
+		Servers: []Listed{{ID: "c", Place: 1, State: Up, Share: 1, Started: r.now}}})
 	cold := r.node.serverByID["c"]
 	cold.controlled, cold.exactLimit = false, 100 // only the cold budget limits the sends
 	sent := 0
@@ -504,14 +505,14 @@
 			if c.guarded && c.windowEnd == 0 && outcome != Rejected && outcome != Unreachable && outcome != NotSent {
 				c.windowEnd = c.sentAt + set.Classes[1].Window
 			}
-			step(Event{Kind: AttemptEnded, Call: id, Server: c.server, Attempt: c.attempts - 1, Outcome: outcome, AnswerGiven: c.finished,
-				ProcessorFull: rng.IntN(3) == 0, Load: NoLoad()})
+			step(Event{Kind: AttemptEnded, Call: id, Server: c.server, Attempt: c.attempts - 1, Outcome: outcome,
+				AnswerGiven: c.finished, ProcessorFull: rng.IntN(3) == 0, Load: NoLoad()})
 		case 4:
 			index := rng.IntN(3)
 			state := State(rng.IntN(3))
 			checker.servers[ids[index]].down = int64(state)
-			step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: ids[index], Place: index, State: state, Share: 1,
-				Started: r.now * int64(rng.IntN(2))}}})
+			step(Event{Kind: ListUpdate, Form: ListDelta, Servers: []Listed{{ID: ids[index], Place: index,
+				State: state, Share: 1, Started: r.now * int64(rng.IntN(2))}}})
 		}
 	}
 	for end := r.now + 5*sec; r.now < end; {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -29,7 +29,7 @@
 			case decide.Refuse, decide.Fail:
 				fmt.Printf("answer call %d: not set up\n", a.Call)
 			case decide.StartTimer:
-				// Send Fired with a.Token after a.Wait.
+				// Send TimerFired with a.Token after a.Wait.
 			}
 		}
 	}
--- a/internal/admit/round_limiter.go
+++ b/internal/admit/round_limiter.go
@@ -15,7 +15,7 @@
 	minMeasuredSetUps = 16
 	// initialCost is the assumed cost of a set-up until rounds have been measured, in microseconds.
 	initialCost = 20.0
-	// refusalCostFraction of the cost of a set-up is the cost of one that Door refuses.
+	// refusalCostFraction of the cost of a set-up is the cost of one that RoundLimiter refuses.
 	refusalCostFraction = 0.25
 	// costRiseGain and costFallGain are the weights of a round whose cost is above or below the average. maxCostRatio
 	// bounds a measured cost relative to the average, against a round in which the process was stalled.
@@ -26,12 +26,12 @@
 type Candidate struct {
 	ReadAt           int64 // when it was read
 	Deadline         int64 // its answer must be written by then
-	Aim              int64 // it has its full worth for this long from At
+	Aim              int64 // it has its full worth for this long from ReadAt
 	Worth, LateWorth float64
 }
 
-// RoundLimiter decides which set-ups of a round are passed to the decision module, so that a round stays short however many
-// arrive. It is not safe for concurrent use.
+// RoundLimiter decides which set-ups of a round are passed to the decision module, so that a round stays short
+// however many arrive. It is not safe for concurrent use.
 type RoundLimiter struct {
 	cost   float64 // of a set-up, in microseconds; 0: not known yet
 	ranked []int
@@ -45,8 +45,8 @@
 	return d.cost
 }
 
-// RecordRound records the length of a round in which the given numbers of set-ups were accepted and refused, including the
-// answers and releases of other calls.
+// RecordRound records the length of a round in which the given numbers of set-ups were accepted and refused, including
+// the answers and releases of other calls.
 func (d *RoundLimiter) RecordRound(accepted, refused int, took int64) {
 	if accepted < minMeasuredSetUps || took <= 0 {
 		return
@@ -60,15 +60,15 @@
 	d.cost = cost + gain*(measured-cost)
 }
 
-// MaxSetUps is the maximum of set-ups accepted in a round of the given number: what the time allows after the others are
-// refused.
+// MaxSetUps is the maximum of set-ups accepted in a round of the given number: what the time allows after the others
+// are refused.
 func (d *RoundLimiter) MaxSetUps(offered int) int {
 	return max(minRoundSetUps, int((maxRoundTime/d.Cost()-refusalCostFraction*float64(offered))/(1-refusalCostFraction)))
 }
 
 // Select returns the indexes of the offers that are accepted, in the order in which they go to the module; the others
 // are to be refused at once. The result is valid until the next call. It is called only if there are more offers than
-// Most; otherwise all are accepted in the order of arrival.
+// MaxSetUps; otherwise all are accepted in the order of arrival.
 func (d *RoundLimiter) Select(now int64, offers []Candidate) []int {
 	d.ranked = d.ranked[:0]
 	for i, o := range offers {
--- a/internal/admit/round_limiter_test.go
+++ b/internal/admit/round_limiter_test.go
@@ -102,7 +102,8 @@
 			}
 		}
 		for i := 1; i < len(accepted); i++ {
-			if a, b := offers[accepted[i-1]], offers[accepted[i]]; worth(a) < worth(b) || worth(a) == worth(b) && a.ReadAt < b.ReadAt {
+			if a, b := offers[accepted[i-1]], offers[accepted[i]]; worth(a) < worth(b) ||
+				worth(a) == worth(b) && a.ReadAt < b.ReadAt {
 				t.Fatalf("%+v is placed before %+v", a, b)
 			}
 		}
--- a/internal/liveness/holding_times.go
+++ b/internal/liveness/holding_times.go
@@ -46,8 +46,8 @@
 	total     float64
 }
 
-// HoldingTimes estimates the holding times of calls: the rate at which calls end (the hazard rate), by class and age. It
-// is learned over all offices, from calls that offices ended and from calls that still exist.
+// HoldingTimes estimates the holding times of calls: the rate at which calls end (the hazard rate), by class and age.
+// It is learned over all offices, from calls that offices ended and from calls that still exist.
 type HoldingTimes struct{ classes []classStats }
 
 // NewHoldingTimes returns an estimator for the given number of call classes.
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -74,7 +74,7 @@
 // LostConnection describes a main connection at the time of its loss.
 type LostConnection struct {
 	Opened     int64 // when it was established
-	Unanswered int   // set-ups outstanding on it, sent after the last message of a call and outstanding for LeastWait
+	Unanswered int   // set-ups outstanding on it, sent after the last message of a call and outstanding for MinWait
 }
 
 // MinWait is the shortest time, in microseconds, that a set-up must have been outstanding for its missing answer to
@@ -206,7 +206,8 @@
 // Restarted reports whether calls established before a given time are over because their process has ended, although
 // the office sends messages. The delay counts from the last message of that process. When this controller is
 // departing, a refused connect suffices, without delay.
-func (o *Office) Restarted(now int64, list ListReception, established CountEstablished, departing bool) (Restart, bool) {
+func (o *Office) Restarted(now int64, list ListReception, established CountEstablished,
+	departing bool) (Restart, bool) {
 	for i := len(o.outages) - 1; i >= 0; i-- {
 		g := &o.outages[i]
 		g.updateListState(now, list)
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -172,7 +172,8 @@
 // QueueDelay returns the queueing delay at the office, as measured by its last answer.
 func (o *Office) QueueDelay() int64 { return o.queueDelay }
 
-// LastService returns when the last message of a call was received, which only a working process can write; 0: none was.
+// LastService returns when the last message of a call was received, which only a working process can write; 0: none
+// was.
 func (o *Office) LastService() int64 { return o.lastService }
 
 // Message is the part of a complete message from an office that counts as evidence.
@@ -239,9 +240,9 @@
 	return true
 }
 
-// OutstandingFor returns how long a set-up that was sent at the given time has been outstanding; 0: that is no evidence. A
-// set-up that others overtook, which were answered long after it was sent, was lost on its way and is no evidence
-// about the office.
+// OutstandingFor returns how long a set-up that was sent at the given time has been outstanding; 0: that is no
+// evidence. A set-up that others overtook, which were answered long after it was sent, was lost on its way and is no
+// evidence about the office.
 func (o *Office) OutstandingFor(now, sent int64) int64 { return o.outstandingFor(now, sent, minWait) }
 
 func (o *Office) outstandingFor(now, sent, least int64) int64 {
@@ -332,7 +333,7 @@
 type ShutdownObservation struct {
 	ReportInterval ReportInterval // the usual interval between two reports
 	Connected      bool
-	Unanswered     int // outstanding set-ups that should have been answered, as in Lost
+	Unanswered     int // outstanding set-ups that should have been answered, as in LostConnection
 }
 
 // JudgeDeparting decides on an office that has established calls when this process is about to shut down. The next
--- a/internal/liveness/missing_ends.go
+++ b/internal/liveness/missing_ends.go
@@ -55,8 +55,8 @@
 	e.missing = false
 }
 
-// ReleasedCallEnded records the end of a call that was already released. It shows that the office ends calls, but no holding
-// time is known.
+// ReleasedCallEnded records the end of a call that was already released. It shows that the office ends calls, but no
+// holding time is known.
 func (o *Office) ReleasedCallEnded(at int64) {
 	o.ended.last = max(o.ended.last, at)
 	o.ended.missing = false
@@ -65,16 +65,17 @@
 // LastEnd returns when the office last ended a call; 0: it has ended none.
 func (o *Office) LastEnd() int64 { return o.ended.last }
 
-// MissingEndsCheckDue reports whether Unended should be called: the office has ended calls before, but none for releaseAfter.
+// MissingEndsCheckDue reports whether CheckMissingEnds should be called: the office has ended calls before, but none
+// for releaseAfter.
 func (o *Office) MissingEndsCheckDue(now int64) bool {
 	e := &o.ended
 	return e.last != 0 && now-(e.last-o.queueDelay) >= releaseAfter && now-e.checked >= noEndsCheckInterval
 }
 
-// CheckMissingEnds reports whether the office no longer ends calls, whatever else it sends. If so, its calls established before
-// the returned time are over. The learned rates are wrong if holding times change suddenly or if calls of another kind
-// replace those that end. ratesConfirmed detects this: the calls established shortly before the last end, which was
-// that of an older call, then have fewer ends than the rates predict.
+// CheckMissingEnds reports whether the office no longer ends calls, whatever else it sends. If so, its calls
+// established before the returned time are over. The learned rates are wrong if holding times change suddenly or if
+// calls of another kind replace those that end. ratesConfirmed detects this: the calls established shortly before the
+// last end, which was that of an older call, then have fewer ends than the rates predict.
 func (o *Office) CheckMissingEnds(now int64, calls iter.Seq[Call], rates Rates) (before int64, over bool) {
 	e := &o.ended
 	e.checked = now
--- a/internal/liveness/report_interval.go
+++ b/internal/liveness/report_interval.go
@@ -55,8 +55,8 @@
 	c.Reported = at
 }
 
-// IsSilent reports whether the connection has brought nothing although a report was due, by the longer of its own report
-// interval and that of all offices. It is never mute where no office reports.
+// IsSilent reports whether the connection has brought nothing although a report was due, by the longer of its own
+// report interval and that of all offices. It is never silent where no office reports.
 func (c *Connection) IsSilent(now int64, all ReportInterval) bool {
 	usual := int64(max(all, c.ReportInterval))
 	if usual == 0 {
--- a/internal/membership/file.go
+++ b/internal/membership/file.go
@@ -69,7 +69,7 @@
 // Feed is never called, because there is no address.
 func (f *File) Feed(int64, []byte, func(wire.Change)) error { return nil }
 
-// Heard is never called, because there is no address.
+// LastFrame is never called, because there is no address.
 func (f *File) LastFrame() int64 { return 0 }
 
 // LastNumber returns the number of the last change, which counts the changes of the list.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -88,7 +88,7 @@
 	return binary.BigEndian.AppendUint64(nil, j.lastNumber)
 }
 
-// Heard returns when the last complete frame was received.
+// LastFrame returns when the last complete frame was received.
 func (j *Journal) LastFrame() int64 { return j.lastFrame }
 
 // LastNumber returns the number of the last event reported.
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -31,9 +31,9 @@
 	attemptOut          bool // an attempt is out
 }
 
-// Meter counts for one process. Started is called once, when the loop of calls begins, and Also adds figures to those
-// of the deciders; both may be nil. Step, Reload, Avoids and Figures belong to the loop of calls; Read to any one other
-// goroutine.
+// Meter counts for one process. OnStart is called once, when the loop of calls begins, and ExtraFigures adds figures to
+// those of the deciders; both may be nil. Step, Reload, Avoids and Figures belong to the loop of calls; Read to any one
+// other goroutine.
 type Meter struct {
 	OnStart      func()
 	ExtraFigures func(put func(name string, n uint64, gauge bool))
--- a/internal/recovery/record.go
+++ b/internal/recovery/record.go
@@ -216,9 +216,9 @@
 	return state, unreadable
 }
 
-// MergeAfterDamage decides how a record that was read after a damaged part of the store replaces the stored one. It can only end
-// or restrict: a call moves to a later stage, an office becomes draining or removed but never up again, a limit falls.
-// Nothing new is created.
+// MergeAfterDamage decides how a record that was read after a damaged part of the store replaces the stored one. It can
+// only end or restrict: a call moves to a later stage, an office becomes draining or removed but never up again, a
+// limit falls. Nothing new is created.
 func MergeAfterDamage(key string, stored []byte, op store.Op) (store.Op, bool) {
 	previous, err := DecodeRecord(key, stored)
 	current, currentErr := DecodeRecord(key, op.Value)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -159,7 +159,8 @@
 			}
 			for _, ops := range h.batches[to:] {
 				for _, op := range ops {
-					if v, err := DecodeRecord(op.Key, op.Value); err == nil && op.Key == m.op().Key && v.(OfficeEntry).State > m.State {
+					if v, err := DecodeRecord(op.Key, op.Value); err == nil && op.Key == m.op().Key &&
+						v.(OfficeEntry).State > m.State {
 						t.Fatalf("office %+v was drained after the loss: %+v", m, v)
 					}
 				}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -385,7 +385,8 @@
 	if len(acts) != 1 || acts[0].Kind != decide.Cancel || acts[0].Attempt != 1 {
 		t.Errorf("the cancelled attempt is %+v", acts)
 	}
-	r.Step(300_003, decide.Event{Kind: decide.AttemptEnded, Call: 7, Server: "b", Attempt: 1, Outcome: decide.Cancelled}, nil)
+	r.Step(300_003, decide.Event{Kind: decide.AttemptEnded, Call: 7, Server: "b", Attempt: 1,
+		Outcome: decide.Cancelled}, nil)
 	if e := module.events[len(module.events)-1]; e.Attempt != 0 {
 		t.Errorf("the module received attempt %d, want its first at the pool", e.Attempt)
 	}
--- a/internal/route/simulation_test.go
+++ b/internal/route/simulation_test.go
@@ -213,7 +213,8 @@
 					sim.results.late++
 				}
 			}
-			sim.step(decide.Event{Kind: decide.SetUpCompleted, Call: a.Call, Server: a.Server, Attempt: n, Elapsed: sim.now - sent})
+			sim.step(decide.Event{Kind: decide.SetUpCompleted, Call: a.Call, Server: a.Server, Attempt: n,
+				Elapsed: sim.now - sent})
 		})
 	}
 }
