--- a/internal/session/admission.go
+++ b/internal/session/admission.go
@@ -28,7 +28,8 @@
 		offer := admit.Candidate{ReadAt: o.arrivedAt} // its caller has left meanwhile: a zero deadline
 		if call := s.calls[o.id]; call == o.call && !call.Answered {
 			class := &s.settings.Classes[s.classIndex[call.SetUp.Class]]
-			offer = admit.Candidate{ReadAt: o.arrivedAt, Deadline: call.Deadline, Aim: class.Aim, Worth: class.Worth, LateWorth: class.Late}
+			offer = admit.Candidate{ReadAt: o.arrivedAt, Deadline: call.Deadline, Aim: class.Aim, Worth: class.Worth,
+				LateWorth: class.Late}
 		}
 		s.admissionOffers = append(s.admissionOffers, offer)
 	}
@@ -45,7 +46,8 @@
 		if call := s.calls[o.id]; refused[i] && call == o.call && !call.Answered {
 			s.admissionRefusals++
 			s.Counters[state.OverloadRefusals]++
-			s.sendFinal(decide.Action{Call: decide.CallID(o.id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
+			s.sendFinal(decide.Action{Call: decide.CallID(o.id), Wait: s.retryAfter(call)}, wire.CauseCongestion,
+				state.RefusalsOut)
 		}
 	}
 	// Fills the set-ups' positions from the first on and drops the positions left over.
--- a/internal/session/admission_test.go
+++ b/internal/session/admission_test.go
@@ -12,7 +12,8 @@
 func setUpBurst(first, n int, class string) string {
 	var b strings.Builder
 	for i := range n {
-		fmt.Fprintf(&b, `[01 %016x 10["%s"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["x"]]`, first+i, class, first+i, i%2)
+		fmt.Fprintf(&b, `[01 %016x 10["%s"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["x"]]`, first+i, class,
+			first+i, i%2)
 	}
 	return b.String()
 }
@@ -40,7 +41,8 @@
 	out := strings.Join(p.lines, "\n")
 	refused, away := strings.Count(out, "3a[2a]"), strings.Count(out, `3a[2a] 22["1500"]`)
 	if want := 225 - 1 - most; refused != want || away != want || p.s.Counters[state.OverloadRefusals] != uint64(want) {
-		t.Errorf("%d were refused, %d with a retry delay, %d counted; %d arrived and a round takes %d", refused, away, p.s.Counters[state.OverloadRefusals], 225, most)
+		t.Errorf("%d were refused, %d with a retry delay, %d counted; %d arrived and a round takes %d", refused, away,
+			p.s.Counters[state.OverloadRefusals], 225, most)
 	}
 	for id := range 200 { // the newest of the less important ones are admitted
 		call := fmt.Sprintf("[0c %016x 3a[2a]", 0x1000+id)
--- a/internal/session/attempts.go
+++ b/internal/session/attempts.go
@@ -15,7 +15,8 @@
 		// cancelled rather than unsent, because after an unsent attempt the module avoids the server for a
 		// while.
 		s.Counters[state.Moot]++
-		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Outcome: decide.Cancelled, AnswerGiven: true,
+		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server,
+			Outcome: decide.Cancelled, AnswerGiven: true,
 			Load: decide.NoLoad()})
 		return
 	}
@@ -108,15 +109,18 @@
 }
 
 // endAttemptWith is endAttempt with the office's last message and the time at which it arrived.
-func (s *Session) endAttemptWith(attempt *state.Attempt, outcome decide.Outcome, message wire.Message, arrivedAt int64) {
+func (s *Session) endAttemptWith(attempt *state.Attempt, outcome decide.Outcome, message wire.Message,
+	arrivedAt int64) {
 	call := attempt.Call
 	delete(attempt.OfficeConn.Outstanding, call.ID)
 	if attempt.OfficeConn.Number != 0 {
 		s.freePooledConn(attempt.OfficeConn, call.ID)
 	}
 	call.Attempt = nil
-	event := decide.Event{Kind: decide.AttemptEnded, Call: decide.CallID(call.ID), Server: attempt.OfficeConn.To.ID, Attempt: attempt.Number,
-		Elapsed: max(0, arrivedAt-attempt.Since), Outcome: outcome, AnswerGiven: call.Answered, ProcessorFull: message.Overload(), Load: message.Load()}
+	event := decide.Event{Kind: decide.AttemptEnded, Call: decide.CallID(call.ID), Server: attempt.OfficeConn.To.ID,
+		Attempt: attempt.Number,
+		Elapsed: max(0, arrivedAt-attempt.Since), Outcome: outcome, AnswerGiven: call.Answered,
+		ProcessorFull: message.Overload(), Load: message.Load()}
 	if outcome == decide.Failed && message.Cause() == wire.CauseBusy {
 		event.NumberBusy, event.Key = true, call.SetUp.Number
 	}
--- a/internal/session/callers.go
+++ b/internal/session/callers.go
@@ -21,7 +21,8 @@
 		return
 	}
 	s.Counters[state.CallersIn]++
-	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, IdleSince: s.now, PendingReleases: map[uint64]state.PendingRelease{}}
+	caller := &state.Caller{Conn: arrival.Conn, Since: s.now, Open: map[uint64]*state.Call{}, IdleSince: s.now,
+		PendingReleases: map[uint64]state.PendingRelease{}}
 	s.connOwners[arrival.Conn] = caller
 	s.callers = append(s.callers, caller)
 	if s.pooled.connSelector != nil {
@@ -79,7 +80,8 @@
 		return 0
 	}
 	for _, caller := range s.callers {
-		if len(caller.Open) > 0 || idle != nil && cmp.Or(cmp.Compare(rank(idle), rank(caller)), cmp.Compare(idle.IdleSince, caller.IdleSince)) <= 0 {
+		if len(caller.Open) > 0 || idle != nil &&
+			cmp.Or(cmp.Compare(rank(idle), rank(caller)), cmp.Compare(idle.IdleSince, caller.IdleSince)) <= 0 {
 			continue
 		}
 		// A caller that has not read an answer for so long has most likely vanished.
@@ -295,7 +297,8 @@
 	if setUp.Wait > s.settings.Classes[class].Deadline {
 		return fmt.Errorf("parameter 19: %d us exceeds the deadline of the class", setUp.Wait)
 	}
-	if cells := s.settings.Info.Cells; class < len(cells) && setUp.Dest >= 0 && !slices.Contains(cells[class], setUp.Dest) {
+	if cells := s.settings.Info.Cells; class < len(cells) && setUp.Dest >= 0 &&
+		!slices.Contains(cells[class], setUp.Dest) {
 		return fmt.Errorf("parameter 31: class has no dest %d", setUp.Dest)
 	}
 	if widths := s.settings.Info.Widths; class < len(widths) && setUp.Width > 0 && setUp.Width != widths[class] {
--- a/internal/session/conn_releases.go
+++ b/internal/session/conn_releases.go
@@ -31,7 +31,8 @@
 // has ended since, nothing is reported, because that may be the reason.
 func (s *Session) checkReleases() {
 	pooled := &s.pooled
-	for pooled.firstUnchecked < len(pooled.sentReleases) && s.now-pooled.sentReleases[pooled.firstUnchecked].sentAt >= releaseAckTimeout {
+	for pooled.firstUnchecked < len(pooled.sentReleases) &&
+		s.now-pooled.sentReleases[pooled.firstUnchecked].sentAt >= releaseAckTimeout {
 		release := pooled.sentReleases[pooled.firstUnchecked]
 		pooled.firstUnchecked++
 		tracked := pooled.tracked[release.call]
@@ -42,7 +43,8 @@
 		tracked.releaseConn = nil
 		if officeConn.Conn != nil && officeConn.Received.Opened <= release.sentAt && officeConn.To.State != decide.Removed {
 			s.observe(pooling.EndUnacknowledged, release.call, 0, nil)
-			if ending, kept := officeConn.To.PendingReleases[release.call]; kept && tracked.repeats < maxReleaseRepeats && !pooled.observeOnly {
+			if ending, kept := officeConn.To.PendingReleases[release.call]; kept && tracked.repeats < maxReleaseRepeats &&
+				!pooled.observeOnly {
 				tracked.repeats++
 				s.releaseAtOffice(officeConn, release.call, ending.Cause)
 			}
@@ -54,7 +56,8 @@
 	if pooled.firstUnchecked == len(pooled.sentReleases) {
 		pooled.sentReleases, pooled.firstUnchecked = pooled.sentReleases[:0], 0
 	} else if pooled.firstUnchecked > 1024 && pooled.firstUnchecked > len(pooled.sentReleases)/2 {
-		pooled.sentReleases, pooled.firstUnchecked = append(pooled.sentReleases[:0], pooled.sentReleases[pooled.firstUnchecked:]...), 0
+		pooled.sentReleases, pooled.firstUnchecked = append(pooled.sentReleases[:0],
+			pooled.sentReleases[pooled.firstUnchecked:]...), 0
 	}
 }
 
@@ -65,7 +68,8 @@
 	if tracked != nil && !pooled.observeOnly {
 		// A cancellation must follow its set-up on the same connection. If it overtook the set-up on another
 		// connection, the office would ignore it and then work on a call that has been retried elsewhere.
-		if tracked.established && pooled.connSelector.Select(s.now, &tracked.call, pooling.End) == pooling.AnyConnection || !tracked.established && pooled.disabled.cancelInOrder {
+		if tracked.established && pooled.connSelector.Select(s.now, &tracked.call, pooling.End) == pooling.AnyConnection ||
+			!tracked.established && pooled.disabled.cancelInOrder {
 			officeConn = anotherConn(officeConn)
 		}
 	}
@@ -83,7 +87,8 @@
 // arrived, or the one that holds the call.
 func (s *Session) connForAck(officeConn *state.OfficeConn, call uint64) *state.OfficeConn {
 	established, tracked := s.established[call], s.pooled.tracked[call]
-	if established == nil || tracked == nil || s.pooled.observeOnly || established.OfficeConn == officeConn || established.OfficeConn.To != officeConn.To || established.OfficeConn.Conn == nil ||
+	if established == nil || tracked == nil || s.pooled.observeOnly || established.OfficeConn == officeConn ||
+		established.OfficeConn.To != officeConn.To || established.OfficeConn.Conn == nil ||
 		s.pooled.connSelector.Select(s.now, &tracked.call, pooling.ReleaseAck) != pooling.SetUpConnection {
 		return officeConn
 	}
@@ -108,7 +113,9 @@
 	office := officeConn.To
 	for call, ending := range inKeyOrder(office.PendingReleases) {
 		if ending.ConnNumber != 0 {
-			if slices.ContainsFunc(office.Pooled, func(c *state.OfficeConn) bool { return c.Number == ending.ConnNumber && c.Conn != nil }) {
+			if slices.ContainsFunc(office.Pooled, func(c *state.OfficeConn) bool {
+				return c.Number == ending.ConnNumber && c.Conn != nil
+			}) {
 				continue
 			}
 			ending.ConnNumber = 0
--- a/internal/session/conn_selection.go
+++ b/internal/session/conn_selection.go
@@ -46,7 +46,8 @@
 
 // findConn returns the connection for a call's set-up by the verdict. If there is none, it creates a pooled one if
 // create is set, and otherwise, or if the limits do not allow one, returns nil.
-func (s *Session) findConn(verdict pooling.ConnectionKind, call *state.Call, office *state.Office, create bool) *state.OfficeConn {
+func (s *Session) findConn(verdict pooling.ConnectionKind, call *state.Call, office *state.Office,
+	create bool) *state.OfficeConn {
 	switch verdict {
 	case pooling.AnyConnection:
 		return &office.OfficeConn
@@ -89,13 +90,15 @@
 	if pooled.disabled.connLimit {
 		most = math.MaxInt
 	}
-	if atOffice := len(office.Pooled) >= max(1, most/officeConnDivisor); (atOffice || pooled.count >= most) && !s.evictIdleConn(office, atOffice) {
+	if atOffice := len(office.Pooled) >= max(1, most/officeConnDivisor); (atOffice || pooled.count >= most) &&
+		!s.evictIdleConn(office, atOffice) {
 		return nil
 	}
 	pooled.lastNumber++
 	pooled.count++
 	pooled.opened++
-	officeConn := &state.OfficeConn{To: office, Number: pooled.lastNumber, Outstanding: map[uint64]*state.Attempt{}, IdleSince: s.now}
+	officeConn := &state.OfficeConn{To: office, Number: pooled.lastNumber, Outstanding: map[uint64]*state.Attempt{},
+		IdleSince: s.now}
 	office.Pooled = append(office.Pooled, officeConn)
 	return officeConn
 }
@@ -107,7 +110,8 @@
 	var idle *state.OfficeConn
 	consider := func(o *state.Office) {
 		for _, officeConn := range o.Pooled {
-			if (officeConn.IsUnused() || s.pooled.disabled.keepOwned && officeConn.IsIdle()) && officeConn.Conn != nil && (idle == nil || officeConn.IdleSince < idle.IdleSince) {
+			if (officeConn.IsUnused() || s.pooled.disabled.keepOwned && officeConn.IsIdle()) && officeConn.Conn != nil &&
+				(idle == nil || officeConn.IdleSince < idle.IdleSince) {
 				idle = officeConn
 			}
 		}
@@ -145,11 +149,13 @@
 // refuseWaiting refuses a call whose attempt still waits for a pooled connection.
 func (s *Session) refuseWaiting(id uint64, n int) {
 	call := s.calls[id]
-	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.Number != n || call.Attempt.OfficeConn.Number != waitingNumber {
+	if call == nil || call.Answered || call.Attempt == nil || call.Attempt.Number != n ||
+		call.Attempt.OfficeConn.Number != waitingNumber {
 		return
 	}
 	s.pooled.refused++
-	s.finishCall(call, decide.Action{Call: decide.CallID(id), Wait: s.retryAfter(call)}, wire.CauseCongestion, state.RefusalsOut)
+	s.finishCall(call, decide.Action{Call: decide.CallID(id), Wait: s.retryAfter(call)}, wire.CauseCongestion,
+		state.RefusalsOut)
 }
 
 // assignFreeConns gives available connections to waiting attempts. The offices take turns at being first.
--- a/internal/session/descriptors.go
+++ b/internal/session/descriptors.go
@@ -15,7 +15,7 @@
 	callerReserveDivisor = 3
 	// listenerCount counts the callers' address and the control address.
 	listenerCount = 2
-	// maxPendingAccepts bounds the result of Taken.
+	// maxPendingAccepts bounds the result of AcceptLimit.
 	maxPendingAccepts = 16
 )
 
@@ -44,9 +44,9 @@
 // unreadCallerGrace is how long callers with unread input may keep new ones from being accepted.
 const unreadCallerGrace = 500_000
 
-// AcceptableCallers returns how many of want new callers may be accepted, counting the connections that can be closed to
-// make room. After unreadCallerGrace all are accepted and the excess is closed. Without that grace, dozens of
-// new callers would be closed because the input of those just accepted is still unread.
+// AcceptableCallers returns how many of want new callers may be accepted, counting the connections that can be closed
+// to make room. After unreadCallerGrace all are accepted and the excess is closed. Without that grace, dozens of new
+// callers would be closed because the input of those just accepted is still unread.
 func (s *Session) AcceptableCallers(want int) int {
 	places, unread := s.callerLimit()-len(s.callers), false
 	for _, caller := range s.callers {
--- a/internal/session/descriptors_test.go
+++ b/internal/session/descriptors_test.go
@@ -8,11 +8,13 @@
 
 // The shares never exceed the descriptors unless callers are at their guaranteed minimum.
 func TestDescriptorShares(t *testing.T) {
-	for _, c := range []struct{ sockets, offices int }{{64, 8}, {128, 24}, {256, 24}, {256, 100}, {1024, 24}, {1024, 600}} {
+	for _, c := range []struct{ sockets, offices int }{{64, 8}, {128, 24}, {256, 24}, {256, 100}, {1024, 24},
+		{1024, 600}} {
 		p := newPlayerOf(t, Config{Sockets: c.sockets, Seed: 7})
 		p.step()
 		for i := range c.offices - 2 {
-			p.play(fmt.Sprintf("10 j > {%016x 02 %08x 7f000001 %04x 00 00 00 0000 000003e8 0000000000000000}", i+2, i+16, 2000+i))
+			p.play(fmt.Sprintf("10 j > {%016x 02 %08x 7f000001 %04x 00 00 00 0000 000003e8 0000000000000000}", i+2, i+16,
+				2000+i))
 		}
 		callers := p.s.callerLimit()
 		if sum := callers + c.offices + reservedDescriptors(c.sockets); sum > c.sockets || callers < minCallers {
--- a/internal/session/drain.go
+++ b/internal/session/drain.go
@@ -54,9 +54,11 @@
 	}
 	for _, caller := range slices.Clone(s.callers) {
 		switch {
-		case len(caller.Open) == 0 && (caller.EstablishedCount == 0 || s.shutdownSince != 0) && (caller.Replied || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Pending():
+		case len(caller.Open) == 0 && (caller.EstablishedCount == 0 || s.shutdownSince != 0) &&
+			(caller.Replied || s.now-caller.Since >= drainNewGrace) && !caller.Conn.Pending():
 			s.closeConn(caller.Conn, errDrained)
-		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter && caller.LastSetUp > s.drainingSince+drainRefuseAfter:
+		case s.drainingSince != 0 && elapsed >= drainEndAfter-drainCloseAfter &&
+			caller.LastSetUp > s.drainingSince+drainRefuseAfter:
 			s.closeDrained(caller)
 		}
 	}
--- a/internal/session/exchange_test.go
+++ b/internal/session/exchange_test.go
@@ -53,7 +53,8 @@
 {"host":"s-00000001","dial":"127.0.0.1:1001","site":"lisboa","block":0,"health":"SERVING","share":1},
 {"host":"s-00000002","dial":"127.0.0.1:1002","site":"lisboa","block":1,"health":"SERVING","share":1}]}}]}`
 
-var connNames = map[string]string{"127.0.0.1:1001": "o1", "127.0.0.1:1002": "o2", "127.0.0.1:1003": "o3", "journal": "j", "journal2": "j2"}
+var connNames = map[string]string{"127.0.0.1:1001": "o1", "127.0.0.1:1002": "o2", "127.0.0.1:1003": "o3",
+	"journal": "j", "journal2": "j2"}
 
 // player simulates the environment of a session, including its clock.
 type player struct {
@@ -65,7 +66,7 @@
 	pendingArrivals []Arrival
 	lines           []string
 	ended           bool
-	// listenerClosing: Leave was called. holdsListenerClosed: only the test reports that the listener is closed.
+	// listenerClosing: StopAccepting was called. holdsListenerClosed: only the test reports that the listener is closed.
 	listenerClosing, holdsListenerClosed bool
 	connSelector                         *fakeConnSelector       // nil: calls are not assigned to pooled connections
 	onWrite                              func(*fakeConn, []byte) // receives what is written; nil: recorded in lines
@@ -288,7 +289,9 @@
 	text := fmt.Sprintf("[%02x %016x", byte(message.Type), message.Call)
 	for _, p := range message.Params {
 		value := `"` + string(p.Value) + `"`
-		if p.Code == wire.ParamCause || strings.ContainsFunc(string(p.Value), func(r rune) bool { return r < ' ' || r > '~' || r == '"' }) {
+		if p.Code == wire.ParamCause || strings.ContainsFunc(string(p.Value), func(r rune) bool {
+			return r < ' ' || r > '~' || r == '"'
+		}) {
 			value = hex.EncodeToString(p.Value)
 		}
 		text += fmt.Sprintf(" %02x[%s]", p.Code, value)
@@ -354,7 +357,8 @@
 			return 1 + rng.IntN(n-1)
 		})
 		if !slices.Equal(whole, split) {
-			t.Errorf("%s: output for split data:\n%s\nfor unsplit data:\n%s", files[int(file)%len(files)], strings.Join(split, "\n"), strings.Join(whole, "\n"))
+			t.Errorf("%s: output for split data:\n%s\nfor unsplit data:\n%s", files[int(file)%len(files)],
+				strings.Join(split, "\n"), strings.Join(whole, "\n"))
 		}
 	})
 }
@@ -383,7 +387,8 @@
 			}
 			answered := strings.Contains(strings.Join(p.lines, "\n"), "a < [09 "+id)
 			if answered != (first == "answer") || len(p.s.calls)+len(p.s.established) != 0 {
-				t.Errorf("%s, %s first: %d open calls, %d established; %q", id, first, len(p.s.calls), len(p.s.established), p.lines)
+				t.Errorf("%s, %s first: %d open calls, %d established; %q", id, first, len(p.s.calls), len(p.s.established),
+					p.lines)
 			}
 		}
 	}
@@ -411,7 +416,8 @@
 				switch {
 				case strings.HasPrefix(line, "#"):
 					p.lines = append(p.lines, line)
-				case len(words) > 2 && words[2] == "<", words[1] == "see", words[len(words)-1] == "shut", words[len(words)-1] == "end":
+				case len(words) > 2 && words[2] == "<", words[1] == "see", words[len(words)-1] == "shut",
+					words[len(words)-1] == "end":
 				default:
 					if !started {
 						started = true
@@ -523,7 +529,8 @@
 		name, id := fmt.Sprint("c", n), n+1
 		say := func(line string) { p.play(fmt.Sprintf("%d %s", p.now/1000, line)) }
 		say(name + " open")
-		say(fmt.Sprintf(`%s > [01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["x"]]`, name, id, n, n%2))
+		say(fmt.Sprintf(`%s > [01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["x"]]`,
+			name, id, n, n%2))
 		at := fmt.Sprint("o", 1+n%2)
 		switch n % 5 {
 		case 0:
@@ -549,8 +556,10 @@
 	}
 	p.until(p.now + 2*endedCallTTL)
 	s := p.s
-	for what, n := range map[string]int{"calls": len(s.calls), "established calls": len(s.established), "undelivered releases": len(s.undeliveredReleases),
-		"remembered ids": len(s.endedCalls), "bytes": int(s.callBytes), "dials": len(s.dials), "callers": len(s.callers)} {
+	for what, n := range map[string]int{"calls": len(s.calls), "established calls": len(s.established),
+		"undelivered releases": len(s.undeliveredReleases),
+		"remembered ids":       len(s.endedCalls), "bytes": int(s.callBytes),
+		"dials": len(s.dials), "callers": len(s.callers)} {
 		if n != 0 {
 			t.Errorf("%d %s are left", n, what)
 		}
@@ -562,7 +571,8 @@
 	}
 	for _, o := range s.offices.All() {
 		if len(o.Outstanding)+len(o.Queue)+len(o.Established)+len(o.PendingReleases) != 0 {
-			t.Errorf("%s is left with %d %d %d %d", o.ID, len(o.Outstanding), len(o.Queue), len(o.Established), len(o.PendingReleases))
+			t.Errorf("%s is left with %d %d %d %d", o.ID, len(o.Outstanding), len(o.Queue), len(o.Established),
+				len(o.PendingReleases))
 		}
 	}
 	if c := s.Counters; c[state.SetUpsIn] != rounds || c[state.AnswersOut] == 0 || c[state.JournalEvents] != 2*rounds {
@@ -640,7 +650,8 @@
 	p := newPlayer(t)
 	p.step()
 	p.play("5 a open")
-	long := wire.Message{Type: wire.TypeProgress, Call: 1, Params: []wire.Param{{Code: 99, Value: make([]byte, 16<<10-100)}}}
+	long := wire.Message{Type: wire.TypeProgress, Call: 1,
+		Params: []wire.Param{{Code: 99, Value: make([]byte, 16<<10-100)}}}
 	var all []byte
 	for range 40 {
 		all, _ = long.Append(all)
--- a/internal/session/hung_parts_test.go
+++ b/internal/session/hung_parts_test.go
@@ -101,7 +101,8 @@
 }
 
 func newOfficeSim(t *testing.T, scenario officeScenario, seed uint64) *officeSim {
-	sim := &officeSim{player: newPlayer(t), scenario: scenario, rng: rand.New(rand.NewPCG(seed, 0x4e2)), calls: map[callAt]*officeCall{},
+	sim := &officeSim{player: newPlayer(t), scenario: scenario, rng: rand.New(rand.NewPCG(seed, 0x4e2)),
+		calls:     map[callAt]*officeCall{},
 		cancelled: map[uint64]bool{}, unreportedEnds: map[string][]uint64{}, nextID: 0x1000}
 	sim.onWrite = sim.handleWrite
 	sim.onConnect = sim.connected
@@ -115,7 +116,8 @@
 
 // hung reports whether an office's processor hangs now.
 func (w *officeSim) hung(office string) bool {
-	return (office == "o1" || w.scenario.bothOffices) && !w.scenario.alive && w.now >= hangAt && (w.scenario.recoversAfter == 0 || w.now < hangAt+w.scenario.recoversAfter)
+	return (office == "o1" || w.scenario.bothOffices) && !w.scenario.alive && w.now >= hangAt &&
+		(w.scenario.recoversAfter == 0 || w.now < hangAt+w.scenario.recoversAfter)
 }
 
 // send sends a message of an office; it arrives if its connection is still open.
@@ -142,7 +144,9 @@
 }
 
 func (w *officeSim) report(conn *fakeConn) {
-	w.send(conn, wire.Message{Type: wire.TypeGroup, Params: []wire.Param{wire.Text(wire.ParamLoad, fmt.Sprintf("free:%d;size:900", 900-w.linesInUse(conn.name)))}})
+	w.send(conn,
+		wire.Message{Type: wire.TypeGroup,
+			Params: []wire.Param{wire.Text(wire.ParamLoad, fmt.Sprintf("free:%d;size:900", 900-w.linesInUse(conn.name)))}})
 }
 
 // connected handles the opening of a connection to an office.
@@ -160,7 +164,8 @@
 		})
 		delete(w.unreportedEnds, conn.name)
 	}
-	if lasts := w.scenario.connLifetime; lasts > 0 && conn.name == "o1" && w.now >= hangAt && w.now < hangAt+w.scenario.cutsFor {
+	if lasts := w.scenario.connLifetime; lasts > 0 && conn.name == "o1" && w.now >= hangAt &&
+		w.now < hangAt+w.scenario.cutsFor {
 		w.after(lasts, func() { w.closeConn(conn) })
 	}
 }
@@ -241,7 +246,8 @@
 		return
 	}
 	w.calls[callAt{conn.name, id}] = &officeCall{}
-	w.send(conn, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, conn.name)}})
+	w.send(conn, wire.Message{Type: wire.TypeAnswer, Call: id,
+		Params: []wire.Param{wire.Text(wire.ParamDescription, conn.name)}})
 	hold := int64(0)
 	switch {
 	case id < 0x1000: // one of those that last until the hang
@@ -304,7 +310,8 @@
 // requestCall requests a call at o1.
 func (w *officeSim) requestCall(id uint64) {
 	w.step(Arrival{Kind: Data, At: w.now, Conn: w.conns["a"], Data: parse(w.t, fmt.Sprintf(
-		`[01 %016x 10["balance-check"] 13["%d"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, id, callerPatience/1000, id))})
+		`[01 %016x 10["balance-check"] 13["%d"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, id,
+		callerPatience/1000, id))})
 }
 
 // run plays the simulation to its end.
@@ -432,15 +439,20 @@
 		{name: "reports", reportInterval: reports, reportsContinue: true, setUpInterval: often},
 		{name: "reports, a set-up each 2 s", reportInterval: reports, reportsContinue: true, setUpInterval: seconds(2)},
 		{name: "reports, a set-up each 3 s", reportInterval: reports, reportsContinue: true, setUpInterval: seconds(3)},
-		{name: "reports and acknowledgments", reportInterval: reports, reportsContinue: true, acksContinue: true, setUpInterval: often},
+		{name: "reports and acknowledgments", reportInterval: reports, reportsContinue: true, acksContinue: true,
+			setUpInterval: often},
 		{name: "no reports, acknowledgments", acksContinue: true, setUpInterval: often},
-		{name: "one report on each new connection, reported before", reportInterval: reports, reportsOnConnect: true, setUpInterval: often},
+		{name: "one report on each new connection, reported before", reportInterval: reports, reportsOnConnect: true,
+			setUpInterval: often},
 		{name: "one report on each new connection, never reported", reportsOnConnect: true, setUpInterval: often},
-		{name: "set-ups are refused for 1.3 s, reports", reportInterval: reports, reportsContinue: true, refusesFor: seconds(1.3), setUpInterval: often},
+		{name: "set-ups are refused for 1.3 s, reports", reportInterval: reports, reportsContinue: true,
+			refusesFor: seconds(1.3), setUpInterval: often},
 		{name: "set-ups are refused for 1.3 s, no reports", refusesFor: seconds(1.3), setUpInterval: often},
-		{name: "set-ups are answered for 1.3 s, reports", reportInterval: reports, reportsContinue: true, answersFor: seconds(1.3), setUpInterval: often},
+		{name: "set-ups are answered for 1.3 s, reports", reportInterval: reports, reportsContinue: true,
+			answersFor: seconds(1.3), setUpInterval: often},
 		{name: "set-ups are answered for 1.3 s, no reports", answersFor: seconds(1.3), setUpInterval: often},
-		{name: "connections end after 0.25 s, each brings a report", reportInterval: reports, reportsOnConnect: true, connLifetime: seconds(0.25), cutsFor: forever, setUpInterval: often},
+		{name: "connections end after 0.25 s, each brings a report", reportInterval: reports, reportsOnConnect: true,
+			connLifetime: seconds(0.25), cutsFor: forever, setUpInterval: often},
 	}
 }
 
@@ -455,15 +467,20 @@
 	}
 	for _, reports := range []int64{0, seconds(3.2)} {
 		for _, scenario := range []officeScenario{
-			{name: "reports on new connections, acknowledgments, refusals for 1.3 s", reportsOnConnect: true, acksContinue: true, refusesFor: seconds(1.3)},
+			{name: "reports on new connections, acknowledgments, refusals for 1.3 s", reportsOnConnect: true,
+				acksContinue: true, refusesFor: seconds(1.3)},
 			{name: "answers for 1.3 s", answersFor: seconds(1.3)},
 			{name: "answers for 3 s", answersFor: seconds(3)},
 			{name: "answers for ever", answersFor: forever},
 			{name: "refusals for ever", refusesFor: forever},
-			{name: "connections end after 0.25 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(0.25), cutsFor: forever},
-			{name: "connections end after 0.5 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(0.5), cutsFor: forever},
-			{name: "connections end after 1 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(1), cutsFor: forever},
-			{name: "connections end after 0.25 s for 1.3 s", reportsOnConnect: true, connLifetime: seconds(0.25), cutsFor: seconds(1.3)},
+			{name: "connections end after 0.25 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(0.25),
+				cutsFor: forever},
+			{name: "connections end after 0.5 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(0.5),
+				cutsFor: forever},
+			{name: "connections end after 1 s, each brings a report", reportsOnConnect: true, connLifetime: seconds(1),
+				cutsFor: forever},
+			{name: "connections end after 0.25 s for 1.3 s", reportsOnConnect: true, connLifetime: seconds(0.25),
+				cutsFor: seconds(1.3)},
 			{name: "answers and releases waited 0.7 s", maxDelay: seconds(0.7)},
 			{name: "answers and releases waited 1.4 s", maxDelay: seconds(1.4)},
 			{name: "answers and releases waited 2.4 s", maxDelay: seconds(2.4)},
@@ -487,7 +504,8 @@
 				}
 				t.Logf("seed %d: released to the caller %.2f s after its end at the latest", seed, float64(worst)/1e6)
 				if late > 0 {
-					t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest", seed, late, total, float64(worst)/1e6)
+					t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest", seed, late, total,
+						float64(worst)/1e6)
 				}
 			}
 		})
@@ -509,11 +527,13 @@
 		{name: "calls of 2.5 s", rate: 15, holdMean: 2.5},
 		{name: "calls of 20 s", rate: 15, holdMean: 20},
 		{name: "calls of 30 s each", rate: 15, holdTime: func() int64 { return seconds(30) }},
-		{name: "calls of 9 s each, after a lull", rate: 15, holdTime: func() int64 { return seconds(9) }, lull: [2]int64{seconds(2), seconds(11)}, needsReports: true},
+		{name: "calls of 9 s each, after a lull", rate: 15, holdTime: func() int64 { return seconds(9) },
+			lull: [2]int64{seconds(2), seconds(11)}, needsReports: true},
 		{name: "0.5 s, then 30 s", rate: 15, meanHoldAt: change(0.5, 30)},
 		{name: "0.5 s, then 30 s, many calls", rate: 90, meanHoldAt: change(0.5, 30)},
 		{name: "1 s, then 60 s", rate: 15, meanHoldAt: change(1, 60)},
-		{name: "1 s, then 60 s, no set-ups", rate: 15, meanHoldAt: change(1, 60), lull: [2]int64{seconds(14), forever}, needsReports: true},
+		{name: "1 s, then 60 s, no set-ups", rate: 15, meanHoldAt: change(1, 60), lull: [2]int64{seconds(14), forever},
+			needsReports: true},
 		{name: "2.5 s, then 60 s", rate: 40, meanHoldAt: change(2.5, 60)},
 		{name: "connections reset each second", rate: 15, holdMean: 2.5, resetInterval: seconds(1)},
 		{name: "answers and releases wait 1.4 s", rate: 15, holdMean: 2.5, maxDelay: seconds(1.4)},
@@ -530,20 +550,22 @@
 				c.reportInterval = reports
 				c.bothOffices = other
 				c.alive = true
-				t.Run(fmt.Sprintf("%s, reports each %d ms, other office alike: %t", c.name, reports/1000, other), func(t *testing.T) {
-					for seed := range uint64(3) {
-						sim := newOfficeSim(t, c, seed)
-						sim.run()
-						if late, cut, total, _ := sim.judge(); cut > 0 || late > 0 || total < 9 {
-							t.Errorf("seed %d: %d of %d calls were cut, %d told late", seed, cut, total, late)
+				t.Run(fmt.Sprintf("%s, reports each %d ms, other office alike: %t", c.name, reports/1000, other),
+					func(t *testing.T) {
+						for seed := range uint64(3) {
+							sim := newOfficeSim(t, c, seed)
+							sim.run()
+							if late, cut, total, _ := sim.judge(); cut > 0 || late > 0 || total < 9 {
+								t.Errorf("seed %d: %d of %d calls were cut, %d told late", seed, cut, total, late)
+							}
 						}
-					}
-				})
+					})
 			}
 		}
 	}
 	for _, back := range []float64{1, 2, 4} {
-		scenario := officeScenario{name: "hangs and recovers", recoversAfter: seconds(back), rate: 15, holdMean: 9, reportInterval: seconds(3.2), reportsContinue: true}
+		scenario := officeScenario{name: "hangs and recovers", recoversAfter: seconds(back), rate: 15, holdMean: 9,
+			reportInterval: seconds(3.2), reportsContinue: true}
 		t.Run(fmt.Sprintf("hangs for %v s and is back", back), func(t *testing.T) {
 			sim := newOfficeSim(t, scenario, 1)
 			sim.run()
@@ -558,7 +580,8 @@
 func drawHung(seed uint64) officeScenario {
 	rng := rand.New(rand.NewPCG(seed, 0x9a7))
 	upTo := func(most float64) int64 { return int64(rng.Float64() * most * 1e6) }
-	scenario := officeScenario{name: fmt.Sprint("seed ", seed), rate: 0.3 * math.Pow(40/0.3, rng.Float64()), holdMean: 0.5 * math.Pow(60, rng.Float64())}
+	scenario := officeScenario{name: fmt.Sprint("seed ", seed), rate: 0.3 * math.Pow(40/0.3, rng.Float64()),
+		holdMean: 0.5 * math.Pow(60, rng.Float64())}
 	if rng.IntN(3) > 0 {
 		scenario.reportInterval = seconds(0.3) + upTo(4.7)
 		scenario.reportsContinue = rng.IntN(2) == 0
@@ -616,7 +639,8 @@
 		}
 		evident++
 		if late > 0 {
-			t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest: %+v", seed, late, total, float64(worst)/1e6, scenario)
+			t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest: %+v", seed, late, total,
+				float64(worst)/1e6, scenario)
 		}
 	}
 	if evident < 100 {
@@ -631,7 +655,8 @@
 	hold := func() float64 { return 0.4 * math.Pow(100, rng.Float64()) }
 	before, after := hold(), hold()
 	change := seconds(6 + 6*rng.Float64())
-	scenario := officeScenario{alive: true, rate: math.Pow(90, rng.Float64()), reportInterval: seconds(0.3 + 4*rng.Float64()), bothOffices: rng.IntN(2) == 0}
+	scenario := officeScenario{alive: true, rate: math.Pow(90, rng.Float64()),
+		reportInterval: seconds(0.3 + 4*rng.Float64()), bothOffices: rng.IntN(2) == 0}
 	scenario.meanHoldAt = func(now int64) float64 {
 		if now < change {
 			return before
@@ -651,7 +676,8 @@
 	case 4:
 		scenario.refusesBetween = [2]int64{pause, pause + seconds(4*rng.Float64())}
 	}
-	scenario.name = fmt.Sprintf("%.1f calls a second of %.1f s, from %.1f s on of %.1f s; lull %v, reset each %d us, wait %d us, refuses %v", scenario.rate, before,
+	scenario.name = fmt.Sprintf("%.1f calls a second of %.1f s, from %.1f s on of %.1f s; lull %v, reset each %d us, wait %d us, refuses %v",
+		scenario.rate, before,
 		float64(change)/1e6, after, scenario.lull, scenario.resetInterval, scenario.maxDelay, scenario.refusesBetween)
 	return scenario
 }
@@ -681,7 +707,8 @@
 	sim := newOfficeSim(t, scenario, seed)
 	sim.run()
 	if late, cut, total, _ := sim.judge(); cut > 0 || late > 0 {
-		t.Errorf("seed %d: %d of %d calls were cut, %d told late: %s; %s", seed, cut, total, late, scenario.name, sim.s.Counters.String())
+		t.Errorf("seed %d: %d of %d calls were cut, %d told late: %s; %s", seed, cut, total, late, scenario.name,
+			sim.s.Counters.String())
 	}
 }
 
@@ -697,7 +724,8 @@
 		sim := newOfficeSim(t, scenario, seed)
 		sim.run()
 		if late, cut, total, worst := sim.judge(); late > 0 || cut > 0 {
-			t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest; %d cut: %+v", seed, late, total,
+			t.Errorf("seed %d: %d of %d callers were told too late, %.2f s after the end at the latest; %d cut: %+v", seed,
+				late, total,
 				float64(worst)/1e6, cut, scenario)
 		}
 	}
--- a/internal/session/journal.go
+++ b/internal/session/journal.go
@@ -64,7 +64,8 @@
 		return
 	}
 	s.Counters[state.Reloads]++
-	s.log.Info("configuration reloaded", "journal", arrival.Update.Address, "last", s.source.LastNumber(), "known", arrival.Update.Known.Last)
+	s.log.Info("configuration reloaded", "journal", arrival.Update.Address, "last", s.source.LastNumber(),
+		"known", arrival.Update.Known.Last)
 	if r, ok := s.decider.(Reloader); ok && arrival.Update.Other != nil {
 		s.actions = r.Reload(s.now, arrival.Update.Other, s.actions[:0])
 		for _, act := range s.actions {
@@ -127,7 +128,8 @@
 
 // applyChange applies one journal event to the list, ends what it removes and reports it to the module.
 func (s *Session) applyChange(change wire.Change) {
-	newOffices := slices.DeleteFunc(slices.Clone(change.Offices), func(office wire.Office) bool { return s.offices.Get(office.ID) != nil })
+	newOffices := slices.DeleteFunc(slices.Clone(change.Offices),
+		func(office wire.Office) bool { return s.offices.Get(office.ID) != nil })
 	gone := s.offices.Apply(change)
 	for _, office := range newOffices {
 		if office.Started < s.startedAt { // calls of a previous process may be established there
--- a/internal/session/office_connections.go
+++ b/internal/session/office_connections.go
@@ -103,8 +103,10 @@
 	if errors.Is(err, errIdle) {
 		level = slog.LevelDebug
 	}
-	s.officeConnLogger(officeConn).Log(context.Background(), level, "office connection ended", "office", office.ID, "out", len(officeConn.Outstanding), "standing", len(office.Established),
-		"silent_ms", millisSince(s.now, office.Liveness.LastMessage()), "served_ms", millisSince(s.now, office.Liveness.LastService()), "error", err)
+	s.officeConnLogger(officeConn).Log(context.Background(), level, "office connection ended", "office", office.ID,
+		"out", len(officeConn.Outstanding), "standing", len(office.Established),
+		"silent_ms", millisSince(s.now, office.Liveness.LastMessage()),
+		"served_ms", millisSince(s.now, office.Liveness.LastService()), "error", err)
 	for _, attempt := range inKeyOrder(officeConn.Outstanding) {
 		if attempt.Failed {
 			s.Counters[state.ConnectFailures]++
@@ -116,7 +118,8 @@
 		}
 		s.Counters[state.Resets]++
 		office.Liveness.SetUpCut(s.now, attempt.Since)
-		office.PendingReleases[attempt.Call.ID] = state.PendingRelease{Cause: wire.CauseNormal, At: s.now, ConnNumber: officeConn.Number}
+		office.PendingReleases[attempt.Call.ID] = state.PendingRelease{Cause: wire.CauseNormal, At: s.now,
+			ConnNumber: officeConn.Number}
 		if s.pooled.connSelector != nil {
 			s.observe(pooling.ConnectionLost, attempt.Call.ID, 0, nil)
 		}
@@ -129,7 +132,8 @@
 		s.officeConnLost(officeConn)
 	}
 	if officeConn.Number == 0 {
-		office.Liveness.ConnectionLost(s.now, liveness.LostConnection{Opened: officeConn.Received.Opened, Unanswered: unanswered})
+		office.Liveness.ConnectionLost(s.now, liveness.LostConnection{Opened: officeConn.Received.Opened,
+			Unanswered: unanswered})
 	}
 	switch short := s.now-officeConn.Received.Opened < maxRedialDelay; {
 	case officeConn.Number != 0: // a pooled connection says nothing about the main connection
@@ -189,7 +193,8 @@
 
 // mayHaveEarlierCalls reports whether calls of the previous process may be established at an office.
 func (s *Session) mayHaveEarlierCalls(office *state.Office) bool {
-	return s.now-s.earlierCallSeen < earlierCallsWindow && office.Started <= s.startedAt && len(s.offices.All()) <= s.maxEagerOffices
+	return s.now-s.earlierCallSeen < earlierCallsWindow && office.Started <= s.startedAt &&
+		len(s.offices.All()) <= s.maxEagerOffices
 }
 
 // scheduleRedial reconnects after a delay that doubles each time, up to a maximum.
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -88,7 +88,8 @@
 			s.Counters[state.InvalidIn]++
 			s.closeConn(officeConn.Conn, errPartialMessage)
 		}
-	case len(officeConn.Outstanding)+established > 0 && !paused && officeConn.Received.IsSilent(s.now, s.reportRhythm) && !officeConn.Conn.Unread():
+	case len(officeConn.Outstanding)+established > 0 && !paused && officeConn.Received.IsSilent(s.now, s.reportRhythm) &&
+		!officeConn.Conn.Unread():
 		s.closeConn(officeConn.Conn, errOfficeSilent)
 	}
 }
@@ -107,7 +108,8 @@
 
 // recordOfficeMessage records a complete message of an office.
 func (s *Session) recordOfficeMessage(officeConn *state.OfficeConn, message wire.Message, at int64) {
-	record := liveness.Message{At: s.earliestWriteTime(at), Kind: s.messageKind(officeConn, message), OnMain: officeConn.Number == 0, Opened: officeConn.Received.Opened}
+	record := liveness.Message{At: s.earliestWriteTime(at), Kind: s.messageKind(officeConn, message),
+		OnMain: officeConn.Number == 0, Opened: officeConn.Received.Opened}
 	if record.Kind == liveness.Answer {
 		record.SetUpSent = s.setUpSentAt(officeConn, message.Call)
 	}
@@ -177,7 +179,8 @@
 
 // judgeDeparting releases the calls at a doubtful office while their callers are still connected.
 func (s *Session) judgeDeparting(office *state.Office) {
-	observation := liveness.ShutdownObservation{ReportInterval: max(s.reportRhythm, office.Received.ReportInterval), Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.OfficeConn)}
+	observation := liveness.ShutdownObservation{ReportInterval: max(s.reportRhythm, office.Received.ReportInterval),
+		Connected: office.Conn != nil, Unanswered: s.unansweredSetUps(&office.OfficeConn)}
 	if transition, changed := office.Liveness.JudgeDeparting(s.now, observation); changed && len(office.Established) > 0 {
 		s.applyTransition(office, transition)
 	}
@@ -206,16 +209,19 @@
 	if transition.To == liveness.Unresponsive {
 		level = slog.LevelWarn
 	}
-	s.log.Log(context.Background(), level, "office liveness", append([]any{"office", office.ID, "from", transition.From.String(), "to", transition.To.String(),
-		"reason", transition.Reason.String()}, s.livenessFields(office)...)...)
+	s.log.Log(context.Background(), level, "office liveness",
+		append([]any{"office", office.ID, "from", transition.From.String(), "to", transition.To.String(),
+			"reason", transition.Reason.String()}, s.livenessFields(office)...)...)
 }
 
 // livenessFields returns the log fields of an office that is judged: the age of its latest messages, how long
 // set-ups have waited there, what is outstanding, and how late this process reads.
 func (s *Session) livenessFields(office *state.Office) []any {
 	ago := func(word liveness.MessageKind) int64 { return millisSince(s.now, office.Liveness.LastOfKind(word)) }
-	return []any{"silent_ms", millisSince(s.now, office.Liveness.LastMessage()), "answered_ms", ago(liveness.Answer), "refused_ms", ago(liveness.Refusal),
-		"ended_ms", ago(liveness.End), "lag_ms", office.Liveness.QueueDelay() / 1000, "unanswered", s.overdueSetUps(office).Count, "connected", office.Conn != nil,
+	return []any{"silent_ms", millisSince(s.now, office.Liveness.LastMessage()), "answered_ms", ago(liveness.Answer),
+		"refused_ms", ago(liveness.Refusal),
+		"ended_ms", ago(liveness.End), "lag_ms", office.Liveness.QueueDelay() / 1000,
+		"unanswered", s.overdueSetUps(office).Count, "connected", office.Conn != nil,
 		"out", len(office.Outstanding), "standing", len(office.Established), "read_late_ms", s.readDelay / 1000}
 }
 
@@ -257,8 +263,10 @@
 	if !ended {
 		return
 	}
-	s.log.Warn("office restarted", "office", office.ID, "evidence", restart.Evidence.String(), "last_word_ms", (s.now-restart.LastMessage)/1000,
-		"lost_ms", (s.now-restart.Before)/1000, "standing", len(office.Established), "of_before", countEstablished(office)(0, restart.Before))
+	s.log.Warn("office restarted", "office", office.ID, "evidence", restart.Evidence.String(),
+		"last_word_ms", (s.now-restart.LastMessage)/1000,
+		"lost_ms", (s.now-restart.Before)/1000, "standing", len(office.Established),
+		"of_before", countEstablished(office)(0, restart.Before))
 	for _, established := range inKeyOrder(office.Established) {
 		if established.Since < restart.Before {
 			s.releaseForOffice(office, established, liveness.Restarted)
@@ -272,7 +280,8 @@
 	if !office.Liveness.MissingEndsCheckDue(s.now) || !s.canJudge(office) || office.Conn != nil && office.Conn.Unread() {
 		return
 	}
-	before, ended := office.Liveness.CheckMissingEnds(s.now, callsAtOffice(office), s.callDurations.Rates(s.observedOffices()))
+	before, ended := office.Liveness.CheckMissingEnds(s.now, callsAtOffice(office),
+		s.callDurations.Rates(s.observedOffices()))
 	if !ended {
 		return
 	}
@@ -355,7 +364,8 @@
 // releaseForOffice releases a call to its caller and, if the office is connected, at the office.
 func (s *Session) releaseForOffice(office *state.Office, established *state.EstablishedCall, reason liveness.Reason) {
 	call, officeConn := established.ID, established.OfficeConn
-	s.log.Info("releasing call because its office cannot end it", "call", formatCallID(call), "office", office.ID, "reason", reason.String(),
+	s.log.Info("releasing call because its office cannot end it", "call", formatCallID(call), "office", office.ID,
+		"reason", reason.String(),
 		"stood_ms", (s.now-established.Since)/1000)
 	s.Counters[releaseCounters[reason]]++
 	s.cutEstablished(established)
@@ -363,6 +373,7 @@
 		s.releaseAtOffice(officeConn, call, wire.CauseCut)
 	}
 	if len(office.PendingReleases) < maxPendingReleases {
-		office.PendingReleases[call] = state.PendingRelease{Cause: wire.CauseCut, At: s.now, ConnNumber: officeConn.Number, Unresponsive: true}
+		office.PendingReleases[call] = state.PendingRelease{Cause: wire.CauseCut, At: s.now, ConnNumber: officeConn.Number,
+			Unresponsive: true}
 	}
 }
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -27,7 +27,7 @@
 )
 
 // EndObserver is a Decider that may need to be told of the end of each established call by an event of kind
-// decide.Over. A Decider that wraps others forwards it. A Decider that does not need ends gets no such events.
+// decide.CallEnded. A Decider that wraps others forwards it. A Decider that does not need ends gets no such events.
 type EndObserver interface {
 	HearsEnds() bool
 }
@@ -104,7 +104,8 @@
 		if lines, reported := message.LinesInUse(); reported {
 			officeConn.To.Liveness.LinesInUse(at, lines, countEstablished(officeConn.To))
 		}
-		s.queueEvent(decide.Event{Kind: decide.ServerReport, Server: officeConn.To.ID, Outcome: decide.OK, Load: message.Load()})
+		s.queueEvent(decide.Event{Kind: decide.ServerReport, Server: officeConn.To.ID, Outcome: decide.OK,
+			Load: message.Load()})
 	case wire.TypeProgress, wire.TypeTested:
 	default:
 		s.Counters[state.InvalidIn]++
@@ -133,7 +134,8 @@
 	call, officeConn := attempt.Call, attempt.OfficeConn
 	delete(officeConn.Outstanding, call.ID)
 	call.Attempt = nil
-	s.queueEvent(decide.Event{Kind: decide.SetUpCompleted, Call: decide.CallID(call.ID), Server: office.ID, Attempt: attempt.Number,
+	s.queueEvent(decide.Event{Kind: decide.SetUpCompleted, Call: decide.CallID(call.ID), Server: office.ID,
+		Attempt: attempt.Number,
 		Elapsed: max(0, arrivedAt-attempt.Since)})
 	if call.Answered {
 		s.forgetCall(call)
@@ -155,7 +157,8 @@
 	s.trustCaller(call.From)
 	delete(s.endedCalls, call.ID)
 	st := s.callPool.NewEstablished()
-	*st = state.EstablishedCall{ID: call.ID, OfficeConn: officeConn, From: call.From, Since: s.now, Class: s.classIndex[call.SetUp.Class]}
+	*st = state.EstablishedCall{ID: call.ID, OfficeConn: officeConn, From: call.From, Since: s.now,
+		Class: s.classIndex[call.SetUp.Class]}
 	s.established[call.ID], office.Established[call.ID] = st, st
 	call.From.EstablishedCount++
 	if s.pooled.connSelector != nil {
@@ -188,7 +191,8 @@
 	// If no caller is connected that could be told of the call's end, the release is not acknowledged, so that
 	// the office repeats it on its next connection. This process may have exited by then, and what it has
 	// received would be lost.
-	if _, ended := office.PendingReleases[message.Call]; ended || s.calls[message.Call] != nil || slices.ContainsFunc(s.callers, mayBeTrusted) {
+	if _, ended := office.PendingReleases[message.Call]; ended || s.calls[message.Call] != nil ||
+		slices.ContainsFunc(s.callers, mayBeTrusted) {
 		ackOn := officeConn
 		if s.pooled.connSelector != nil {
 			ackOn = s.connForAck(officeConn, message.Call)
@@ -223,7 +227,8 @@
 		if established.OfficeConn.To != office {
 			return // it was cancelled here and is established elsewhere; only its end there counts
 		}
-		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class}, officeConn.Received.Opened)
+		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class},
+			officeConn.Received.Opened)
 		s.callDurations.EndedByOffice(established.Class, s.now-established.Since)
 		if s.pooled.connSelector != nil {
 			s.observe(pooling.EndedByOffice, message.Call, cause, nil)
@@ -231,7 +236,8 @@
 		s.endEstablished(established)
 		s.releaseToCaller(message.Call, cause, established.From)
 	} else if _, known := s.endedCalls[message.Call]; !known && s.calls[message.Call] == nil {
-		if office.UnknownReleases++; office.UnknownReleases > maxPendingReleases { // bounds memory; no office has so many at once
+		// bounds memory; no office has so many at once
+		if office.UnknownReleases++; office.UnknownReleases > maxPendingReleases {
 			s.Counters[state.InvalidIn]++
 			return
 		}
--- a/internal/session/outbox.go
+++ b/internal/session/outbox.go
@@ -54,7 +54,8 @@
 		if sent {
 			s.Counters[state.AttemptsOut]++
 		}
-		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.Number == b.Number && call.Attempt.OfficeConn == officeConn {
+		if call := s.calls[b.Call]; call != nil && call.Attempt != nil && call.Attempt.Number == b.Number &&
+			call.Attempt.OfficeConn == officeConn {
 			call.Attempt.Failed, call.Attempt.PartlySent = !sent, stuck
 		}
 	}
--- a/internal/session/pooled_conns.go
+++ b/internal/session/pooled_conns.go
@@ -85,7 +85,8 @@
 }
 
 func (p *pooledConns) init(cfg Config) {
-	p.connSelector, p.observeOnly, p.application, p.sockets = cfg.ConnSelector, cfg.ObserveOnly, cfg.Application, cfg.Sockets
+	p.connSelector, p.observeOnly, p.application, p.sockets = cfg.ConnSelector, cfg.ObserveOnly, cfg.Application,
+		cfg.Sockets
 	if p.connSelector != nil {
 		p.tracked = map[uint64]*trackedCall{}
 	}
@@ -116,7 +117,8 @@
 		tracked = &trackedCall{}
 	}
 	effect := s.settings.Classes[class].Effect
-	tracked.call = pooling.Call{ID: call.ID, Client: pooling.ClientID(call.From.Client), Session: pooling.SessionID(call.From.Session),
+	tracked.call = pooling.Call{ID: call.ID, Client: pooling.ClientID(call.From.Client),
+		Session:    pooling.SessionID(call.From.Session),
 		Repeatable: effect == "" || effect == "free"}
 	pooled.tracked[call.ID] = tracked
 	s.observe(pooling.SetUpReceived, call.ID, 0, call.SetUp.Description)
@@ -134,26 +136,30 @@
 // observe reports an observation of a call if it is tracked.
 func (s *Session) observe(happening pooling.EventKind, call uint64, cause byte, text []byte) {
 	if tracked := s.pooled.tracked[call]; tracked != nil {
-		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: happening, Call: &tracked.call, Cause: cause, Text: text})
+		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: happening, Call: &tracked.call, Cause: cause,
+			Text: text})
 	}
 }
 
 // observeCallerRelease reports the connection that brought a release or cancellation of a call.
 func (s *Session) observeCallerRelease(caller *state.Caller, call uint64) {
 	if tracked := s.pooled.tracked[call]; tracked != nil {
-		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.EndReceived, Call: &tracked.call, Session: pooling.SessionID(caller.Session)})
+		s.pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.EndReceived, Call: &tracked.call,
+			Session: pooling.SessionID(caller.Session)})
 	}
 }
 
 // observeRepeatedSetUp reports the connection that brought a set-up with an id already in use.
 func (s *Session) observeRepeatedSetUp(caller *state.Caller, call uint64) {
 	pooled := &s.pooled
-	pooled.untracked = pooling.Call{ID: call, Client: pooling.ClientID(caller.Client), Session: pooling.SessionID(caller.Session)}
+	pooled.untracked = pooling.Call{ID: call, Client: pooling.ClientID(caller.Client),
+		Session: pooling.SessionID(caller.Session)}
 	c := &pooled.untracked
 	if tracked := pooled.tracked[call]; tracked != nil {
 		c = &tracked.call
 	}
-	pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.IDReused, Call: c, Session: pooling.SessionID(caller.Session)})
+	pooled.connSelector.Observe(s.now, pooling.Observation{Event: pooling.IDReused, Call: c,
+		Session: pooling.SessionID(caller.Session)})
 }
 
 // markEstablished notes that a call is established on an office connection.
@@ -214,7 +220,8 @@
 			if officeConn.Owner != nil {
 				within = ownedConnLinger
 			}
-			if officeConn.Conn != nil && officeConn.IsUnused() && s.now-officeConn.IdleSince >= within && !officeConn.Conn.Pending() {
+			if officeConn.Conn != nil && officeConn.IsUnused() && s.now-officeConn.IdleSince >= within &&
+				!officeConn.Conn.Pending() {
 				s.closeConn(officeConn.Conn, errIdle)
 			}
 		}
@@ -233,8 +240,10 @@
 		pooled.scratch = append(pooled.scratch[:0], office.Pooled...)
 		for _, officeConn := range pooled.scratch {
 			caller := officeConn.Owner
-			if caller != nil && caller.Conn != nil && officeConn.Conn != nil && officeConn.IsIdle() && s.now-officeConn.IdleSince >= pooledConnIdleTimeout &&
-				!pooled.connSelector.KeepOwn(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session)) && !officeConn.Conn.Pending() {
+			if caller != nil && caller.Conn != nil && officeConn.Conn != nil && officeConn.IsIdle() &&
+				s.now-officeConn.IdleSince >= pooledConnIdleTimeout &&
+				!pooled.connSelector.KeepOwn(s.now, pooling.ClientID(caller.Client), pooling.SessionID(caller.Session)) &&
+				!officeConn.Conn.Pending() {
 				s.closeConn(officeConn.Conn, errIdle)
 			}
 		}
--- a/internal/session/pooled_conns_bench_test.go
+++ b/internal/session/pooled_conns_bench_test.go
@@ -13,7 +13,8 @@
 	for _, how := range []string{"off", "watch", "any", "own", "taken"} {
 		b.Run(how, func(b *testing.B) {
 			cfg := Config{Sockets: 1024, Seed: 7, ObserveOnly: how == "watch"}
-			connSelector := &fakeConnSelector{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a", silent: true}
+			connSelector := &fakeConnSelector{modes: map[string]string{"a": how}, callers: []string{"a"}, nextCaller: "a",
+				silent: true}
 			if how != "off" {
 				cfg.ConnSelector = connSelector
 			}
@@ -37,7 +38,8 @@
 			}
 			up := wire.SetUp{Class: "balance-check", Number: "n/1", Description: make([]byte, 100)}.Onward(1, 5_000_000)
 			up.Params = append(up.Params, wire.Text(wire.ParamInfo, "dest:-1;width:1;via:-1"))
-			texts := [][]byte{bytes(up), bytes(wire.Message{Type: wire.TypeAnswer, Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}}),
+			texts := [][]byte{bytes(up),
+				bytes(wire.Message{Type: wire.TypeAnswer, Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}}),
 				bytes(wire.ReleaseOf(1, wire.CauseNormal)), bytes(wire.Message{Type: wire.TypeHeard})}
 			var as [1]Arrival
 			var buf [512]byte
--- a/internal/session/pooled_conns_sim_test.go
+++ b/internal/session/pooled_conns_sim_test.go
@@ -140,7 +140,8 @@
 		}
 		call.sentOn, call.guardUntil = nil, w.now+200_000
 		w.seen["cancelled"]++
-	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed && call.pick != pooling.AnyConnection {
+	} else if s := call.offices[conn.officeIndex()].establishedOn; s != nil && s != conn && !s.closed &&
+		call.pick != pooling.AnyConnection {
 		w.fault("the release of %x on %s, not on %s", id, conn.name, s.name)
 	}
 }
@@ -169,7 +170,8 @@
 		}
 	default: // the release of an established call
 		for _, side := range call.offices {
-			if message.Cause() == wire.CauseCut && call.knowsEstablished && side.establishedOn != nil && !side.establishedOn.closed {
+			if message.Cause() == wire.CauseCut && call.knowsEstablished && side.establishedOn != nil &&
+				!side.establishedOn.closed {
 				w.fault("%x is cut, though its connection %s is open", message.Call, side.establishedOn.name)
 			}
 		}
@@ -184,7 +186,8 @@
 		return
 	}
 	for _, caller := range w.callers {
-		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed && w.connSelector.modes[w.connSelector.callers[s-1]] != "taken" {
+		if s, owned := w.ownerSession[conn]; owned && s == caller.session && !caller.conn.closed &&
+			w.connSelector.modes[w.connSelector.callers[s-1]] != "taken" {
 			w.fault("%s is closed, though its caller is connected", conn.name)
 		}
 	}
@@ -277,7 +280,8 @@
 		for i := 0; office.Overflow != nil && i < len(office.Overflow.Queue); i++ {
 			call := office.Overflow.Queue[i].Call
 			w.seen["waits"]++
-			if waits := w.now - (call.Deadline - call.SetUp.Wait); waits > w.s.settings.Classes[w.s.classIndex[call.SetUp.Class]].Aim+100_000 {
+			if waits := w.now - (call.Deadline - call.SetUp.Wait); waits >
+				w.s.settings.Classes[w.s.classIndex[call.SetUp.Class]].Aim+100_000 {
 				w.fault("%x has waited %d ms for a pooled connection", call.ID, waits/1000)
 			}
 		}
@@ -298,7 +302,8 @@
 		}
 		if r < 8 {
 			side.establishedOn = on
-			w.send(on, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}})
+			w.send(on, wire.Message{Type: wire.TypeAnswer, Call: id,
+				Params: []wire.Param{wire.Text(wire.ParamDescription, "d")}})
 		} else {
 			w.send(on, wire.ReleaseOf(id, []byte{wire.CauseMissing, wire.CauseBusy}[r-8]))
 		}
@@ -325,7 +330,8 @@
 		w.calls[w.lastID] = &simCall{caller: by}
 		message := wire.SetUp{Class: []string{"balance-check", "sale-auth"}[w.rng.IntN(2)], Number: "n/1",
 			Description: []byte("offer")}.Onward(w.lastID, 300_000+w.rng.Int64N(4_000_000))
-		message.Params = append(message.Params, wire.Text(wire.ParamInfo, fmt.Sprintf("dest:%d;width:1;via:-1", w.rng.IntN(2))))
+		message.Params = append(message.Params,
+			wire.Text(wire.ParamInfo, fmt.Sprintf("dest:%d;width:1;via:-1", w.rng.IntN(2))))
 		w.send(by.conn, message)
 	}
 	if chance(40) {
@@ -377,11 +383,14 @@
 // runConnSim runs the simulation for a number of ticks, then lets everything finish. It returns the violations
 // found.
 func runConnSim(t *testing.T, seed uint64, ticks int, disabled disabledGuards, events map[string]int) []string {
-	sim := &connSim{player: newPooledConnPlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)), unread: map[*fakeConn][]sentMessage{},
-		ownerSession: map[*fakeConn]int{}, shared: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{}, calls: map[uint64]*simCall{},
+	sim := &connSim{player: newPooledConnPlayer(t, 72), rng: rand.New(rand.NewPCG(seed, 5)),
+		unread:       map[*fakeConn][]sentMessage{},
+		ownerSession: map[*fakeConn]int{}, shared: map[*fakeConn]bool{}, holder: map[*fakeConn]uint64{},
+		calls:   map[uint64]*simCall{},
 		refused: map[string]int64{}, seen: events}
 	sim.connSelector.silent, sim.s.pooled.disabled = true, disabled
-	sim.onWrite, sim.onClose, sim.onConnect = sim.handleWrite, sim.handleClose, func(conn *fakeConn) { sim.officeConns = append(sim.officeConns, conn) }
+	sim.onWrite, sim.onClose, sim.onConnect = sim.handleWrite, sim.handleClose,
+		func(conn *fakeConn) { sim.officeConns = append(sim.officeConns, conn) }
 	for _, arrival := range sim.pendingArrivals { // the connections opened at the start
 		if conn, ok := arrival.Conn.(*fakeConn); ok && conn.name[0] == 'o' {
 			sim.officeConns = append(sim.officeConns, conn)
@@ -438,7 +447,8 @@
 		}
 	}
 	if left != 0 {
-		sim.fault("%d pooled connections, %d calls, %d releases are left; %d in all", pooled.count, len(pooled.tracked), len(pooled.sentReleases), left)
+		sim.fault("%d pooled connections, %d calls, %d releases are left; %d in all", pooled.count, len(pooled.tracked),
+			len(pooled.sentReleases), left)
 	}
 	return sim.violations
 }
--- a/internal/session/pooled_conns_sockets_test.go
+++ b/internal/session/pooled_conns_sockets_test.go
@@ -74,7 +74,8 @@
 	address = fmt.Sprintf("127.0.0.1:%d", standin.FreePort())
 	cfg := service.Config{Name: "s", Listen: address, Seed: "8c1f30d27a5be964", Laner: l, Application: "app"}
 	for i, o := range offices {
-		cfg.Members = append(cfg.Members, membership.Member{Name: fmt.Sprint("o", i+1), Address: netip.MustParseAddrPort(o), Weight: 1})
+		cfg.Members = append(cfg.Members, membership.Member{Name: fmt.Sprint("o", i+1), Address: netip.MustParseAddrPort(o),
+			Weight: 1})
 	}
 	cfg.Limits.Cores, cfg.Limits.Sockets = 1, sockets
 	set := &cfg.Settings
@@ -103,8 +104,10 @@
 // not harmed by it, and some of the others are, so the office does detect violations. In both cases no rule is
 // broken, and every call has exactly one final answer.
 func TestPooledConnsPreserveConnectionState(t *testing.T) {
-	modeNames := map[pooling.Mode]string{pooling.BySession: "by session", pooling.ByCall: "by call", pooling.ByMessage: "by message"}
-	harmed := map[string]bool{"by call, repeats token": true, "by call, relies on order": true, "by message, relies on order": true}
+	modeNames := map[pooling.Mode]string{pooling.BySession: "by session", pooling.ByCall: "by call",
+		pooling.ByMessage: "by message"}
+	harmed := map[string]bool{"by call, repeats token": true, "by call, relies on order": true,
+		"by message, relies on order": true}
 	for mode, name := range modeNames {
 		for habit := standin.Stateless; habit < standin.Rarely; habit++ {
 			name := name + ", " + habit.String()
@@ -147,7 +150,8 @@
 					is(t, "harm", sums.Harmed > 0, sums)
 				}
 				is(t, "one source", len(l.from) == 1 && l.from["app 127.0.0.1"] > 0, l.from)
-				is(t, "each call told of, and its end", l.saw[pooling.SetUpReceived] == sums.Offered && l.saw[pooling.CallOver] == sums.Offered, l.saw)
+				is(t, "each call told of, and its end", l.saw[pooling.SetUpReceived] == sums.Offered &&
+					l.saw[pooling.CallOver] == sums.Offered, l.saw)
 				is(t, "used ids told", (habit == standin.ReusesIDs) == (l.saw[pooling.IDReused] > 0), l.saw)
 			})
 		}
--- a/internal/session/pooled_conns_test.go
+++ b/internal/session/pooled_conns_test.go
@@ -18,11 +18,14 @@
 	silent     bool
 }
 
-var connKindNames = map[pooling.ConnectionKind]string{0: "none", pooling.OwnConnection: "own", pooling.ExclusiveConnection: "taken", pooling.AnyConnection: "any"}
+var connKindNames = map[pooling.ConnectionKind]string{0: "none", pooling.OwnConnection: "own",
+	pooling.ExclusiveConnection: "taken", pooling.AnyConnection: "any"}
 
-var observationNames = map[pooling.EventKind]string{pooling.SetUpReceived: "came", pooling.IDReused: "again", pooling.EndReceived: "end",
-	pooling.SetUpAnswered: "answered", pooling.SetUpRefused: "failed", pooling.EndAcknowledged: "heard", pooling.EndUnacknowledged: "unheard",
-	pooling.EndedByOffice: "ended", pooling.CallOver: "over", pooling.ConnectionLost: "lost"}
+var observationNames = map[pooling.EventKind]string{pooling.SetUpReceived: "came", pooling.IDReused: "again",
+	pooling.EndReceived:   "end",
+	pooling.SetUpAnswered: "answered", pooling.SetUpRefused: "failed", pooling.EndAcknowledged: "heard",
+	pooling.EndUnacknowledged: "unheard",
+	pooling.EndedByOffice:     "ended", pooling.CallOver: "over", pooling.ConnectionLost: "lost"}
 
 func (l *fakeConnSelector) Open(_ int64, s pooling.SessionID, _, _ string) pooling.ClientID {
 	l.callers = append(l.callers, l.nextCaller)
@@ -75,7 +78,8 @@
 	if observation.Text != nil {
 		text += fmt.Sprintf(" %q", observation.Text)
 	}
-	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.Event], observation.Call.ID, by, connKindNames[observation.Call.Connection], text))
+	l.p.note(fmt.Sprintf("see %s %x of %s on %s%s", observationNames[observation.Event], observation.Call.ID, by,
+		connKindNames[observation.Call.Connection], text))
 }
 
 func (l *fakeConnSelector) EndRound(int64) {}
--- a/internal/session/pooling_world_test.go
+++ b/internal/session/pooling_world_test.go
@@ -12,7 +12,8 @@
 	"pewterwheel/internal/wire"
 )
 
-var hours = flag.Float64("hours", 0, "hours of virtual time that clients call in TestVerdictsSelectConnections; 0: a few minutes")
+var hours = flag.Float64("hours", 0,
+	"hours of virtual time that clients call in TestVerdictsSelectConnections; 0: a few minutes")
 
 // addressedConn is a caller's connection with a source address.
 type addressedConn struct {
@@ -57,7 +58,9 @@
 	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, ConnSelector: loop, Application: "app"})
 	var out fleet.Out
 	part.Start(0, &out)
-	part.View(0, &fleet.View{Number: 1, Self: "a", Members: []fleet.Member{{Entry: fleet.Entry{Name: "a", Incarnation: 1, State: fleet.Serving}}}}, &out)
+	part.View(0,
+		&fleet.View{Number: 1, Self: "a",
+			Members: []fleet.Member{{Entry: fleet.Entry{Name: "a", Incarnation: 1, State: fleet.Serving}}}}, &out)
 	var later []delayedAction
 	after := func(wait int64, do func()) { later = append(later, delayedAction{p.now + wait, do}) }
 	say := func(c interface{ Write([]byte) (int, error) }, message wire.Message) {
@@ -100,7 +103,8 @@
 						say(conn, wire.ReleaseOf(id, wire.CauseMissing))
 						return
 					}
-					say(conn, wire.Message{Type: wire.TypeAnswer, Call: id, Params: []wire.Param{wire.Text(wire.ParamDescription, tied.Give(name, conn, id))}})
+					say(conn, wire.Message{Type: wire.TypeAnswer, Call: id,
+						Params: []wire.Param{wire.Text(wire.ParamDescription, tied.Give(name, conn, id))}})
 				})
 			case conn.name[0] == 'o' && message.Type == wire.TypeRelease:
 				if ties[conn.officeIndex()].End(conn, id) {
@@ -127,7 +131,8 @@
 	p.step()
 	connect := func(habit standin.Habit) {
 		from := fmt.Sprintf("10.0.0.%d", len(clients)+1)
-		client := &simClient{conn: &addressedConn{fakeConn{p: p, name: "c" + from}, from}, behaviour: standin.NewMind(habit, uint64(len(clients)))}
+		client := &simClient{conn: &addressedConn{fakeConn{p: p, name: "c" + from}, from},
+			behaviour: standin.NewMind(habit, uint64(len(clients)))}
 		clients = append(clients, client)
 		p.step(Arrival{Kind: Accepted, At: p.now, Conn: client.conn})
 	}
@@ -152,7 +157,8 @@
 			client.calls++
 			ids++
 			of[ids] = client
-			message := wire.SetUp{Class: "balance-check", Number: "n/1", Description: []byte(client.behaviour.Describe())}.Onward(ids, 5_000_000)
+			message := wire.SetUp{Class: "balance-check", Number: "n/1",
+				Description: []byte(client.behaviour.Describe())}.Onward(ids, 5_000_000)
 			message.Params = append(message.Params, wire.Text(wire.ParamInfo, "dest:-1;width:1;via:-1"))
 			say(client.conn, message)
 			if client.raised == 0 && loop.Verdict(pooling.Key("app", client.conn.address)).Mode > pooling.BySession {
@@ -176,9 +182,11 @@
 	}
 	for i, client := range clients {
 		v := loop.Verdict(pooling.Key("app", client.conn.address))
-		t.Logf("%2d %-16s mode %v trial %v, raised after %d of %d calls, harmed %d", i, client.behaviour.Habit, v.Mode, v.Trial, client.raised, client.calls, client.harmed)
+		t.Logf("%2d %-16s mode %v trial %v, raised after %d of %d calls, harmed %d", i, client.behaviour.Habit, v.Mode,
+			v.Trial, client.raised, client.calls, client.harmed)
 		// When other clients that tolerate sharing are raised is measured in package pooling.
-		if safe := client.behaviour.Habit.Safe; !safe(max(v.Mode, pooling.BySession)) || safe(pooling.ByMessage) && v.Mode < pooling.ByCall {
+		if safe := client.behaviour.Habit.Safe; !safe(max(v.Mode, pooling.BySession)) || safe(pooling.ByMessage) &&
+			v.Mode < pooling.ByCall {
 			t.Errorf("client %d, %s, has mode %v", i, client.behaviour.Habit, v.Mode)
 		}
 	}
--- a/internal/session/reload_test.go
+++ b/internal/session/reload_test.go
@@ -50,18 +50,20 @@
 			p.step(Arrival{Kind: Reload, At: p.now, Update: updateOf(t, "journal2", "SERVING")})
 		}}, []string{"j2 < 0000000000000003"}, 1, 0},
 		{"the same address", []func(*player){hup("journal")}, nil, 1, 0},
-		{"while the same address is dialled", []func(*player){line("1000 j silent"), line("1000 j close"), hup("journal"), line("1100 j accept")},
+		{"while the same address is dialled", []func(*player){line("1000 j silent"), line("1000 j close"), hup("journal"),
+			line("1100 j accept")},
 			[]string{"j < 0000000000000001"}, 1, 0},
 		{"while the old address is dialled", []func(*player){line("1000 j silent"), line("1000 j close"), hup("journal2")},
 			[]string{"j2 < 0000000000000001"}, 1, 0},
-		{"while a dial of the old address comes up", []func(*player){line("1000 j silent"), line("1000 j close"), func(p *player) {
-			late := &fakeConn{p: p, name: "late"}
-			p.step(Arrival{Kind: Reload, At: p.now, Update: membership.Update{Address: "journal2"}},
-				Arrival{Kind: Dialled, At: p.now, Dial: p.s.lastDialID, Conn: late})
-			if !late.closed {
-				t.Error("the old address's connection stays open")
-			}
-		}}, []string{"j2 < 0000000000000001"}, 1, 0},
+		{"while a dial of the old address comes up", []func(*player){line("1000 j silent"), line("1000 j close"),
+			func(p *player) {
+				late := &fakeConn{p: p, name: "late"}
+				p.step(Arrival{Kind: Reload, At: p.now, Update: membership.Update{Address: "journal2"}},
+					Arrival{Kind: Dialled, At: p.now, Dial: p.s.lastDialID, Conn: late})
+				if !late.closed {
+					t.Error("the old address's connection stays open")
+				}
+			}}, []string{"j2 < 0000000000000001"}, 1, 0},
 		{"twice in one round", []func(*player){func(p *player) {
 			p.step(Arrival{Kind: Reload, At: p.now, Update: membership.Update{Address: "journal2"}},
 				Arrival{Kind: Reload, At: p.now, Update: membership.Update{Address: "journal"}})
@@ -86,10 +88,13 @@
 				asked = append(asked, what)
 			}
 		}
-		if n := p.s.Counters; !slices.Equal(asked, c.asked) || n[state.Reloads] != c.reloads || n[state.ReloadErrors] != c.errors {
-			t.Errorf("%s: asked %q, want %q; %d reloads, %d errors", c.name, asked, c.asked, n[state.Reloads], n[state.ReloadErrors])
+		if n := p.s.Counters; !slices.Equal(asked, c.asked) || n[state.Reloads] != c.reloads ||
+			n[state.ReloadErrors] != c.errors {
+			t.Errorf("%s: asked %q, want %q; %d reloads, %d errors", c.name, asked, c.asked, n[state.Reloads],
+				n[state.ReloadErrors])
 		}
-		if c.reloads == 0 && (len(p.s.offices.All()) != 2 || p.s.offices.All()[0].State != 0 || p.s.source.LastNumber() != 1) {
+		if c.reloads == 0 && (len(p.s.offices.All()) != 2 || p.s.offices.All()[0].State != 0 ||
+			p.s.source.LastNumber() != 1) {
 			t.Errorf("%s: the list has changed", c.name)
 		}
 	}
--- a/internal/session/replaced_office_test.go
+++ b/internal/session/replaced_office_test.go
@@ -62,7 +62,8 @@
 		`32 o1 > [09 00000000000000a3 3d["d1"]]`,
 	}
 	if r.reportInterval > 0 {
-		scenario.earlierEvents = append(scenario.earlierEvents, "6 o1 > "+strings.Replace(loadedReport, "7", "9", 1), "400 o1 > "+loadedReport)
+		scenario.earlierEvents = append(scenario.earlierEvents, "6 o1 > "+strings.Replace(loadedReport, "7", "9", 1),
+			"400 o1 > "+loadedReport)
 		scenario.greeting = func(p *player) []byte {
 			if p.now >= int64(lastMessageAt+r.hangTime+max(r.downTime, 1))*1000 {
 				return parse(t, freshReport)
@@ -90,13 +91,16 @@
 		{name: "no connect is refused", hangTime: 1200, reportInterval: 3200},
 		{name: "no connect is refused, killed at once", hangTime: 0, reportInterval: 3200},
 		{name: "discovery does not report it", hangTime: 1200, downTime: 150, reportInterval: 3200, journalResponds: true},
-		{name: "discovery does not report it, killed at once", hangTime: 0, downTime: 2200, reportInterval: 3200, journalResponds: true},
-		{name: "discovery does not report it, no connect is refused", hangTime: 1200, reportInterval: 3200, journalResponds: true},
+		{name: "discovery does not report it, killed at once", hangTime: 0, downTime: 2200, reportInterval: 3200,
+			journalResponds: true},
+		{name: "discovery does not report it, no connect is refused", hangTime: 1200, reportInterval: 3200,
+			journalResponds: true},
 	}
 	for _, hangs := range []int{0, 1200, 2400, 5000} {
 		for _, gap := range []int{150, 1000, 2200} {
 			for _, reports := range []int{0, 300, 3200, 5000} {
-				cases = append(cases, officeReplacement{name: fmt.Sprintf("hangs %d ms, is away for %d ms, reports each %d ms", hangs, gap, reports),
+				cases = append(cases, officeReplacement{name: fmt.Sprintf("hangs %d ms, is away for %d ms, reports each %d ms",
+					hangs, gap, reports),
 					hangTime: hangs, downTime: gap, reportInterval: reports})
 			}
 		}
@@ -126,17 +130,20 @@
 			return append(slices.Clone(spoken), repeatEvery(700, 900, "o1 close")...)
 		}},
 		{name: "refuses for a moment, discovery is silent, an older call ends", greeting: reporting, events: func() []string {
-			return append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept", "4000 o1 > [0c 00000000000000a3 3a[10]]")
+			return append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept",
+				"4000 o1 > [0c 00000000000000a3 3a[10]]")
 		}},
 		{name: "refuses for a moment, discovery responds", greeting: reporting, events: func() []string {
-			return append(append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept"), repeatEvery(300, 500, "j > {0000000000000001 00}")...)
+			return append(append(slices.Clone(spoken), "700 o1 refuse", "701 o1 close", "1500 o1 accept"),
+				repeatEvery(300, 500, "j > {0000000000000001 00}")...)
 		}},
 		{name: "silent for some seconds, and calls end on the next connection", events: func() []string {
 			return append([]string{"5000 o1 close", "5002 o1 > [0c 00000000000000a3 3a[10]]"},
 				repeatEvery(5003, 200, "o1 > [06 00000000000000b1]")...)
 		}},
 		{name: "its lines lag behind the ends of calls", events: func() []string {
-			return append([]string{"700 o1 close", "710 o1 > " + freshReport, "800 o1 > [0c 00000000000000a3 3a[10]]"}, repeatEvery(800, 200, "o1 > "+officeReport(8))...)
+			return append([]string{"700 o1 close", "710 o1 > " + freshReport, "800 o1 > [0c 00000000000000a3 3a[10]]"},
+				repeatEvery(800, 200, "o1 > "+officeReport(8))...)
 		}},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -147,7 +154,8 @@
 			}
 			lines := scenario.play(t)
 			if at, cause := releaseOf(lines, "a1"); at != 0 {
-				t.Errorf("the call was released at %d ms with cause %s, though its office is alive:\n%s", at, cause, strings.Join(lines, "\n"))
+				t.Errorf("the call was released at %d ms with cause %s, though its office is alive:\n%s", at, cause,
+					strings.Join(lines, "\n"))
 			}
 		})
 	}
@@ -169,7 +177,9 @@
 			lines := []string{"10 a open", fmt.Sprintf("%d o1 close", lost)}
 			for i := range calls {
 				at := 20 + distance*i
-				lines = append(lines, fmt.Sprintf(`%d a > [01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, at, i+1, i),
+				lines = append(lines,
+					fmt.Sprintf(`%d a > [01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`,
+						at, i+1, i),
 					fmt.Sprintf(`%d o1 > [09 %016x 3d["d"]]`, at+1, i+1))
 				if end := at + holds; lives || end < lost || at > lost {
 					lines = append(lines, fmt.Sprintf("%d o1 > [0c %016x 3a[10]]", end, i+1))
--- a/internal/session/reset_office_test.go
+++ b/internal/session/reset_office_test.go
@@ -60,8 +60,10 @@
 		{"connects were refused", []string{"40 o1 refuse", "41 o1 close", "2000 o1 accept"}, 2000},
 		{"its connection was lost", []string{"1000 o1 close"}, 1000},
 		{"its connection was lost, and it drains", []string{
-			"900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}", "1000 o1 close"}, 1000},
-		{"its connection was lost, and the next connects were not answered", []string{"1000 o1 silent", "1001 o1 close", "5000 o1 accept"}, 5000},
+			"900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}", "1000 o1 close"},
+			1000},
+		{"its connection was lost, and the next connects were not answered", []string{"1000 o1 silent", "1001 o1 close",
+			"5000 o1 accept"}, 5000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlayer(t)
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -37,7 +37,7 @@
 type Network interface {
 	Dial(address string, id uint64)
 	// StopAccepting accepts the callers that wait in the listener's backlog and closes the listener; then an Arrival
-	// of kind Left follows.
+	// of kind ListenerClosed follows.
 	StopAccepting()
 }
 
@@ -123,9 +123,9 @@
 	// ConnSelector selects the connection to an office for each message; nil: each office has a single connection,
 	// and no state is kept for pooled connections.
 	ConnSelector pooling.ConnectionSelector
-	// ObserveOnly: Laner is informed but not asked, and calls are routed as without it.
+	// ObserveOnly: ConnSelector is informed but not asked, and calls are routed as without it.
 	ObserveOnly bool
-	// Application is the name of the application of the callers, for Laner.
+	// Application is the name of the application of the callers, for ConnSelector.
 	Application string
 }
 
@@ -135,7 +135,7 @@
 
 	net               Network
 	decider           Decider
-	endHearer         EndObserver // the decider, if it implements EndHearer
+	endHearer         EndObserver // the decider, if it implements EndObserver
 	log               *slog.Logger
 	source            membership.Source
 	journal           journal
@@ -179,15 +179,16 @@
 	reportRhythm        liveness.ReportInterval // of all offices' reports
 	callDurations       *liveness.HoldingTimes  // distribution of call durations
 	livenessClock       checkClock              // state of the office checks
-	connOwners          map[state.Conn]any      // *state.Caller, *state.OfficeConn, *state.Asker or *journal
+	connOwners          map[state.Conn]any      // *state.Caller, *state.OfficeConn, *state.ControlConn or *journal
 	callers             []*state.Caller         // in order of arrival
 	controlConns        []*state.ControlConn    // in order of arrival
 	answerCounts        []state.FinalAnswers    // by class
 	calls               map[uint64]*state.Call
 	established         map[uint64]*state.EstablishedCall
 	undeliveredReleases map[uint64]state.PendingRelease // releases for callers that were not sent to a trusted one
-	earlierReleases     map[uint64]state.PendingRelease // callers' releases of a previous process's calls, for later offices
-	endedCalls          map[uint64]int64                // ids of ended calls, and when they ended
+	// callers' releases of a previous process's calls, for later offices
+	earlierReleases map[uint64]state.PendingRelease
+	endedCalls      map[uint64]int64 // ids of ended calls, and when they ended
 	// Largest sizes of these maps at a sweep since they were last reallocated.
 	mostEndedCalls, mostCalls, mostEstablished int
 	offices                                    state.Offices
@@ -216,10 +217,15 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	s := &Session{net: net, decider: node, log: log, now: now, lastStep: now, wheel: state.NewWheel(wheelTick, now),
-		startedAt: now, earlierCallSeen: now, answerCounts: make([]state.FinalAnswers, len(cfg.Settings.Classes)), settings: cfg.Settings, classIndex: map[string]int{}, classNames: map[string]string{}, maxTries: set.MaxTries, maxCalls: cfg.Settings.Limits.MaxHeld,
-		maxCallers: max(minCallers, cfg.Sockets/2), maxControlConns: controlConnLimit(cfg.Sockets), descriptorLimit: cfg.Sockets - reservedDescriptors(cfg.Sockets), maxCallBytes: math.MaxInt64, dialTimeout: cfg.Settings.DialLimit().Microseconds(),
-		connOwners: map[state.Conn]any{}, calls: map[uint64]*state.Call{},
-		established: map[uint64]*state.EstablishedCall{}, undeliveredReleases: map[uint64]state.PendingRelease{}, earlierReleases: map[uint64]state.PendingRelease{}, endedCalls: map[uint64]int64{},
+		startedAt: now, earlierCallSeen: now, answerCounts: make([]state.FinalAnswers, len(cfg.Settings.Classes)),
+		settings: cfg.Settings, classIndex: map[string]int{}, classNames: map[string]string{}, maxTries: set.MaxTries,
+		maxCalls:   cfg.Settings.Limits.MaxHeld,
+		maxCallers: max(minCallers, cfg.Sockets/2), maxControlConns: controlConnLimit(cfg.Sockets),
+		descriptorLimit: cfg.Sockets - reservedDescriptors(cfg.Sockets), maxCallBytes: math.MaxInt64,
+		dialTimeout: cfg.Settings.DialLimit().Microseconds(),
+		connOwners:  map[state.Conn]any{}, calls: map[uint64]*state.Call{},
+		established: map[uint64]*state.EstablishedCall{}, undeliveredReleases: map[uint64]state.PendingRelease{},
+		earlierReleases: map[uint64]state.PendingRelease{}, endedCalls: map[uint64]int64{},
 		dials: map[uint64]*state.OfficeConn{}, pendingRedials: map[uint64]*state.Office{}}
 	s.maxEagerOffices = min(maxEagerOffices, max(1, s.descriptorLimit-cfg.Sockets/callerReserveDivisor))
 	s.pooled.init(cfg)
@@ -308,14 +314,16 @@
 // wasPaused reports whether this round comes long after the last one, or delivers input that arrived long ago.
 // In this case the end of a caller may be unread, and no attempt should begin for it.
 func (s *Session) wasPaused(arrivals []Arrival) bool {
-	return s.now-s.lastStep > minPause || slices.ContainsFunc(arrivals, func(arrival Arrival) bool { return s.now-arrival.At > minPause })
+	return s.now-s.lastStep > minPause ||
+		slices.ContainsFunc(arrivals, func(arrival Arrival) bool { return s.now-arrival.At > minPause })
 }
 
 // Done reports whether a requested stop is complete: every accepted call is answered, no more can arrive, and
 // everything written has been read, or SIGKILL may come. Exiting while callers wait to be accepted would reset
 // their connections and lose the set-ups that they have sent.
 func (s *Session) Done() bool {
-	return s.shutdownSince != 0 && s.now >= s.shutdownSince+acceptAfterShutdown && s.countOpen() == 0 && !s.releasesPending() && (s.listenerClosed && len(s.callers) == 0 || s.now >= s.lastAnswerTime())
+	return s.shutdownSince != 0 && s.now >= s.shutdownSince+acceptAfterShutdown && s.countOpen() == 0 &&
+		!s.releasesPending() && (s.listenerClosed && len(s.callers) == 0 || s.now >= s.lastAnswerTime())
 }
 
 // lastAnswerTime is when the last call must have its answer at shutdown.
--- a/internal/session/silent_office_test.go
+++ b/internal/session/silent_office_test.go
@@ -45,7 +45,8 @@
 		`30 o1 > [09 00000000000000a1 3d["d1"]]`,
 	}
 	if c.reports {
-		lines = append(lines, "5 "+fmt.Sprintf(freeLinesReport, 9), fmt.Sprintf("%d ", lastMessageAt)+fmt.Sprintf(freeLinesReport, 8))
+		lines = append(lines, "5 "+fmt.Sprintf(freeLinesReport, 9),
+			fmt.Sprintf("%d ", lastMessageAt)+fmt.Sprintf(freeLinesReport, 8))
 	} else {
 		lines = append(lines, fmt.Sprintf("%d o1 > [06 00000000000000a1]", lastMessageAt))
 	}
@@ -95,7 +96,8 @@
 
 // setUpAt returns a line that requests a call at o1; o1 gets it if the module tries it.
 func setUpAt(ms int, call int) string {
-	return fmt.Sprintf(`%d a > [01 00000000000001%02x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, ms, call, call+10)
+	return fmt.Sprintf(`%d a > [01 00000000000001%02x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`,
+		ms, call, call+10)
 }
 
 // A caller waited too long for the release of a call whose office had stopped responding in one of these ways.
@@ -116,8 +118,10 @@
 	}
 	incompleteMessage := func(*player) []byte { return []byte{0, 30, 43, 0, 0} }
 	for _, scenario := range []officeCase{
-		{name: "reported before, connects are not answered", reports: true, events: func() []string { return []string{"506 o1 silent"} }},
-		{name: "reported before, connects are refused", reports: true, events: func() []string { return []string{"506 o1 refuse"} }},
+		{name: "reported before, connects are not answered", reports: true,
+			events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "reported before, connects are refused", reports: true,
+			events: func() []string { return []string{"506 o1 refuse"} }},
 		{name: "reported before, connections open and bring nothing", reports: true},
 		{name: "reported before, connects are answered at times", reports: true, events: alternating(700)},
 		{name: "reported before, connects are answered at times, later", reports: true, events: alternating(1300)},
@@ -125,7 +129,8 @@
 		{name: "reported before, sends incomplete messages", reports: true, greeting: incompleteMessage},
 		{name: "reported before, set-ups are sent there", reports: true, events: setUps},
 		{name: "never reported"},
-		{name: "never reported, connects would not be answered", events: func() []string { return []string{"506 o1 silent"} }},
+		{name: "never reported, connects would not be answered",
+			events: func() []string { return []string{"506 o1 silent"} }},
 		{name: "never reported, connects would be refused", events: func() []string { return []string{"506 o1 refuse"} }},
 		{name: "never reported, connects are answered at times", events: alternating(700)},
 		{name: "never reported, sends incomplete messages", greeting: incompleteMessage},
@@ -154,7 +159,8 @@
 		{name: "reports", reports: true, events: func() []string { return reports(500) }},
 		{name: "reports rarely", reports: true, greeting: reportOnConnect, events: func() []string { return reports(4000) }},
 		{name: "reports, and drains according to the list", reports: true, events: func() []string {
-			return append(reports(500), "900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}")
+			return append(reports(500),
+				"900 j > {0000000000000002 02 00000001 7f000001 03e9 01 00 00 0000 000003e8 0000000000000000}")
 		}},
 		{name: "reports, and loses a connection", reports: true, events: func() []string {
 			return append(reports(500), "700 o1 close", "9700 o1 close")
@@ -172,12 +178,14 @@
 			}
 			return append(lines, reports(500)...)
 		}},
-		{name: "reports, and this process is short of descriptors", reports: true, greeting: reportOnConnect, events: func() []string {
-			return append(reports(500), "1000 o1 short", "1001 o1 close", "4500 o1 accept")
-		}},
+		{name: "reports, and this process is short of descriptors", reports: true, greeting: reportOnConnect,
+			events: func() []string {
+				return append(reports(500), "1000 o1 short", "1001 o1 close", "4500 o1 accept")
+			}},
 		{name: "never reports, and refuses set-ups", events: func() (lines []string) {
 			for i := range 12 {
-				lines = append(lines, setUpAt(2500+2500*i, i), fmt.Sprintf(`%d o1 > [0c 00000000000001%02x 3a[22]]`, 2600+2500*i, i))
+				lines = append(lines, setUpAt(2500+2500*i, i),
+					fmt.Sprintf(`%d o1 > [0c 00000000000001%02x 3a[22]]`, 2600+2500*i, i))
 			}
 			return lines
 		}},
@@ -185,7 +193,8 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			lines := scenario.play(t)
 			if at, cause := releaseOfFirstCall(lines); at != 0 {
-				t.Errorf("the call was released at %d ms with cause %s, though its office responds:\n%s", at, cause, strings.Join(lines, "\n"))
+				t.Errorf("the call was released at %d ms with cause %s, though its office responds:\n%s", at, cause,
+					strings.Join(lines, "\n"))
 			}
 		})
 	}
@@ -204,16 +213,19 @@
 		{officeCase{name: "reported before, connects are refused", reports: true, events: func() []string {
 			return []string{"506 o1 refuse", "507 o1 close", term}
 		}}, true},
-		{officeCase{name: "a set-up is not answered", events: func() []string { return []string{setUpAt(600, 1), term} }}, true},
+		{officeCase{name: "a set-up is not answered", events: func() []string { return []string{setUpAt(600, 1), term} }},
+			true},
 		{officeCase{name: "a set-up is not answered, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), term)
 		}}, true},
 		{officeCase{name: "a set-up was answered, and reports go on", reports: true, events: func() []string {
 			return append(reports, setUpAt(600, 1), `700 o1 > [09 0000000000000101 3d["d1"]]`, term)
 		}}, false},
-		{officeCase{name: "never reported, already suspected", events: func() []string { return []string{"4000 term"} }}, true},
+		{officeCase{name: "never reported, already suspected", events: func() []string { return []string{"4000 term"} }},
+			true},
 		{officeCase{name: "reports", reports: true, events: func() []string { return append(reports, term) }}, false},
-		{officeCase{name: "never reports, and no set-up is outstanding", events: func() []string { return []string{term} }}, false},
+		{officeCase{name: "never reports, and no set-up is outstanding", events: func() []string { return []string{term} }},
+			false},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			lines := scenario.play(t)
@@ -243,8 +255,10 @@
 		release bool
 	}{
 		{officeCase{name: "discovery is silent", reports: true, events: func() []string { return restart }}, true},
-		{officeCase{name: "discovery sends frames, and reports no restart", reports: true, events: func() []string { return append(journalFrames, restart...) }}, false},
-		{officeCase{name: "discovery is silent, no connect was refused", reports: true, events: func() []string { return restart[1:2] }}, false},
+		{officeCase{name: "discovery sends frames, and reports no restart", reports: true,
+			events: func() []string { return append(journalFrames, restart...) }}, false},
+		{officeCase{name: "discovery is silent, no connect was refused", reports: true,
+			events: func() []string { return restart[1:2] }}, false},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
 			caseEvents := scenario.events
@@ -255,7 +269,8 @@
 			lines := scenario.play(t)
 			releasedAt, cause := releaseOfFirstCall(lines)
 			if scenario.release != (releasedAt != 0) || releasedAt > 1001+8050 {
-				t.Errorf("released at %d ms with cause %q (0: never), want %t, by %d ms\n%s", releasedAt, cause, scenario.release, 1001+8050, strings.Join(lines, "\n"))
+				t.Errorf("released at %d ms with cause %q (0: never), want %t, by %d ms\n%s", releasedAt, cause, scenario.release,
+					1001+8050, strings.Join(lines, "\n"))
 			}
 		})
 	}
@@ -272,7 +287,8 @@
 	id := func(i int) string { return fmt.Sprintf("%016x", i) }
 	for i := 1; i <= calls; i++ {
 		at := 20 + 20*i
-		p.play(fmt.Sprintf(`%d a > [01 %s 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`, at, id(i), i))
+		p.play(fmt.Sprintf(`%d a > [01 %s 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:0;width:1;via:-1"] 3d["offer"]]`,
+			at, id(i), i))
 		if i == calls {
 			break
 		}
@@ -284,7 +300,8 @@
 	}
 	p.conns["a"].closed = true
 	p.step(Arrival{Kind: Data, At: p.now, Conn: p.conns["o1"], Data: parse(t, "[09 "+id(calls)+` 3d["d"]]`)},
-		Arrival{Kind: Data, At: p.now, Conn: p.conns["j"], Data: parse(t, "{0000000000000002 02 00000001 7f000001 03e9 02 00 00 0000 000003e8 0000000000000000}")})
+		Arrival{Kind: Data, At: p.now, Conn: p.conns["j"],
+			Data: parse(t, "{0000000000000002 02 00000001 7f000001 03e9 02 00 00 0000 000003e8 0000000000000000}")})
 	if n := len(p.s.offices.Get("s-00000001").Established); n != 0 {
 		t.Errorf("%d calls are established at a removed office", n)
 	}
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -20,7 +20,8 @@
 	case state.TimerModule:
 		s.queueEvent(decide.Event{Kind: decide.TimerFired, Token: timer.ID})
 	case state.TimerAttempt:
-		if call := s.calls[timer.ID]; call != nil && call.Attempt != nil && call.Attempt.Number == int(timer.N) && (call.Attempt.Queued || s.now >= call.Deadline) {
+		if call := s.calls[timer.ID]; call != nil && call.Attempt != nil && call.Attempt.Number == int(timer.N) &&
+			(call.Attempt.Queued || s.now >= call.Deadline) {
 			s.Counters[state.TimeOuts]++
 			s.cancelAttempt(call.Attempt, decide.TimedOut)
 		}
@@ -78,7 +79,8 @@
 	maps.DeleteFunc(s.undeliveredReleases, expired)
 	maps.DeleteFunc(s.earlierReleases, expired)
 	for _, caller := range s.callers {
-		maps.DeleteFunc(caller.PendingReleases, func(_ uint64, ending state.PendingRelease) bool { return s.now-ending.At > callerReleaseTTL })
+		maps.DeleteFunc(caller.PendingReleases,
+			func(_ uint64, ending state.PendingRelease) bool { return s.now-ending.At > callerReleaseTTL })
 	}
 	for _, office := range s.offices.All() {
 		maps.DeleteFunc(office.PendingReleases, expired)
--- a/internal/session/unsent_set_ups_test.go
+++ b/internal/session/unsent_set_ups_test.go
@@ -12,7 +12,8 @@
 
 // setUpMessage returns a caller's set-up that prefers the office at a place.
 func setUpMessage(call, place int) string {
-	return fmt.Sprintf(`[01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["offer"]]`, call, call, place)
+	return fmt.Sprintf(`[01 %016x 10["balance-check"] 13["3000"] 1c["n/%d"] 1f["dest:%d;width:1;via:-1"] 3d["offer"]]`,
+		call, call, place)
 }
 
 func answerMessage(call int) string { return fmt.Sprintf(`[09 %016x 3d["d"]]`, call) }
@@ -249,7 +250,8 @@
 func TestSetUpIsSentWithinItsTimeLimit(t *testing.T) {
 	for _, up := range []int64{250, 299, 301, 400} {
 		decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7,
+			NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
@@ -275,7 +277,8 @@
 func TestNoAttemptForAnsweredCall(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		decider := &singleOfficeDecider{office: "s-00000001"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7,
+			NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		for _, line := range []string{"5 a open", "6 o1 silent", "7 o1 close"} {
 			p.play(line)
@@ -292,7 +295,8 @@
 		p.step(Arrival{Kind: Dialled, At: p.now, Dial: p.mainConn("s-00000001").DialID, Conn: conn})
 		p.until(900_000)
 		if p.wroteMessage("o1", 1, 1) || len(decider.ended) != 1 || len(p.s.calls) != 0 {
-			t.Errorf("caller disconnects: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended, strings.Join(p.lines, "\n"))
+			t.Errorf("caller disconnects: %t; %d calls, ended: %v\n%s", leaves, len(p.s.calls), decider.ended,
+				strings.Join(p.lines, "\n"))
 		}
 	}
 }
@@ -301,7 +305,8 @@
 // can't end the office connection that all callers share.
 func TestLongSetUpsDoNotEndTheConnection(t *testing.T) {
 	decider := &singleOfficeDecider{office: "s-00000001", until: 290_000}
-	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+	p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7,
+		NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 	p.step()
 	p.play("5 a open")
 	p.conns["o1"].blocksWrites = true
@@ -321,7 +326,8 @@
 	if wrote == 0 || most > 64<<10 {
 		t.Errorf("%d writes, one of %d bytes", wrote, most)
 	}
-	if out, queue := len(p.mainConn("s-00000001").Outstanding), len(p.mainConn("s-00000001").Queue); out == 0 || queue == 0 || out+queue != 20 {
+	if out, queue := len(p.mainConn("s-00000001").Outstanding), len(p.mainConn("s-00000001").Queue); out == 0 ||
+		queue == 0 || out+queue != 20 {
 		t.Errorf("%d set-ups are outstanding, %d wait", out, queue)
 	}
 }
@@ -353,7 +359,8 @@
 func TestReleaseLostWithConnectionIsRepeated(t *testing.T) {
 	for _, stuck := range []bool{true, false} {
 		decider := &singleOfficeDecider{office: "s-00000002"}
-		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7, NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
+		p := newPlayerOf(t, Config{Sockets: 1024, Seed: 7,
+			NewDecider: func(decide.Settings, uint64) (Decider, error) { return decider, nil }})
 		p.step()
 		p.play("5 b open")
 		p.play("10 b > " + setUpMessage(1, 1)) // it is sent
@@ -374,7 +381,8 @@
 		p.until(3_500_000)
 		for call := 1; call <= 2; call++ {
 			if n := strings.Count(strings.Join(p.lines, "\n"), cancelMessage(call)); (n == 1) != stuck || n > 1 {
-				t.Errorf("stuck: %t; the release was repeated %d times for call %d:\n%s", stuck, n, call, strings.Join(p.lines, "\n"))
+				t.Errorf("stuck: %t; the release was repeated %d times for call %d:\n%s", stuck, n, call,
+					strings.Join(p.lines, "\n"))
 			}
 		}
 		p.play("3600 o2 > [10 0000000000000001]")
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -68,8 +68,8 @@
 	return &c.currentAttempt
 }
 
-// FreeList is a free list of calls and established calls. What was returned to it is handed out again only after Settle,
-// which is called when nobody refers to it any more. Guards against a call that changes while it is in use.
+// FreeList is a free list of calls and established calls. What was returned to it is handed out again only after
+// Recycle, which is called when nobody refers to it any more. Guards against a call that changes while it is in use.
 type FreeList struct {
 	freeCalls, returnedCalls             []*Call
 	freeEstablished, returnedEstablished []*EstablishedCall
@@ -165,17 +165,18 @@
 type Caller struct {
 	Conn             Conn
 	Outbox           Outbox
-	Since            int64                     // when it was accepted
-	Buffer           []byte                    // incomplete message
-	PartialSince     int64                     // since when In holds an incomplete message
-	Open             map[uint64]*Call          // set-ups without a final answer
-	IdleSince        int64                     // since when no set-up is open
-	EstablishedCount int                       // number of established calls that were set up on it
-	LastSetUp        int64                     // when its last set-up was received
-	Replied          bool                      // it was sent an answer, a refusal or the result of a test
-	Trusted          bool                      // trusted: had an established call or acknowledged a release; abusive clients do neither
-	InvalidCount     int                       // number of set-ups and releases that could not be interpreted
-	PendingReleases  map[uint64]PendingRelease // pending releases to the caller
+	Since            int64            // when it was accepted
+	Buffer           []byte           // incomplete message
+	PartialSince     int64            // since when Buffer holds an incomplete message
+	Open             map[uint64]*Call // set-ups without a final answer
+	IdleSince        int64            // since when no set-up is open
+	EstablishedCount int              // number of established calls that were set up on it
+	LastSetUp        int64            // when its last set-up was received
+	Replied          bool             // it was sent an answer, a refusal or the result of a test
+	// Trusted: had an established call or acknowledged a release; abusive clients do neither
+	Trusted         bool
+	InvalidCount    int                       // number of set-ups and releases that could not be interpreted
+	PendingReleases map[uint64]PendingRelease // pending releases to the caller
 
 	Session uint64 // number of the connection, never reused; 0: calls are not assigned to pooled connections
 	Client  uint32 // identity of the client, as assigned by pooling
@@ -214,7 +215,7 @@
 	Received     liveness.Connection // what was received on it, and when
 	DialID       uint64              // the current dial; 0: none
 	Buffer       []byte
-	PartialSince int64               // since when In holds an incomplete message
+	PartialSince int64               // since when Buffer holds an incomplete message
 	Outstanding  map[uint64]*Attempt // attempts that were sent and have not ended
 	Queue        []*Attempt          // attempts that wait for the connection
 
@@ -230,8 +231,8 @@
 	return c.HeldByCall == 0 && c.EstablishedCount == 0 && len(c.Outstanding)+len(c.Queue) == 0
 }
 
-// IsUnused reports whether a pooled connection is unused: nothing is open on it, and its owner has disconnected or it is
-// shared.
+// IsUnused reports whether a pooled connection is unused: nothing is open on it, and its owner has disconnected or it
+// is shared.
 func (c *OfficeConn) IsUnused() bool { return c.IsIdle() && (c.Owner == nil || c.Owner.Conn == nil) }
 
 // Office is a call server and the main connection to it.
@@ -244,7 +245,7 @@
 	Liveness        liveness.Office             // whether it can still end its calls
 	Established     map[uint64]*EstablishedCall // calls established there
 	PendingReleases map[uint64]PendingRelease   // pending releases to the office
-	UnknownReleases int                         // number of releases of unknown calls that it has sent since the last sweep
+	UnknownReleases int                         // number of releases of unknown calls it has sent since the last sweep
 
 	// The following fields are used only where calls are assigned to pooled connections.
 	Serial      uint64                 // number by which pooling refers to the office
@@ -266,8 +267,8 @@
 // All returns the offices in the order in which they were first named.
 func (l *Offices) All() []*Office { return l.inOrder }
 
-// EndedOffice is an office, or one process of it, that has ended according to the list; its connection and calls end with
-// it.
+// EndedOffice is an office, or one process of it, that has ended according to the list; its connection and calls end
+// with it.
 type EndedOffice struct {
 	Office  *Office
 	Removed bool // also at its old address; false: it was restarted at the same one
@@ -284,7 +285,8 @@
 		listed[o.ID] = true
 		known := l.byID[o.ID]
 		if known == nil {
-			known = &Office{Office: o, OfficeConn: OfficeConn{Outstanding: map[uint64]*Attempt{}}, Established: map[uint64]*EstablishedCall{},
+			known = &Office{Office: o, OfficeConn: OfficeConn{Outstanding: map[uint64]*Attempt{}},
+				Established:     map[uint64]*EstablishedCall{},
 				PendingReleases: map[uint64]PendingRelease{}}
 			known.To = known
 			l.byID[o.ID] = known
@@ -317,7 +319,8 @@
 func (l *Offices) Prune() {
 	l.inOrder = slices.DeleteFunc(l.inOrder, func(o *Office) bool {
 		empty := o.State == decide.Removed && o.Conn == nil && o.DialID == 0 && len(o.Outstanding) == 0 &&
-			len(o.Queue) == 0 && len(o.Established) == 0 && len(o.Pooled) == 0 && (o.Overflow == nil || len(o.Overflow.Queue) == 0)
+			len(o.Queue) == 0 && len(o.Established) == 0 && len(o.Pooled) == 0 &&
+			(o.Overflow == nil || len(o.Overflow.Queue) == 0)
 		if empty {
 			delete(l.byID, o.ID)
 		}
