--- a/internal/pooling/api.go
+++ b/internal/pooling/api.go
@@ -1,8 +1,9 @@
 // Package pooling decides which caller connections may share connections to offices. A caller's connection is a
 // session; its client is identified by the application that it declares and its source address. Sharing is only
-// considered safe for a client after it was observed to be safe, and only for a limited time: signs are counted on
-// the session loop, joined over the processes of the fleet, and evaluated into a verdict for each client. The package
-// has no clock, goroutine or socket, and its only randomness comes from a seed.
+// considered safe for a client after it was observed to be safe, and only for a limited time. What the session code
+// reports is counted on its loop by kind of observation (a Sign); the counts of all processes of the fleet are added
+// up, and the Module evaluates them into a Verdict for each client: the mode that it may use. The package has no
+// clock, goroutine or socket, and its only randomness comes from a seed.
 package pooling
 
 // Mode is how the messages of a client share connections to an office.
@@ -16,7 +17,7 @@
 )
 
 // ClientID identifies a client in this process while at least one of its sessions is open. 0 means unknown: the
-// client always goes by session.
+// client always uses the mode BySession.
 type ClientID uint32
 
 // SessionID identifies a caller's connection in this process. IDs are never reused.
@@ -43,7 +44,8 @@
 	// open as long as the session.
 	OwnConnection       ConnectionKind = iota + 1
 	ExclusiveConnection                // a pooled connection that no other call uses, for the length of this call
-	// AnyConnection is any pooled connection; after the set-up a different one than the set-up's, if there is one.
+	// AnyConnection is any pooled connection. For a message after the set-up it is a different one than the set-up's, if
+	// there is one.
 	AnyConnection
 	SetUpConnection // the connection that carried the call's set-up; never returned for a set-up
 )
@@ -55,9 +57,9 @@
 	Client     ClientID       // of the connection on which the set-up arrived
 	Session    SessionID      // the connection on which the set-up arrived
 	Office     uint64         // office that its newest set-up goes or went to: any number that is unique per office
-	Repeatable bool           // the call's class may be repeated freely
+	Repeatable bool           // the call's class may be repeated freely; the calls of all others use OwnConnection
 	Connection ConnectionKind // returned and stored here by Select for its newest set-up; 0: none was sent
-	Flags      uint8          // flags private to pooling, like the next field
+	Flags      uint8          // used by this package only, like RefusedBy; the session code just keeps both
 	RefusedBy  uint64         // office that refused the call on a shared connection; 0: none has
 }
 
@@ -79,7 +81,7 @@
 	// CallOver: the call ended for its caller, or was never established. It is reported once, and only EndAcknowledged
 	// may follow.
 	CallOver
-	ConnectionLost // the connection that carried the newest set-up was lost; counts as no sign
+	ConnectionLost // the connection that carried the newest set-up was lost; not counted for or against sharing
 )
 
 // Observation is one reported event with its details. Text is only read before Observe returns.
@@ -108,14 +110,14 @@
 	// Select selects the kind of connection for a message of a call. For a set-up it is OwnConnection,
 	// ExclusiveConnection or AnyConnection, and Select also stores it in call.Connection; SetUpReceived must be
 	// observed before the first one. For later messages it is SetUpConnection, or AnyConnection for an End if the
-	// set-up went on AnyConnection and the client's verdict still allows it: when the client's mode is lowered, a call
-	// in progress stays on its connection. If a set-up was refused on a shared connection (ExclusiveConnection or
-	// AnyConnection), its repeat goes on OwnConnection.
+	// set-up went on AnyConnection and the client's verdict still allows it. If the client's mode is lowered during a
+	// call, the messages after its set-up use the set-up's connection. If a set-up was refused on a shared connection
+	// (ExclusiveConnection or AnyConnection), its repeat goes on OwnConnection.
 	Select(now int64, call *Call, kind MessageKind) ConnectionKind
 	// Observe reports an event of a call.
 	Observe(now int64, observation Observation)
-	// EndRound is called at the end of each round of the loop. It hands the observations over to the Module as far as the
-	// ring has room.
+	// EndRound is called at the end of each round of the session loop. It hands the counts over to the Module, which
+	// runs outside the loop, as far as the ring buffer between the two has room. The rest is kept for a later round.
 	EndRound(now int64)
 }
 
--- a/internal/session/attempts.go
+++ b/internal/session/attempts.go
@@ -6,24 +6,24 @@
 	"pewterwheel/internal/wire"
 )
 
-// startAttempt sends a call's set-up to an office. The connection is opened first if there is none.
+// startAttempt carries out the decider's action to send a call's set-up to an office. The connection is
+// opened first if there is none.
 func (s *Session) startAttempt(action decide.Action) {
 	call, office := s.calls[uint64(action.Call)], s.offices.Get(action.Server)
 	if call == nil {
-		// The caller cancelled in the same step in which the module sent. The attempt must be reported as
-		// ended, or the module would count it as open for ever under the server's limit. It is reported as
-		// cancelled rather than unsent, because after an unsent attempt the module avoids the server for a
-		// while.
+		// The caller cancelled in the same step in which the decider chose to send. The attempt must be reported
+		// as ended, or the decider would count it as open at the office for ever. It is reported as Cancelled
+		// rather than NotSent, because after NotSent the decider avoids the office for a while.
 		s.Counters[state.Moot]++
 		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Outcome: decide.Cancelled, AnswerGiven: true,
 			Load: decide.NoLoad()})
 		return
 	}
-	if n := call.Attempts; office == nil || call.Answered || call.Attempt != nil || s.maxTries > 0 && n >= s.maxTries ||
-		s.now >= call.Deadline {
+	if number := call.Attempts; office == nil || call.Answered || call.Attempt != nil || s.maxTries > 0 && number >= s.maxTries ||
+		s.now >= call.Deadline { // the action has been overtaken: NotSent proves that the attempt never ran
 		call.Attempts++
 		s.Counters[state.Moot]++
-		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Attempt: n,
+		s.queueEvent(decide.Event{Kind: decide.AttemptEnded, Call: action.Call, Server: action.Server, Attempt: number,
 			Outcome: decide.NotSent, AnswerGiven: call.Answered, Load: decide.NoLoad()})
 		return
 	}
@@ -40,36 +40,37 @@
 	s.sendOrQueue(attempt)
 }
 
-// sendOrQueue writes an attempt's set-up to its connection. It queues the set-up while the connection is not
-// up or the caller's input is still unread.
+// sendOrQueue writes an attempt's set-up to its connection. It queues the set-up while the connection is not up or
+// holds unsent data, or the caller may have cancelled in input that is still unread. An attempt that has become
+// useless ends here instead.
 func (s *Session) sendOrQueue(attempt *state.Attempt) {
-	officeConn, from := attempt.OfficeConn, attempt.Call.From
+	officeConn, caller := attempt.OfficeConn, attempt.Call.From
 	attempt.Queued = true
 	switch {
-	case attempt.Call.Answered: // where attempts may not be cancelled, one outlives its call and caller
+	case attempt.Call.Answered: // an attempt that may not be cancelled stays open after its call was answered
 		s.cancelAttempt(attempt, decide.Cancelled)
 		return
-	case from.Conn.PeerClosed():
-		s.callerCancelled(attempt.Call) // the end of the connection is reported next
+	case caller.Conn.PeerClosed():
+		s.callerCancelled(attempt.Call) // the caller's connection has ended, which is reported to the loop next
 		return
 	case attempt.NotAfter != 0 && s.now >= attempt.NotAfter:
 		s.cancelAttempt(attempt, decide.TimedOut)
 		return
 	}
-	if officeConn.Conn != nil && !officeConn.Conn.Unsent() && !s.mayHaveCancelled(from) {
+	if officeConn.Conn != nil && !officeConn.Conn.Unsent() && !s.mayHaveCancelled(caller) {
 		s.sendSetUp(attempt)
 		return
 	}
 	officeConn.Queue = append(officeConn.Queue, attempt)
-	if officeConn == officeConn.To.Overflow {
+	if officeConn == officeConn.To.Overflow { // not a connection: the attempt waits for a pooled one to become free
 		s.waitForConn(attempt)
 		return
 	}
 	s.connect(officeConn)
 }
 
-// mayHaveCancelled reports whether a caller may have cancelled its calls in input that is still unread because
-// this process was paused a moment ago.
+// mayHaveCancelled reports whether a caller may have cancelled its calls while this process was paused: the pause
+// ended a moment ago, and input of the caller is still unread.
 func (s *Session) mayHaveCancelled(caller *state.Caller) bool {
 	return s.pauseEnded != 0 && s.now-s.pauseEnded < 2*watchInterval && caller.Conn.Unread()
 }
@@ -86,8 +87,9 @@
 // sendSetUp writes an attempt's set-up to its office.
 func (s *Session) sendSetUp(attempt *state.Attempt) {
 	attempt.Queued = false
-	// An earlier attempt of the same call may have been cancelled there without acknowledgment. Dropping its
-	// release keeps the end of the new call from being taken for the answer to that release.
+	// An earlier attempt of the same call may have been cancelled at this office, and its release not acknowledged
+	// yet. That release is no longer pending from here on, or the end of the new attempt would be taken for its
+	// acknowledgement. The attempt keeps it, to be restored if the set-up cannot be written.
 	officeConn := attempt.OfficeConn
 	attempt.EarlierRelease, attempt.EarlierReleasePending = officeConn.To.PendingReleases[attempt.Call.ID]
 	delete(officeConn.To.PendingReleases, attempt.Call.ID)
@@ -95,14 +97,16 @@
 	box := s.officeOutbox(officeConn)
 	out, err := attempt.Call.SetUp.AppendOnward(box.Bytes, attempt.Call.ID, attempt.Call.Deadline-s.now)
 	if err != nil {
-		attempt.Failed = true // the set-up is too long for any office
+		// The set-up is too long for any office. Nothing is written; the attempt ends at the call's deadline at the
+		// latest.
+		attempt.Failed = true
 		return
 	}
 	box.Bytes = out
 	box.Attempts = append(box.Attempts, state.AttemptRef{Call: attempt.Call.ID, Number: attempt.Number})
 }
 
-// endAttempt removes an attempt from its office and reports the outcome to the module.
+// endAttempt removes an attempt from its office and reports the outcome to the decider.
 func (s *Session) endAttempt(attempt *state.Attempt, outcome decide.Outcome) {
 	s.endAttemptWith(attempt, outcome, wire.Message{}, s.now)
 }
@@ -121,7 +125,7 @@
 		event.NumberBusy, event.Key = true, call.SetUp.Number
 	}
 	s.queueEvent(event)
-	if call.Answered {
+	if call.Answered { // the call was kept only for this attempt
 		s.forgetCall(call)
 	}
 }
@@ -132,8 +136,9 @@
 	if !attempt.Queued {
 		attempt.OfficeConn.To.Liveness.SetUpCancelled(s.now, attempt.Since)
 	}
-	if isUnsent(attempt.OfficeConn, attempt) {
-		s.closeConn(attempt.OfficeConn.Conn, errUnsentSetUps) // otherwise the set-up would begin once the office reads again
+	if mayBeBuffered(attempt.OfficeConn, attempt) {
+		// Otherwise the office would begin the set-up once it reads again. The attempt ends with the connection.
+		s.closeConn(attempt.OfficeConn.Conn, errUnsentSetUps)
 		return
 	}
 	if attempt.Queued {
@@ -151,26 +156,28 @@
 	s.endAttempt(attempt, outcome)
 }
 
-// recordSentTime keeps the time at which a cancelled set-up was sent, so that a late answer shows the office's
-// delay.
+// recordSentTime keeps the time at which a cancelled set-up was sent with its pending release, so that an answer that
+// still arrives shows how long the office took.
 func (s *Session) recordSentTime(attempt *state.Attempt) {
 	office := attempt.OfficeConn.To
-	if ending, kept := office.PendingReleases[attempt.Call.ID]; kept {
-		ending.SetUpSent = attempt.Since
-		office.PendingReleases[attempt.Call.ID] = ending
+	if release, kept := office.PendingReleases[attempt.Call.ID]; kept {
+		release.SetUpSent = attempt.Since
+		office.PendingReleases[attempt.Call.ID] = release
 	}
 }
 
-// isUnsent reports whether a set-up, or part of it, may still be buffered in this process.
-func isUnsent(officeConn *state.OfficeConn, attempt *state.Attempt) bool {
+// mayBeBuffered reports whether a set-up, or part of it, may still be in the connection's send buffer, and not have
+// reached the office.
+func mayBeBuffered(officeConn *state.OfficeConn, attempt *state.Attempt) bool {
 	return attempt.PartlySent && !attempt.Queued && officeConn.Conn != nil && officeConn.Conn.Unsent()
 }
 
-// withdrawQueued ensures that no further set-up leaves for an office that takes no new calls.
+// withdrawQueued ensures that no further set-up leaves on a connection to an office that takes no new calls. Queued
+// set-ups fail; if one that was written may still be buffered, the connection is closed.
 func (s *Session) withdrawQueued(officeConn *state.OfficeConn) {
 	s.failQueued(officeConn)
 	for _, attempt := range inKeyOrder(officeConn.Outstanding) {
-		if isUnsent(officeConn, attempt) {
+		if mayBeBuffered(officeConn, attempt) {
 			s.closeConn(officeConn.Conn, errUnsentSetUps)
 			return
 		}
--- a/internal/stage/completion.go
+++ b/internal/stage/completion.go
@@ -23,7 +23,7 @@
 		return
 	}
 	c.nextEvaluationAt = now + e.slotLength
-	e.tick(now)
+	e.closeIfOver(now)
 	var result finding
 	if result = (finding{verdict: verdictHarmless}); p.config.oracle == nil {
 		result = p.evaluateStage(now)
--- a/internal/stage/evidence.go
+++ b/internal/stage/evidence.go
@@ -122,7 +122,7 @@
 	newSum         [measureCount]ratio
 	slowMarginSum  ratio
 	oldVariances   [measureGrowth][]float64         // variances of the old processes in each slot, sorted
-	oldBefore      [maxClasses][measureGrowth]ratio // figures before the change, for the failpoint unpaired
+	unpairedSums   [maxClasses][measureGrowth]ratio // of the old processes before the change; for the failpoint unpaired
 	firstBroken    string                           // the first new process with a counter above 0 that must stay 0
 	failpoints     failpoints
 }
--- a/internal/stage/figures.go
+++ b/internal/stage/figures.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	e.tick(now)
+	e.closeIfOver(now)
 }
 
 // requestFigures says whether this process needs the figures of the others.
--- a/internal/stage/safeguards_test.go
+++ b/internal/stage/safeguards_test.go
@@ -53,7 +53,7 @@
 					Class: []fleet.ClassFigures{{Name: "x", Offered: uint64(n), Refused: uint64(refused)}}}}}}
 			e.addWindows(now, &m, status)
 		}
-		e.tick(now)
+		e.closeIfOver(now)
 	}
 	for range before {
 		slot(false)
