--- a/internal/keeper/admission.go
+++ b/internal/keeper/admission.go
@@ -68,7 +68,7 @@
 
 // NewAdmissionFilter returns an AdmissionFilter that passes events to inner, which is made with the same settings. It
 // shares the table and the queue with the Module of the process. The session must report the ends of calls to it
-// (session.EndObserver): a decider in front of it passes on HearsEnds and events.
+// (session.EndObserver): a decider in front of it passes on ObservesEnds and events.
 func NewAdmissionFilter(cfg Config, settings decide.Settings, inner Decider, table *Table,
 	queue *Queue) *AdmissionFilter {
 	return &AdmissionFilter{cfg: cfg.withDefaults(), settings: settings, inner: inner, table: table, queue: queue,
@@ -78,8 +78,8 @@
 // Avoids tells whether the decide module currently avoids a listed server.
 func (f *AdmissionFilter) Avoids(id decide.ServerID) bool { return f.inner.Avoids(id) }
 
-// HearsEnds returns true: the ends of established calls free lines.
-func (f *AdmissionFilter) HearsEnds() bool { return true }
+// ObservesEnds returns true: the ends of established calls free lines.
+func (f *AdmissionFilter) ObservesEnds() bool { return true }
 
 // Reload passes on a part of a new configuration.
 func (f *AdmissionFilter) Reload(now int64, part any, out []decide.Action) []decide.Action {
--- a/internal/liveness/incarnation.go
+++ b/internal/liveness/incarnation.go
@@ -43,16 +43,16 @@
 
 // outage is a period without a lasting main connection, after which another process of the office may be running.
 type outage struct {
-	lost           int64 // when it began; calls established before are in question
-	lastMessage    int64 // the last message before it, which proves that the process ran
-	lastService    int64 // the last message of a call before it, which proves that the call processing worked
-	unanswered     bool  // set-ups were unanswered between lastService and the loss
-	endsBefore     int   // calls that the office ended in the last releaseAfter before lastMessage
-	reportsTrusted bool  // no report of lines before it contradicted the established calls
-	firstMessage   int64 // the first message on the main connection after it; 0: none yet
-	connectRefused bool  // a connect was refused during it
-	listUnheard    bool  // the list could not be received at the time when it had to announce a new start
-	deficit        lineDeficit
+	lost            int64 // when it began; calls established before are in question
+	lastMessage     int64 // the last message before it, which proves that the process ran
+	lastService     int64 // the last message of a call before it, which proves that the call processing worked
+	unanswered      bool  // set-ups were unanswered between lastService and the loss
+	endsBefore      int   // calls that the office ended in the last releaseAfter before lastMessage
+	reportsTrusted  bool  // no report of lines before it contradicted the established calls
+	firstMessage    int64 // the first message on the main connection after it; 0: none yet
+	connectRefused  bool  // a connect was refused during it
+	listNotReceived bool  // the list could not be received at the time when it had to announce a new start
+	deficit         lineDeficit
 }
 
 // lineDeficit is a report, after an outage, of fewer lines in use than calls established before a given time.
@@ -139,9 +139,9 @@
 	o.outages = slices.DeleteFunc(o.outages, func(g outage) bool { return g.firstMessage != 0 && p.refutes(g) })
 }
 
-// Ended records that the office ended an established call, on a connection established at the given time: the process
+// CallEnded records that the office ended an established call, on a connection established at the given time: the process
 // that set the call up is still running.
-func (o *Office) Ended(now int64, call Call, opened int64) {
+func (o *Office) CallEnded(now int64, call Call, opened int64) {
 	o.endCounts.add(now)
 	o.ended.add(now, call)
 	o.recordSameProcess(processProof{at: now, since: call.Since, opened: opened})
@@ -236,7 +236,7 @@
 	}
 	lost := list.LastUnreachable != 0 && list.LastUnreachable >= g.lost-listSilence
 	unheard := list.LastReceived != 0 && list.LastReceived < g.lost && now-g.lost >= listSilence/2
-	g.listUnheard = g.listUnheard || lost || unheard
+	g.listNotReceived = g.listNotReceived || lost || unheard
 }
 
 // evidence returns the evidence for another process after an outage.
@@ -246,7 +246,7 @@
 		return NoEvidence // silence and failed connects are judged by assess
 	case g.deficit.confirmed:
 		return FewerLines
-	case g.connectRefused && g.listUnheard:
+	case g.connectRefused && g.listNotReceived:
 		return RefusedBlind
 	case now-g.lastMessage >= releaseAfter && g.endsBefore >= minExpectedEnds &&
 		established(g.lastMessage-releaseAfter, g.lost) >= minExpectedEnds:
--- a/internal/liveness/incarnation_test.go
+++ b/internal/liveness/incarnation_test.go
@@ -30,14 +30,14 @@
 		{"connects not established", false, 12 * second, false},
 	} {
 		var o Office
-		o.Heard(message(9 * second))
+		o.MessageReceived(message(9 * second))
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/10, c.refused)
 		o.Connected()
-		o.Heard(message(11 * second))
+		o.MessageReceived(message(11 * second))
 		list := ListReception{LastUnreachable: c.lost}
 		established := countEstablishedAt(8 * second)
-		o.Heard(message(16*second - 1))
+		o.MessageReceived(message(16*second - 1))
 		if _, over := o.Restarted(16*second-1, list, established, false); over {
 			t.Errorf("%s: over before the list could have announced it", c.name)
 		}
@@ -55,16 +55,16 @@
 func TestRestartedTwice(t *testing.T) {
 	var o Office
 	for i := int64(0); i < 2; i++ {
-		o.Heard(message((10 + 2*i) * second))
+		o.MessageReceived(message((10 + 2*i) * second))
 		o.ConnectionLost((11+2*i)*second, LostConnection{Opened: second})
 		o.ConnectFailed((11+2*i)*second+second/10, true)
 	}
-	o.Heard(message(14 * second))
+	o.MessageReceived(message(14 * second))
 	established := countEstablishedAt(9*second, 12*second+second/2)
 	list := ListReception{LastUnreachable: 14 * second}
 	want := []int64{11 * second, 13 * second}
 	for now := int64(14 * second); now <= 19*second; now += second / 10 {
-		o.Heard(message(now))
+		o.MessageReceived(message(now))
 		restart, over := o.Restarted(now, list, established, false)
 		if !over {
 			continue
@@ -95,11 +95,11 @@
 		{"call from before, end read late on another connection", 9 * second, second, 10*second + second/10, true},
 	} {
 		var o Office
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/20, true)
-		o.Heard(message(10*second + second/10))
-		o.Ended(c.at, Call{Since: c.since}, c.opened)
+		o.MessageReceived(message(10*second + second/10))
+		o.CallEnded(c.at, Call{Since: c.since}, c.opened)
 		list := ListReception{LastUnreachable: 10 * second}
 		if _, over := o.Restarted(13*second, list, countEstablishedAt(9*second), false); over {
 			t.Errorf("%s: restarted 3 s after the last message", c.name)
@@ -127,14 +127,14 @@
 	} {
 		var o Office
 		established := countEstablishedAt(8*second, 8*second+1, 8*second+2)
-		o.Heard(message(9 * second))
+		o.MessageReceived(message(9 * second))
 		for _, lines := range c.before {
 			o.LinesInUse(9*second, lines, established)
 		}
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		for i, lines := range c.after {
 			at := 10*second + int64(i+1)*second/5
-			o.Heard(message(at))
+			o.MessageReceived(message(at))
 			o.LinesInUse(at, lines, established)
 		}
 		restart, over := o.Restarted(17*second, ListReception{}, established, false)
@@ -150,11 +150,11 @@
 	for _, secondReport := range []int64{second, 5 * second} {
 		var o Office
 		established := countEstablishedAt(8*second, 8*second+1, 8*second+2)
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		over := false
 		for now := int64(10*second + second/10); now <= 17*second; now += second / 10 {
-			o.Heard(message(now))
+			o.MessageReceived(message(now))
 			if now == 10*second+second/10 {
 				o.LinesInUse(now, 0, established)
 			} else if now >= 10*second+secondReport {
@@ -175,13 +175,13 @@
 // meanwhile.
 func TestFewerLinesInUseUntilReleasesCome(t *testing.T) {
 	var o Office
-	o.Heard(message(10 * second))
+	o.MessageReceived(message(10 * second))
 	o.ConnectionLost(10*second, LostConnection{Opened: second})
-	o.Heard(message(14 * second))
+	o.MessageReceived(message(14 * second))
 	o.LinesInUse(14*second, 1, countEstablishedAt(8*second, 8*second+1, 8*second+2))
 	left := countEstablishedAt(8 * second)
 	for now := int64(14 * second); now <= 20*second; now += second / 10 {
-		o.Heard(message(now))
+		o.MessageReceived(message(now))
 		if restart, over := o.Restarted(now, ListReception{}, left, false); over {
 			t.Fatalf("%+v at %d us, although as many calls are established as lines are in use", restart, now)
 		}
@@ -192,14 +192,14 @@
 func TestFewerLinesInUseTwice(t *testing.T) {
 	var o Office
 	established := countEstablishedAt(8*second, 8*second+1, 10*second+second/2, 10*second+second/2+1)
-	o.Heard(message(9 * second))
+	o.MessageReceived(message(9 * second))
 	for _, at := range []int64{10 * second, 12 * second} {
 		o.ConnectionLost(at, LostConnection{Opened: at - second})
-		o.Heard(message(at + second/5))
+		o.MessageReceived(message(at + second/5))
 		o.LinesInUse(at+second/5, 0, established)
 	}
 	for _, c := range []struct{ now, before int64 }{{16 * second, 10 * second}, {17*second + second/5, 12 * second}} {
-		o.Heard(message(c.now))
+		o.MessageReceived(message(c.now))
 		if restart, over := o.Restarted(c.now, ListReception{}, established, false); !over || restart.Before != c.before {
 			t.Errorf("%+v %t at %d us, want calls from before %d us over", restart, over, c.now, c.before)
 		}
@@ -222,17 +222,17 @@
 		{"old calls established", 40, 40, 20 * second, false},
 	} {
 		var o Office
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		for range c.ended {
-			o.Ended(28*second, Call{Since: 27 * second}, second)
+			o.CallEnded(28*second, Call{Since: 27 * second}, second)
 		}
-		o.Heard(message(30 * second))
+		o.MessageReceived(message(30 * second))
 		o.ConnectionLost(30*second+second/10, LostConnection{Opened: second})
 		var times []int64
 		for range c.established {
 			times = append(times, 30*second-c.age)
 		}
-		o.Heard(message(30*second + second/5))
+		o.MessageReceived(message(30*second + second/5))
 		if _, over := o.Restarted(37*second-1, ListReception{}, countEstablishedAt(times...), false); over {
 			t.Errorf("%s: over before 7 s", c.name)
 		}
@@ -247,10 +247,10 @@
 func TestRestartedAtShutdown(t *testing.T) {
 	for _, refused := range []bool{true, false} {
 		var o Office
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		o.ConnectFailed(10*second+second/10, refused)
-		o.Heard(message(11 * second))
+		o.MessageReceived(message(11 * second))
 		if _, over := o.Restarted(12*second, ListReception{}, countEstablishedAt(9*second), true); over != refused {
 			t.Errorf("refused %t: restarted %t", refused, over)
 		}
@@ -261,7 +261,7 @@
 func TestOutagesAreBounded(t *testing.T) {
 	var o Office
 	for at := int64(second); at < 200*second; at += second {
-		o.Heard(message(at))
+		o.MessageReceived(message(at))
 		o.ConnectionLost(at+second/2, LostConnection{Opened: at})
 	}
 	if len(o.outages) > maxOutages {
@@ -285,15 +285,15 @@
 			return n
 		}
 	}
-	o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+	o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 	o.ConnectionLost(killed, LostConnection{Opened: second})
-	o.Heard(message(killed + second/10))
+	o.MessageReceived(message(killed + second/10))
 	o.LinesInUse(killed+second/10, 0, of(killed+second/10))
 	for now := killed + second/10; now < 30*second; now += second / 10 {
 		if now == reset {
 			o.ConnectionLost(reset, LostConnection{Opened: killed + second/10})
 		}
-		o.Heard(message(now + 1))
+		o.MessageReceived(message(now + 1))
 		if now > 11*second {
 			o.LinesInUse(now+1, 2, of(now))
 		}
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// Heard records a message.
-func (o *Office) Heard(m Message) (Transition, bool) {
+// MessageReceived records a message.
+func (o *Office) MessageReceived(m Message) (Transition, bool) {
 	o.lastMessage = max(o.lastMessage, m.At)
 	o.lastOfKind[m.Kind] = max(o.lastOfKind[m.Kind], m.At)
 	if m.OnMain {
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -22,7 +22,7 @@
 		},
 	} {
 		var o Office
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		suspected, unresponsive := int64(0), int64(0)
 		for now := int64(10 * second); now < 30*second && unresponsive == 0; now += second / 10 {
 			connects(&o, now)
@@ -49,7 +49,7 @@
 		after   int64 // from the loss to the transition
 	}{{"refused", true, refusedFor}, {"not established", false, unreachableFor}} {
 		var o Office
-		o.Heard(message(10 * second))
+		o.MessageReceived(message(10 * second))
 		o.ConnectionLost(10*second, LostConnection{Opened: second})
 		at := int64(0)
 		for now := int64(10*second + second/2); at == 0 && now < 30*second; now += second / 2 {
@@ -61,7 +61,7 @@
 		if at != 10*second+c.after {
 			t.Errorf("%s: unresponsive %d us after the loss, want %d", c.name, at-10*second, c.after)
 		}
-		if transition, changed := o.Heard(message(at)); !changed ||
+		if transition, changed := o.MessageReceived(message(at)); !changed ||
 			transition.To != Responsive || transition.Reason != MessageReceived {
 			t.Errorf("%s: %+v %t by a message, want responsive", c.name, transition, changed)
 		}
@@ -75,12 +75,12 @@
 // A message on a pooled connection shows that the office runs, not that it can be connected to.
 func TestPooledConnectionsDoNotProveMainConnection(t *testing.T) {
 	var o Office
-	o.Heard(message(10 * second))
+	o.MessageReceived(message(10 * second))
 	o.ConnectionLost(10*second, LostConnection{Opened: second})
 	verdict := Transition{}
 	for now := int64(10 * second); now <= 20*second; now += second / 2 {
 		o.ConnectFailed(now, true)
-		o.Heard(Message{At: now})
+		o.MessageReceived(Message{At: now})
 		if transition, changed := o.Judge(now, Unanswered{}); changed {
 			verdict = transition
 		}
@@ -93,7 +93,7 @@
 // Refused connects do not affect calls on pooled connections; silence on all connections does.
 func TestSilenceHoldsBesideRefusedConnects(t *testing.T) {
 	var o Office
-	o.Heard(message(10 * second))
+	o.MessageReceived(message(10 * second))
 	o.ConnectionLost(10*second, LostConnection{Opened: second})
 	var last Transition
 	for now := int64(10 * second); now <= 17*second; now += second / 2 {
@@ -112,7 +112,7 @@
 	var o Office
 	for now := int64(second); now < 120*second; now += second / 10 {
 		if now%(6*second) == 0 {
-			o.Heard(message(now))
+			o.MessageReceived(message(now))
 		}
 		if now%(11*second) == 0 {
 			o.ConnectionLost(now, LostConnection{Opened: now - 5*second})
@@ -128,7 +128,7 @@
 // A probe is due only after half of the time limit, and only if the connection predates the last message.
 func TestProbeConnectionDue(t *testing.T) {
 	var o Office
-	o.Heard(message(10 * second))
+	o.MessageReceived(message(10 * second))
 	for _, c := range []struct {
 		now, opened int64
 		want        bool
@@ -149,7 +149,7 @@
 	}
 	for at := int64(2 * second); at <= 6*second; at += second / 2 {
 		c.Report(at, &all)
-		c.Heard = at
+		c.LastReceived = at
 	}
 	if all != second/2 || c.ReportInterval != second/2 {
 		t.Errorf("learned %d and %d us, want half a second", all, c.ReportInterval)
@@ -191,17 +191,17 @@
 		{"some unanswered", 2 * second, second, 3 * second, false},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+		o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		at := int64(0)
 		for now := int64(10*second + second/100); now < 40*second && at == 0; now += second / 100 {
 			if now%(second/2) == 0 {
-				o.Heard(message(now))
+				o.MessageReceived(message(now))
 			}
 			if c.every != 0 && now%c.every == c.out%c.every && now > 11*second {
 				o.SetUpCancelled(now, now-c.out)
 			}
 			if c.servedEvery != 0 && now%c.servedEvery == 0 {
-				o.Heard(Message{At: now, Kind: Answer, OnMain: true})
+				o.MessageReceived(Message{At: now, Kind: Answer, OnMain: true})
 			}
 			if transition, changed := o.Judge(now, Unanswered{}); changed && transition.To == Unresponsive {
 				if at = now; transition.Reason != Stalled {
@@ -235,7 +235,7 @@
 		{"a set-up is unanswered", 2 * second, 0, true, true, true},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+		o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		if c.lost {
 			o.SetUpCancelled(11*second, 10*second+second/10)
 		}
@@ -265,12 +265,12 @@
 		{"no set-ups", 0, 0, 5 * second, false},
 	} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+		o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		now := 10*second + c.served
 		for range c.lost {
 			o.SetUpCancelled(now, 10*second+second/10)
 		}
-		o.Heard(message(now - second/10))
+		o.MessageReceived(message(now - second/10))
 		seen := ShutdownObservation{ReportInterval: second / 2, Connected: true, Unanswered: c.out}
 		if transition, changed := o.JudgeDeparting(now, seen); changed != c.stalled {
 			t.Errorf("%s: %+v %t, want %t", c.name, transition, changed, c.stalled)
@@ -286,10 +286,10 @@
 		want bool
 	}{{"just before", second / 10, true}, {"long before, others answered", second, false}} {
 		var o Office
-		o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+		o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 		o.SetUpCancelled(11*second, 10*second-c.sent)
 		o.SetUpCancelled(12*second, 11*second)
-		o.Heard(message(17 * second))
+		o.MessageReceived(message(17 * second))
 		transition, changed := o.Judge(17*second, Unanswered{})
 		if judged := changed && transition.To == Unresponsive && transition.Reason == Stalled; judged != c.want {
 			t.Errorf("%s: %+v, want unresponsive %t", c.name, transition, c.want)
@@ -300,7 +300,7 @@
 // Guards against too little evidence on an office that hangs: one set-up was unanswered, and no other was sent there.
 func TestUnansweredSetUpRequestsTrial(t *testing.T) {
 	var o Office
-	o.Heard(Message{At: 10 * second, Kind: Answer, OnMain: true})
+	o.MessageReceived(Message{At: 10 * second, Kind: Answer, OnMain: true})
 	if o.WantsTrial(12 * second) {
 		t.Error("a trial set-up is requested although nothing was left unanswered")
 	}
@@ -314,7 +314,7 @@
 	if asked != maxTrials {
 		t.Errorf("%d trial set-ups were requested, want %d", asked, maxTrials)
 	}
-	o.Heard(Message{At: 30 * second, Kind: Answer, OnMain: true})
+	o.MessageReceived(Message{At: 30 * second, Kind: Answer, OnMain: true})
 	if o.WantsTrial(31 * second) {
 		t.Error("a trial set-up is requested although the office answered")
 	}
@@ -331,10 +331,10 @@
 		{"served long before", 10 * second, 30 * second, 30*second + stalledFor},
 	} {
 		var o Office
-		o.Heard(Message{At: c.served, Kind: Answer, OnMain: true})
+		o.MessageReceived(Message{At: c.served, Kind: Answer, OnMain: true})
 		at := int64(0)
 		for now := c.sent; now < c.sent+20*second && at == 0; now += second / 50 {
-			o.Heard(message(now))
+			o.MessageReceived(message(now))
 			var out Unanswered
 			out.Add(now, o.OutstandingFor(now, c.sent))
 			out.Add(now, o.OutstandingFor(now, c.sent))
@@ -353,8 +353,8 @@
 func TestQueueDelayCounts(t *testing.T) {
 	for _, waited := range []int64{second / 100, second, 2 * second, 60 * second} {
 		var o Office
-		o.Heard(Message{At: 70 * second, Kind: Answer, OnMain: true, SetUpSent: 70*second - waited})
-		o.Heard(Message{At: 70*second + second/2, Kind: End, OnMain: true})
+		o.MessageReceived(Message{At: 70 * second, Kind: Answer, OnMain: true, SetUpSent: 70*second - waited})
+		o.MessageReceived(Message{At: 70*second + second/2, Kind: End, OnMain: true})
 		last := 70*second + second/2 - min(waited, maxQueueDelay)
 		if transition, changed := o.Judge(last+silentAfter-1, Unanswered{}); changed && transition.To == Unresponsive {
 			t.Errorf("delay %d us: %+v too early", waited, transition)
--- a/internal/liveness/missing_ends_test.go
+++ b/internal/liveness/missing_ends_test.go
@@ -29,12 +29,12 @@
 		if l.rng.Float64() < ratePerSecond/100 {
 			l.established = append(l.established, Call{Since: now})
 			l.endTimes = append(l.endTimes, now+int64(meanSeconds*l.rng.ExpFloat64()*second))
-			l.office.Heard(Message{At: now, Kind: Answer, OnMain: true, SetUpSent: now - 1000})
+			l.office.MessageReceived(Message{At: now, Kind: Answer, OnMain: true, SetUpSent: now - 1000})
 		}
 		for i := 0; works && i < len(l.established); i++ {
 			if l.endTimes[i] <= now {
-				l.office.Ended(now, l.established[i], 1)
-				l.office.Heard(Message{At: now, Kind: End, OnMain: true})
+				l.office.CallEnded(now, l.established[i], 1)
+				l.office.MessageReceived(Message{At: now, Kind: End, OnMain: true})
 				l.holding.EndedByOffice(0, now-l.established[i].Since)
 				l.established = slices.Delete(l.established, i, i+1)
 				l.endTimes = slices.Delete(l.endTimes, i, i+1)
--- a/internal/liveness/report_interval.go
+++ b/internal/liveness/report_interval.go
@@ -34,7 +34,7 @@
 // clock.
 type Connection struct {
 	Opened         int64 // when it was established
-	Heard          int64 // when anything was last received, or it was established
+	LastReceived   int64 // when anything was last received, or it was established
 	Reported       int64 // when the office last reported on it; 0: not yet
 	ReportInterval ReportInterval
 }
@@ -42,7 +42,7 @@
 // Begin begins a connection. It keeps the report interval of the connections before it.
 func (c *Connection) Begin(now int64) {
 	c.Opened = now
-	c.Heard = now
+	c.LastReceived = now
 	c.Reported = 0
 }
 
@@ -64,6 +64,6 @@
 	}
 	due := c.Reported + usual
 	late := now >= due+max(minInterval, usual/overduePart)
-	overdue := c.Reported != 0 && c.Heard < due && late
-	return overdue || now-c.Heard >= max(minSilence, usual+usual/2)
+	overdue := c.Reported != 0 && c.LastReceived < due && late
+	return overdue || now-c.LastReceived >= max(minSilence, usual+usual/2)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -150,7 +150,7 @@
 func (t *together) Configure(c *service.Config) {
 	c.Clock, c.Beside = t.clock, true
 	if t.pools != nil {
-		c.Laner, c.Application = t.pools, t.base.Application.Name
+		c.ConnSelector, c.Application = t.pools, t.base.Application.Name
 	}
 }
 
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -168,10 +168,10 @@
 // Avoids passes the query on.
 func (m *Meter) Avoids(id decide.ServerID) bool { return m.inner.Avoids(id) }
 
-// HearsEnds reports whether the wrapped decider wants to receive the ends of established calls.
-func (m *Meter) HearsEnds() bool {
-	hearer, ok := m.inner.(interface{ HearsEnds() bool })
-	return ok && hearer.HearsEnds()
+// ObservesEnds reports whether the wrapped decider wants to receive the ends of established calls.
+func (m *Meter) ObservesEnds() bool {
+	hearer, ok := m.inner.(interface{ ObservesEnds() bool })
+	return ok && hearer.ObservesEnds()
 }
 
 // Reload passes a configuration on, if the wrapped decider accepts one.
--- a/internal/pathcost/pathcost.go
+++ b/internal/pathcost/pathcost.go
@@ -131,7 +131,7 @@
 		plain := read
 		read = func() (service.Config, error) {
 			cfg, err := plain()
-			cfg.Laner, cfg.Watch = &laned{how}, how == "watch"
+			cfg.ConnSelector, cfg.Watch = &laned{how}, how == "watch"
 			return cfg, err
 		}
 	}
--- a/internal/service/config.go
+++ b/internal/service/config.go
@@ -38,10 +38,10 @@
 	Part    any                                                    `json:"-"` // for a Node that is a session.Reloader
 
 	// What gives calls lanes at the offices, for callers of the application of this name; nil: all share one. See session.Config.
-	Laner       pooling.ConnectionSelector `json:"-"`
-	Watch       bool                       `json:"-"`
-	Application string                     `json:"-"`
-	Clock       func() int64               `json:"-"` // of Clock's; nil: one of the service's own
+	ConnSelector pooling.ConnectionSelector `json:"-"`
+	Watch        bool                       `json:"-"`
+	Application  string                     `json:"-"`
+	Clock        func() int64               `json:"-"` // of Clock's; nil: one of the service's own
 	// Beside: a successor may listen on the second address, too, and has the new connections from then on.
 	Beside bool `json:"-"`
 }
@@ -88,7 +88,7 @@
 		return session.Config{}, fmt.Errorf("configuration: seed: %w", err)
 	}
 	cfg := session.Config{Settings: c.Settings, Sockets: c.Limits.Sockets, Memory: c.Limits.MemoryMB << 20, Seed: seed,
-		NewDecider: c.Node, ConnSelector: c.Laner, ObserveOnly: c.Watch, Application: c.Application}
+		NewDecider: c.Node, ConnSelector: c.ConnSelector, ObserveOnly: c.Watch, Application: c.Application}
 	if c.Journal != "" {
 		cfg.Source = membership.NewJournal(c.Journal, c.Known, c.Settings.Zones)
 	} else {
--- a/internal/session/arrivals.go
+++ b/internal/session/arrivals.go
@@ -56,7 +56,7 @@
 				s.handleCallerMessage(role, message, arrival.At)
 			})
 		case *state.OfficeConn:
-			if role.Received.Heard = s.now; len(role.Buffer) == 0 {
+			if role.Received.LastReceived = s.now; len(role.Buffer) == 0 {
 				role.PartialSince = s.now
 			}
 			role.Buffer = s.readMessages(arrival, role.Buffer, func(message wire.Message) {
--- a/internal/session/office_liveness.go
+++ b/internal/session/office_liveness.go
@@ -113,7 +113,7 @@
 	if record.Kind == liveness.Answer {
 		record.SetUpSent = s.setUpSentAt(officeConn, message.Call)
 	}
-	if transition, changed := officeConn.To.Liveness.Heard(record); changed {
+	if transition, changed := officeConn.To.Liveness.MessageReceived(record); changed {
 		s.applyTransition(officeConn.To, transition)
 	}
 }
--- a/internal/session/offices.go
+++ b/internal/session/offices.go
@@ -29,12 +29,12 @@
 // EndObserver is a Decider that may need to be told of the end of each established call by an event of kind
 // decide.CallEnded. A Decider that wraps others forwards it. A Decider that does not need ends gets no such events.
 type EndObserver interface {
-	HearsEnds() bool
+	ObservesEnds() bool
 }
 
 // reportCallOver tells the decider that an established call has ended, if it needs to know.
 func (s *Session) reportCallOver(call uint64) {
-	if s.endHearer != nil && s.endHearer.HearsEnds() {
+	if s.endObserver != nil && s.endObserver.ObservesEnds() {
 		s.queueEvent(decide.Event{Kind: decide.CallEnded, Call: decide.CallID(call)})
 	}
 }
@@ -227,7 +227,7 @@
 		if established.OfficeConn.To != office {
 			return // it was cancelled here and is established elsewhere; only its end there counts
 		}
-		office.Liveness.Ended(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class},
+		office.Liveness.CallEnded(arrivedAt, liveness.Call{Since: established.Since, Class: established.Class},
 			officeConn.Received.Opened)
 		s.callDurations.EndedByOffice(established.Class, s.now-established.Since)
 		if s.pooled.connSelector != nil {
--- a/internal/session/pooled_conns.go
+++ b/internal/session/pooled_conns.go
@@ -57,7 +57,7 @@
 	refused        uint64 // set-ups refused because no connection was available
 	evicted        uint64 // pooled connections closed to make room
 
-	mostTracked int
+	peakTracked int
 }
 
 // disabledGuards switches single guards off, for tests that show what each of them prevents.
--- a/internal/session/pooled_conns_sockets_test.go
+++ b/internal/session/pooled_conns_sockets_test.go
@@ -72,7 +72,7 @@
 func serve(t *testing.T, l pooling.ConnectionSelector, sockets int, offices ...string) (address string, stop func()) {
 	t.Helper()
 	address = fmt.Sprintf("127.0.0.1:%d", standin.FreePort())
-	cfg := service.Config{Name: "s", Listen: address, Seed: "8c1f30d27a5be964", Laner: l, Application: "app"}
+	cfg := service.Config{Name: "s", Listen: address, Seed: "8c1f30d27a5be964", ConnSelector: l, Application: "app"}
 	for i, o := range offices {
 		cfg.Members = append(cfg.Members, membership.Member{Name: fmt.Sprint("o", i+1), Address: netip.MustParseAddrPort(o),
 			Weight: 1})
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -135,7 +135,7 @@
 
 	net               Network
 	decider           Decider
-	endHearer         EndObserver // the decider, if it implements EndObserver
+	endObserver       EndObserver // the decider, if it implements EndObserver
 	log               *slog.Logger
 	source            membership.Source
 	journal           journal
@@ -190,7 +190,7 @@
 	earlierReleases map[uint64]state.PendingRelease
 	endedCalls      map[uint64]int64 // ids of ended calls, and when they ended
 	// Largest sizes of these maps at a sweep since they were last reallocated.
-	mostEndedCalls, mostCalls, mostEstablished int
+	peakEndedCalls, peakCalls, peakEstablished int
 	offices                                    state.Offices
 	dials                                      map[uint64]*state.OfficeConn // nil: the journal
 	pendingRedials                             map[uint64]*state.Office     // by number of the timer
@@ -236,7 +236,7 @@
 		s.maxCalls = 20_000
 	}
 	s.callDurations = liveness.NewHoldingTimes(len(cfg.Settings.Classes))
-	s.endHearer, _ = node.(EndObserver)
+	s.endObserver, _ = node.(EndObserver)
 	for i, c := range cfg.Settings.Classes {
 		s.classIndex[c.Name], s.classNames[c.Name] = i, c.Name
 		s.maxDeadline = max(s.maxDeadline, c.Deadline)
--- a/internal/session/timers.go
+++ b/internal/session/timers.go
@@ -63,18 +63,18 @@
 // sweep removes expired entries.
 func (s *Session) sweep() {
 	s.callPool.Trim()
-	s.mostEndedCalls = max(s.mostEndedCalls, len(s.endedCalls))
-	s.mostCalls = max(s.mostCalls, len(s.calls))
-	s.mostEstablished = max(s.mostEstablished, len(s.established))
+	s.peakEndedCalls = max(s.peakEndedCalls, len(s.endedCalls))
+	s.peakCalls = max(s.peakCalls, len(s.calls))
+	s.peakEstablished = max(s.peakEstablished, len(s.established))
 	maps.DeleteFunc(s.endedCalls, func(_ uint64, at int64) bool { return s.now-at > endedCallTTL })
 	if len(s.endedCalls) > maxEndedCalls {
 		clear(s.endedCalls)
 	}
-	s.endedCalls = shrinkMap(s.endedCalls, &s.mostEndedCalls)
-	s.calls = shrinkMap(s.calls, &s.mostCalls)
-	s.established = shrinkMap(s.established, &s.mostEstablished)
-	s.pooled.mostTracked = max(s.pooled.mostTracked, len(s.pooled.tracked))
-	s.pooled.tracked = shrinkMap(s.pooled.tracked, &s.pooled.mostTracked)
+	s.endedCalls = shrinkMap(s.endedCalls, &s.peakEndedCalls)
+	s.calls = shrinkMap(s.calls, &s.peakCalls)
+	s.established = shrinkMap(s.established, &s.peakEstablished)
+	s.pooled.peakTracked = max(s.pooled.peakTracked, len(s.pooled.tracked))
+	s.pooled.tracked = shrinkMap(s.pooled.tracked, &s.pooled.peakTracked)
 	expired := func(_ uint64, ending state.PendingRelease) bool { return s.now-ending.At > endedCallTTL }
 	maps.DeleteFunc(s.undeliveredReleases, expired)
 	maps.DeleteFunc(s.earlierReleases, expired)
